--- a/libraries/jobs/commands.h
+++ b/libraries/jobs/commands.h
@@ -20,10 +20,10 @@
 
 namespace sumac::jobs {
 
-// The commands of the replicated jobs state. Each is committed before anyone is
-// told of its outcome.
+// The commands that change the replicated state of jobs. Each is committed
+// before its outcome is reported to anyone.
 
-// A new leader begins: its epoch is one above the last.
+// Begins the epoch of a new leader, which is one above the last epoch.
 struct BeginEpoch {
   static constexpr std::string_view kTypeName = "begin-epoch";
 
@@ -31,7 +31,8 @@
   static void Describe(Self& /*self*/, Visitor& /*visitor*/) {}
 };
 
-// Puts the operators' document in force if its version is the highest.
+// Puts the operators' document in force if its version is higher than that of
+// the document in force.
 struct Declare {
   static constexpr std::string_view kTypeName = "declare";
   std::uint64_t version = 0;
@@ -45,7 +46,8 @@
   }
 };
 
-// A worker announced itself for the first time, or changed.
+// Records a worker that announced itself for the first time, or whose
+// announcement changed.
 struct RecordWorker {
   static constexpr std::string_view kTypeName = "record-worker";
   Worker worker;
@@ -56,18 +58,20 @@
   }
 };
 
-// A worker's life is over and nothing runs there any more.
+// Removes the record of a worker on which nothing runs any more.
 struct ForgetWorker {
   static constexpr std::string_view kTypeName = "forget-worker";
   WorkerId worker;
-  // The life is known to be over, so that an announcement of it that comes late
-  // changes nothing. A worker that was only silent for long may come back.
+  // True if this incarnation of the worker is known to be over, so that a late
+  // announcement of it is ignored. A worker that was only silent for long may
+  // come back.
   bool is_over = false;
-  // Where its life is not over: its last announcement that was known. A later
-  // one shows that it came back, and it stays.
+  // If `is_over` is false: the sequence number of the worker's last
+  // announcement when the command was proposed. If a later one was recorded
+  // since, the worker has come back and its record stays.
   std::uint64_t sequence = 0;
-  // Where it crashed: the runs that this may be put down to. Each is counted
-  // once, however often it is recorded.
+  // If the worker crashed: the runs that may have caused the crash. Each is
+  // counted once, however often it is recorded.
   std::vector<CrashedRun> crashed_runs;
 
   template <typename Self, typename Visitor>
@@ -85,7 +89,7 @@
   JobId job;
   QueueName queue;
   JobSpec spec;
-  // For how long its caller had been refused before.
+  // How long the caller's submissions had been refused before this one.
   Milliseconds waited{0};
 
   template <typename Self, typename Visitor>
@@ -107,7 +111,7 @@
   }
 };
 
-// How a run ended, as far as it must be remembered.
+// The outcomes of runs that the replicated state records.
 enum class RunOutcome { kDone, kFailed };
 
 struct RunEnd {
@@ -123,8 +127,8 @@
   }
 };
 
-// Runs that ended done or failed; only then are their workers told that the
-// ends are known.
+// Records runs that ended as done or failed. The ends are acknowledged to the
+// workers only after this command is committed.
 struct RecordEnds {
   static constexpr std::string_view kTypeName = "record-ends";
   std::vector<RunEnd> ends;
@@ -135,8 +139,8 @@
   }
 };
 
-// Jobs of which a task has begun. What callers were shown must not depend on
-// the memory of one leader.
+// Records jobs of which a task has begun. The state that callers were shown
+// must not depend on the memory of a single leader.
 struct RecordBegun {
   static constexpr std::string_view kTypeName = "record-begun";
   std::vector<JobId> jobs;
@@ -147,14 +151,15 @@
   }
 };
 
-// Operators ask for the maintenance of some instances.
+// Starts the maintenance of some instances, as operators requested it.
 struct StartWave {
   static constexpr std::string_view kTypeName = "start-wave";
   WaveId wave;
   std::vector<InstanceName> instances;
-  // The time in which the wave should be over.
+  // The time within which the wave should be complete.
   Milliseconds ramp{0};
-  // Instances of the wave that may be down for it at once.
+  // The maximum number of instances of the wave that may be down for it at
+  // once.
   std::uint32_t most_at_once = 1;
 
   template <typename Self, typename Visitor>
@@ -166,14 +171,14 @@
   }
 };
 
-// How far the maintenance of one instance of a wave is.
+// The state of the maintenance of one instance of a wave.
 enum class MaintenanceState {
   kWaiting,
-  // The order may have gone out.
+  // The order may have been sent to the platform.
   kOrdered,
-  // The order was taken.
+  // The platform has accepted the order.
   kBegun,
-  // The instance is back or gone for good.
+  // The instance is back up or no longer exists.
   kOver,
 };
 
@@ -182,7 +187,8 @@
   WaveId wave;
   InstanceName instance;
   MaintenanceState state = MaintenanceState::kWaiting;
-  // With kOrdered: the worker that runs there and ends with the maintenance.
+  // With kOrdered: the worker that runs on the instance and ends with the
+  // maintenance.
   WorkerId worker;
 
   template <typename Self, typename Visitor>
@@ -194,12 +200,12 @@
   }
 };
 
-// The leader is about to order moves of these instances. A later leader keeps
-// away from them for a while.
+// Records that the leader is about to order moves of these instances. A later
+// leader gives no orders about them for a while.
 struct RecordMoves {
   static constexpr std::string_view kTypeName = "record-moves";
   std::vector<InstanceName> instances;
-  // The workers that run there and end with the moves.
+  // The workers that run on the instances and end with the moves.
   std::map<InstanceName, WorkerId> workers;
 
   template <typename Self, typename Visitor>
@@ -221,8 +227,8 @@
                              RecordMaintenance,
                              RecordMoves>;
 
-// A command with the wall-clock time at which the leader proposed it; the only
-// time that the state knows.
+// A command with the wall-clock time at which the leader proposed it. The state
+// uses no other clock.
 struct StampedCommand {
   WallTime at{};
   Command command;
--- a/libraries/jobs/declaration.cc
+++ b/libraries/jobs/declaration.cc
@@ -24,7 +24,7 @@
     this->by_name[this->all_queues[place].name] = place;
     this->by_host[this->all_queues[place].host].push_back(place);
   }
-  // The longest prefix comes first.
+  // Sorts the queues of each host by the length of their prefix, longest first.
   for (auto& [host, places] : this->by_host) {
     std::stable_sort(places.begin(), places.end(),
                      [this](std::size_t left, std::size_t right) {
--- a/libraries/jobs/declaration.h
+++ b/libraries/jobs/declaration.h
@@ -15,42 +15,46 @@
 
 namespace sumac::jobs {
 
-// How long a queue's placement policy needs for a question, for each worker in
-// it, and how long its answers hold.
+// The time that a queue's placement policy needs for one decision, the
+// additional time for each worker that the decision covers, and how long a
+// decision stays valid.
 struct PlacementPolicy {
   Milliseconds decision_time{0};
   Milliseconds worker_time{0};
   Milliseconds validity{0};
 };
 
-// A queue that takes jobs for one service. Jobs are addressed by host and path.
+// A queue that accepts jobs for one service. Jobs are addressed by host and
+// path.
 struct QueueDeclaration {
   QueueName name;
   std::string host;
   std::string path_prefix;
   ServiceName service;
-  // 0 goes first.
+  // The queue's priority; 0 is the highest.
   std::uint32_t priority = 0;
-  // Runs of one task that may end as failed before its job fails.
+  // The number of failed runs of one task at which its job fails.
   std::uint32_t most_attempts = 1;
-  // A job is in time within `stretch` times its longest chain of work plus
-  // `latency_target`.
+  // A job is on time if it takes no longer than `stretch` times its longest
+  // chain of dependent steps plus `latency_target`.
   double stretch = 1;
   Milliseconds latency_target{0};
-  // Set if a policy says which workers may run a step.
+  // Set if a policy decides which workers may run a step.
   std::optional<PlacementPolicy> placement_policy;
 };
 
-// A service: the pool of instances whose workers run its queues' tasks.
+// A service: the pool of instances whose workers run the tasks of its queues.
 struct ServiceDeclaration {
   ServiceName name;
-  // Its workers reject what does not fit; otherwise we must keep their room.
+  // True if its workers reject tasks that exceed their capacity. Otherwise the
+  // scheduler must keep within the capacity itself.
   bool enforces_capacity = true;
-  // The pool's instances are off and free until they are moved elsewhere.
+  // True if the pool's instances are switched off and cost nothing until they
+  // are moved to another pool.
   bool is_headroom = false;
 };
 
-// All queues and services in force, as one version of the operators' document.
+// All queues and services that one version of the operators' document declares.
 class JobsDeclaration {
  public:
   JobsDeclaration() = default;
@@ -66,11 +70,12 @@
     return this->all_services;
   }
 
-  // kInvalidDeclaration for a queue of an unknown service, two queues in one
-  // place, or a name that stands twice.
+  // Returns kInvalidDeclaration if a queue names an unknown service, two queues
+  // have the same host and prefix, or a name is declared twice.
   absl::Status Check() const;
 
-  // The queue with the longest prefix of `path` on `host`, or nothing.
+  // Returns the queue on `host` with the longest prefix of `path`, or null if
+  // there is none.
   const QueueDeclaration* FindByAddress(std::string_view host,
                                         std::string_view path) const;
   const QueueDeclaration* FindQueue(const QueueName& name) const;
--- a/libraries/jobs/job.h
+++ b/libraries/jobs/job.h
@@ -19,13 +19,13 @@
 
 enum class JobState { kActive, kDone, kFailed, kCancelled };
 
-// What is known for good about one task.
+// The durable progress of one task.
 struct TaskProgress {
   bool is_done = false;
-  // Runs that ended as failed.
+  // The number of runs that ended as failed.
   std::uint32_t failures = 0;
-  // The highest run whose end was counted; an end that comes again is not
-  // counted twice.
+  // The highest run number whose end was counted, so that an end that is
+  // reported again is not counted twice.
   RunNumber last_ended_run;
 
   template <typename Self, typename Visitor>
@@ -36,7 +36,7 @@
   }
 };
 
-// The tasks of one step in one occurrence.
+// The progress of one step in one occurrence.
 struct StepProgress {
   std::vector<TaskProgress> tasks;
   std::uint32_t done_count = 0;
@@ -50,7 +50,7 @@
   }
 };
 
-// The steps of one occurrence, by number.
+// The progress of one occurrence: its steps, by step number.
 struct OccurrenceProgress {
   std::vector<StepProgress> steps;
 
@@ -73,30 +73,33 @@
 struct Job {
   JobId id;
   QueueName queue;
-  // The service that the queue belonged to when it was last declared.
+  // The service that the queue belongs to by its last declaration.
   ServiceName service;
-  // Services that it belonged to before; runs may be left on their workers.
+  // Services that the queue belonged to before; runs of the job may remain on
+  // their workers.
   std::vector<ServiceName> former_services;
-  // Runs of one task that may fail, as last declared.
+  // The number of failed runs of one task at which the job fails, by the
+  // queue's last declaration.
   std::uint32_t most_attempts = 1;
   JobSpec spec;
-  // Jobs are numbered in the order in which they were accepted.
+  // The job's number in the order in which jobs were accepted.
   std::uint64_t sequence = 0;
   WallTime accepted_at{};
-  // For how long its caller had been refused before that.
+  // How long the caller's submissions had been refused before `accepted_at`.
   Milliseconds waited{0};
   JobState state = JobState::kActive;
-  // A task of it has begun.
+  // True once one of the job's tasks has begun.
   bool has_begun = false;
   WallTime finished_at{};
-  // Why it failed, for people.
+  // Why the job failed, as text for people.
   std::string reason;
-  // Progress by occurrence; one without an entry has not begun. Empty once the
-  // job has finished.
+  // Progress by occurrence. An occurrence without an entry has no ended runs.
+  // Empty once the job has finished.
   std::map<std::uint32_t, OccurrenceProgress> occurrences;
-  // Tasks that were done when it finished.
+  // The number of tasks that were done when the job finished.
   std::uint64_t finished_tasks = 0;
-  // The tasks under which workers crashed; most jobs have none.
+  // The tasks that were running on workers when these crashed; empty for most
+  // jobs.
   std::vector<TaskCrashes> crashes;
 
   bool is_active() const { return this->state == JobState::kActive; }
@@ -105,31 +108,33 @@
     return this->spec.has_long_running_step();
   }
 
-  // When an occurrence may start; the time in which it is to be done runs from
-  // then.
+  // Returns the time at which an occurrence may start. Its latency is measured
+  // from then.
   WallTime DueAt(std::uint32_t occurrence) const {
     return this->spec.repeats == 0
                ? this->accepted_at - this->waited
                : this->spec.first_due + this->spec.interval * occurrence;
   }
 
-  // A task's progress; the initial one if nothing ended yet.
+  // Returns a task's progress, or the initial progress if no run of its
+  // occurrence has ended.
   TaskProgress ProgressOf(const TaskId& task) const;
-  // How many of its tasks are done.
+  // Returns how many of the job's tasks are done.
   std::uint64_t CountAllDone() const;
-  // Drops what only an active job needs: the text for its runs and the progress
-  // of each task, some nine tenths of its size. Finished jobs are kept for
-  // minutes, and would make up most of each snapshot.
+  // Removes the data that only an active job needs: the text for its runs and
+  // the progress of each task, about nine tenths of its size. Finished jobs are
+  // kept for minutes, and would otherwise make up most of each snapshot.
   void DropWorkingState();
-  // How many tasks of a step are done.
+  // Returns how many tasks of a step are done.
   std::uint32_t CountDone(std::uint32_t occurrence, std::uint32_t step) const;
   // True if all tasks of a step are done.
   bool IsStepDone(std::uint32_t occurrence, std::uint32_t step) const;
   // True if the steps that `step` waits for are done.
   bool IsStepReady(std::uint32_t occurrence, std::uint32_t step) const;
-  // The crashes under a task; nothing for none.
+  // Returns the crashes that are recorded for a task, or null if there are
+  // none.
   const TaskCrashes* FindCrashes(const TaskId& task) const;
-  // True if the job has a task of this name.
+  // True if the task exists in this job.
   bool HasTask(const TaskId& task) const;
 
   template <typename Self, typename Visitor>
--- a/libraries/jobs/job_spec.cc
+++ b/libraries/jobs/job_spec.cc
@@ -8,7 +8,7 @@
 namespace sumac::jobs {
 namespace {
 
-// Bounds that keep one job from filling the controllers' memory.
+// Limits that keep a single job from exhausting the controllers' memory.
 constexpr std::size_t kMostSteps = 1'000;
 constexpr std::uint64_t kMostTasks = 100'000;
 constexpr std::uint32_t kMostRepeats = 100'000;
--- a/libraries/jobs/job_spec.h
+++ b/libraries/jobs/job_spec.h
@@ -17,36 +17,40 @@
 // One step of a job: `count` equal tasks.
 struct StepSpec {
   std::uint32_t count = 1;
-  // What each task needs of its worker.
+  // The resources that each task needs on its worker.
   Resources need;
-  // The submitter's guess of a task's run time; may be far off.
+  // The submitter's estimate of a task's run time; may be far off.
   Milliseconds estimate{0};
   // Earlier steps, counted from 0, that must be done first.
   std::vector<std::uint32_t> after;
-  // Tasks save their progress and can go on from it elsewhere.
+  // True if tasks save their progress and can resume from it on another worker.
   bool is_checkpointing = false;
-  // All tasks run together or not at all.
+  // True if all tasks run at the same time or not at all.
   bool is_gang = false;
-  // Tasks spread over several racks run slower.
+  // True if the tasks run slower when they are spread over several racks.
   bool wants_same_rack = false;
-  // A label that the worker must have; empty for any.
+  // A label that the worker must have; empty if any worker will do.
   std::string required_label;
   // The rack that holds the step's data; empty if that does not matter.
   Rack data_rack;
-  // Tasks of the step that one worker may hold at most; 0 for no limit.
+  // The maximum number of the step's tasks on one worker; 0 for no limit.
   std::uint32_t most_per_worker = 0;
-  // Copies of a task may run side by side; the first to end counts.
+  // True if copies of a task may run side by side; the first to end counts.
   bool is_speculative = false;
-  // Tasks run until the job is cancelled and are started again when they end.
+  // True if tasks run until the job is cancelled and are restarted when they
+  // end.
   bool is_long_running = false;
-  // Tasks of one image behave alike.
+  // The image that the tasks run. Tasks with the same image are expected to
+  // behave alike.
   std::string image;
-  // Tasks serve users of their own and should answer within this; 0 if they
-  // serve nobody.
+  // The time within which tasks should answer the users that they serve; 0 if
+  // they serve none.
   Milliseconds latency_target{0};
-  // Tasks use only processor time that others leave; theirs is not counted.
+  // True if tasks use only processor time that other tasks leave over, so that
+  // their own use is not counted.
   bool is_filler = false;
-  // How many tasks of the step the system may have taken away at once.
+  // If `has_disruption_budget`: the maximum number of the step's tasks that the
+  // system may have evicted at once.
   bool has_disruption_budget = false;
   std::uint32_t disruption_budget = 0;
 
@@ -72,18 +76,18 @@
   }
 };
 
-// What a caller submits.
+// The specification of a job, as a caller submits it.
 struct JobSpec {
-  // Passed on to the workers unread.
+  // A text that is passed to the workers without being interpreted.
   std::string text;
   std::vector<StepSpec> steps;
-  // How often the steps are run; time K, counted from 0, is due at first_due +
-  // K * interval. 0 means once and at once.
+  // How many times the steps are run; occurrence K, counted from 0, is due at
+  // first_due + K * interval. 0 means once and immediately.
   std::uint32_t repeats = 0;
   WallTime first_due{};
   Milliseconds interval{0};
 
-  // How many times the steps are run.
+  // Returns how many times the steps are run.
   std::uint32_t occurrences() const {
     return this->repeats == 0 ? 1 : this->repeats;
   }
@@ -104,8 +108,9 @@
   }
 };
 
-// Checks what no worker is needed to know: kBadArgument for a job without
-// steps, a step without tasks, a step that waits for itself or a later one, or
+// Checks a specification as far as this is possible without knowing the
+// workers. Returns kBadArgument for a job without steps, a step without tasks,
+// a step that waits for itself or a later one, a negative resource need, or
 // sizes out of bounds.
 absl::Status CheckJobSpec(const JobSpec& spec);
 
--- a/libraries/jobs/jobs_state.cc
+++ b/libraries/jobs/jobs_state.cc
@@ -12,20 +12,21 @@
 namespace sumac::jobs {
 namespace {
 
-// A finished job can be asked about for this long. The longest time that users
-// ask for is 120 s; the rest is room for clocks that differ.
+// The time for which a finished job is kept for queries. Users require 120 s at
+// most; the rest is a margin for clock differences.
 constexpr Milliseconds kKeepFinished{180'000};
 
-// Moves matter to a later leader for some seconds only.
+// The time for which moves are kept. They matter to a later leader for only a
+// few seconds.
 constexpr Milliseconds kKeepMoves{30'000};
 
-// Old moves and ended workers are looked for this often: a look passes over all
-// of them, which at each command took a tenth of a leader's processor time with
-// 350 workers (sampled profile). Small beside the times for which they are
-// kept.
+// The interval between sweeps for old moves and ended workers. A sweep scans
+// all of them; at each command this took a tenth of a leader's processor time
+// with 350 workers. The interval is small compared with the retention times.
 constexpr Milliseconds kSweepInterval{1'000};
 
-// Progress with nothing done for one occurrence of `spec`.
+// Returns the initial progress of one occurrence of `spec`, in which no task is
+// done.
 OccurrenceProgress NewProgress(const JobSpec& spec) {
   OccurrenceProgress progress;
   for (const StepSpec& step : spec.steps) {
@@ -67,7 +68,8 @@
   ++this->finishes;
   for (auto& [id, worker] : this->own_record.workers) {
     if (worker.name.value().empty()) {
-      // An earlier version took a worker's name for its life.
+      // An earlier version stored no name and used the worker's name as the id
+      // of its incarnation.
       worker.name = WorkerName(id.value());
     }
     this->present_lives[worker.name] = id;
@@ -105,9 +107,10 @@
                                             : this->FindWorker(found->second);
 }
 
-// The life that a command is about, which may name just the worker. What a
-// worker says as it leaves may come after it has started again: only a life
-// that had said that it would leave is ended by it.
+// Returns the incarnation that a command refers to, or null. The command may
+// hold the worker's name instead of an incarnation's id. The last report of a
+// leaving worker may arrive after the worker has started again, so by name it
+// ends only an incarnation that is draining.
 const Worker* JobsState::LifeToForget(const ForgetWorker& command) const {
   if (const Worker* worker = this->FindWorker(command.worker)) {
     return worker;
@@ -169,8 +172,8 @@
   return fleet::Answer::Success("in force");
 }
 
-// Jobs go where their queue is declared now; those of a queue that was dropped
-// stay where they were.
+// Assigns a job to the service that its queue now belongs to. Jobs of a queue
+// that is no longer declared keep their service.
 void JobsState::FollowDeclaration(Job& job) const {
   const QueueDeclaration* queue = this->declared.FindQueue(job.queue);
   if (queue == nullptr) {
@@ -214,7 +217,7 @@
   if (announced.sequence < worker.sequence) {
     return fleet::Answer::Success("an older announcement changes nothing");
   }
-  // A worker that said it leaves never takes that back.
+  // A worker that has begun to drain never stops draining.
   const bool was_draining = worker.is_draining;
   worker = std::move(announced);
   worker.is_draining = worker.is_draining || was_draining;
@@ -381,8 +384,8 @@
   }
 }
 
-// A gang's members share their runs: one end as done counts for all, and a run
-// fails once however many members report it.
+// The members of a gang share their runs: one member that is done counts for
+// all, and a failed run counts once, however many members report it.
 void JobsState::TakeGangEnd(Job& job,
                             const RunEnd& end,
                             StepProgress& step,
@@ -450,7 +453,7 @@
     this->own_record.jobs.erase(this->finished.begin()->second);
     this->finished.erase(this->finished.begin());
   }
-  // A clock that was set back must not put the sweeps off.
+  // A clock that was set back must not delay the sweeps.
   const bool is_sweep_due = now < this->own_record.swept_at ||
                             now - this->own_record.swept_at >= kSweepInterval;
   if (is_sweep_due) {
@@ -458,8 +461,9 @@
   }
 }
 
-// NOTE: The time of the last sweep is part of the record: replicas must drop
-// the same records with the same command, also one that began from a snapshot.
+// NOTE: The time of the last sweep is part of the replicated record, because
+// all replicas must remove the same records with the same command, including a
+// replica that started from a snapshot.
 void JobsState::SweepInstanceRecords(WallTime now) {
   this->own_record.swept_at = now;
   std::erase_if(this->own_record.moves, [now](const auto& move) {
@@ -493,8 +497,8 @@
                          .message = "no such wave or instance"};
   }
   InstanceMaintenance& maintenance = wave->second.instances[command.instance];
-  // An answer that comes late never takes a step back, except that an order
-  // that certainly was not carried out may be given again.
+  // A late answer never reverts a step. The exception is an order that
+  // certainly was not carried out: it may be given again.
   const bool is_withdrawn = maintenance.state == MaintenanceState::kOrdered &&
                             command.state == MaintenanceState::kWaiting;
   if (command.state <= maintenance.state && !is_withdrawn) {
--- a/libraries/jobs/jobs_state.h
+++ b/libraries/jobs/jobs_state.h
@@ -24,17 +24,17 @@
 
 namespace sumac::jobs {
 
-// Reads the operators' document; kInvalidDeclaration for one that must not come
-// into force.
+// Parses the operators' document. Returns kInvalidDeclaration if it must not
+// come into force.
 using DeclarationDecoder =
     std::function<absl::StatusOr<JobsDeclaration>(std::string_view document)>;
 
-// When an order about an instance, to move or to maintain it, was last about to
-// go out, and by which leadership.
+// The last time at which a leader was about to send an order to move or
+// maintain an instance, and the epoch of that leader.
 struct MoveRecord {
   LeaderEpoch epoch;
   WallTime at{};
-  // The worker that ends with the order; empty if none is known.
+  // The worker that ends when the order is carried out; empty if none is known.
   WorkerId worker;
 
   template <typename Self, typename Visitor>
@@ -45,7 +45,7 @@
   }
 };
 
-// All that is replicated about jobs, as a snapshot holds it.
+// The replicated data about jobs, as a snapshot stores it.
 struct JobsRecord {
   LeaderEpoch epoch;
   std::uint64_t declaration_version = 0;
@@ -53,13 +53,13 @@
   std::uint64_t next_sequence = 1;
   std::map<JobId, Job> jobs;
   std::map<WorkerId, Worker> workers;
-  // Lives that are over, by the time of their end; kept while a late
-  // announcement may still come.
+  // Incarnations of workers that are over, with the time of their end; kept as
+  // long as a late announcement of them may arrive.
   std::map<WorkerId, WallTime> ended_workers;
   std::map<WaveId, Wave> waves;
-  // Recent moves; older ones are dropped.
+  // Recent moves; older ones are removed.
   std::map<InstanceName, MoveRecord> moves;
-  // When old moves and ended workers were last looked for.
+  // The time of the last sweep for old moves and ended workers.
   WallTime swept_at{};
 
   template <typename Self, typename Visitor>
@@ -77,10 +77,10 @@
   }
 };
 
-// The replicated state of jobs: which were accepted, what of them has ended,
-// which workers there are, what is declared. Where tasks run now is not part of
-// it; a leader learns that from the workers. Pure and deterministic: the same
-// commands give the same state everywhere.
+// The replicated state of jobs: the accepted jobs and their ended runs, the
+// workers, and the declaration in force. It does not hold which worker runs
+// which task; a leader learns that from the workers. Pure and deterministic:
+// the same commands give the same state on every replica.
 class JobsState {
  public:
   explicit JobsState(DeclarationDecoder decoder);
@@ -88,13 +88,14 @@
   // Applies one committed command.
   fleet::Answer Apply(const StampedCommand& command);
 
-  // The answer to a declaration that changes nothing, since one of its version
-  // or a higher one is in force; nothing for one that has to be committed.
+  // Returns the answer to a declaration that changes nothing because its
+  // version or a higher one is in force. Returns nothing for a declaration that
+  // has to be committed.
   std::optional<fleet::Answer> AnswerIfOld(const Declare& command) const;
 
-  // Replaces the whole state with a snapshot's bytes.
+  // Replaces the whole state with that of an encoded snapshot.
   absl::Status Load(const std::string& bytes);
-  // The whole state as a snapshot holds it.
+  // Returns the whole state as a snapshot stores it.
   const JobsRecord& record() const { return this->own_record; }
 
   LeaderEpoch epoch() const { return this->own_record.epoch; }
@@ -103,21 +104,23 @@
     return this->own_record.workers;
   }
   const std::map<WaveId, Wave>& waves() const { return this->own_record.waves; }
-  // Grows whenever a job is finished for good.
+  // Returns a count that grows whenever a job finishes or a snapshot is loaded.
   std::uint64_t finish_count() const { return this->finishes; }
   const Job* FindJob(const JobId& id) const;
-  // What was asked of a task's step; nothing if there is no such task.
+  // Returns the specification of a task's step, or null if there is no such
+  // task.
   const StepSpec* FindStep(const TaskId& task) const;
   const Worker* FindWorker(const WorkerId& id) const;
-  // The present life of this name; nothing if none is known.
+  // Returns the current incarnation of the worker with this name, or null if
+  // none is known.
   const Worker* FindPresentLife(const WorkerName& name) const;
-  // The workers that a command records, ends or replaces; to be asked before it
-  // is applied.
+  // Returns the workers that a command would record, end or replace. Must be
+  // called before the command is applied.
   std::set<WorkerId> WorkersTouchedBy(const Command& command) const;
-  // True if this crash needs no record any more: it is on record, or its job
-  // has finished.
+  // True if this crash needs no record any more: it is recorded already, or its
+  // task is done, or its job has finished.
   bool IsCrashSettled(const CrashedRun& run) const;
-  // The jobs that are active, in the order in which they were accepted.
+  // Returns the active jobs, in the order in which they were accepted.
   const std::map<std::uint64_t, const Job*>& active_jobs() const {
     return this->active;
   }
@@ -155,11 +158,11 @@
   JobsDeclaration declared;
   std::uint64_t finishes = 1;
   std::map<std::uint64_t, const Job*> active;
-  // The present life of each worker, by its name.
+  // The current incarnation of each worker, by the worker's name.
   std::unordered_map<WorkerName, WorkerId> present_lives;
-  // Every job; a lookup by name is frequent.
+  // Every job by its id; lookups by id are frequent.
   std::unordered_map<JobId, const Job*> by_id;
-  // Finished jobs by the time of their end, to be dropped in that order.
+  // Finished jobs by the time of their end; they are removed in that order.
   std::set<std::pair<WallTime, JobId>> finished;
 };
 
--- a/libraries/jobs/requests.h
+++ b/libraries/jobs/requests.h
@@ -12,11 +12,13 @@
 
 namespace sumac::jobs {
 
-// What any process may ask of the controller that leads. Callers address queues
-// and jobs by host and path; only the leader, which knows what is declared now,
-// resolves them. All of them may be sent again after a lost answer.
+// The requests that any process may send to the leading controller. Callers
+// address queues and jobs by host and path. Only the leader resolves these
+// addresses, because it has the current declaration. Every request may be sent
+// again after its answer was lost.
 
-// Submits the job whose id is what the path holds after its queue's prefix.
+// Submits a job. Its id is the part of the path that follows the queue's
+// prefix.
 struct SubmitAt {
   static constexpr std::string_view kTypeName = "submit-at";
   std::string host;
@@ -31,8 +33,8 @@
   }
 };
 
-// Asks for the state of the job at the path, or, when the path is a queue's
-// prefix, for the number of its jobs that have not begun.
+// Asks for the state of the job at the path or, if the path is a queue's
+// prefix, for the number of the queue's jobs that have not begun.
 struct ShowAt {
   static constexpr std::string_view kTypeName = "show-at";
   std::string host;
@@ -58,7 +60,7 @@
   }
 };
 
-// Commits a command.
+// Asks the leader to commit a command.
 struct Commit {
   static constexpr std::string_view kTypeName = "commit";
   Command command;
@@ -77,7 +79,7 @@
   static void Describe(Self& /*self*/, Visitor& /*visitor*/) {}
 };
 
-// Asks whether a maintenance wave is done.
+// Asks whether a maintenance wave is complete.
 struct ShowWave {
   static constexpr std::string_view kTypeName = "show-wave";
   WaveId wave;
@@ -88,8 +90,8 @@
   }
 };
 
-// An operator's question about all jobs, workers, waves, queues, pools or
-// controllers, or about one that it names.
+// Asks for an operator's view of all jobs, workers, waves, queues, pools or
+// controllers, or of the one named.
 struct Show {
   static constexpr std::string_view kTypeName = "show";
   std::string kind;
--- a/libraries/jobs/resources.h
+++ b/libraries/jobs/resources.h
@@ -6,16 +6,16 @@
 
 namespace sumac::jobs {
 
-// An amount of what instances have and tasks need.
+// An amount of resources that an instance has or a task needs.
 struct Resources {
-  // Thousandths of a core.
+  // Processor time, in thousandths of a core.
   std::int64_t millicores = 0;
   std::int64_t memory_mb = 0;
   std::int64_t accelerators = 0;
 
   bool operator==(const Resources&) const = default;
 
-  // True if `need` fits into this.
+  // True if `need` fits into this amount.
   bool Holds(const Resources& need) const {
     return need.millicores <= this->millicores &&
            need.memory_mb <= this->memory_mb &&
--- a/libraries/jobs/service_demand.h
+++ b/libraries/jobs/service_demand.h
@@ -8,26 +8,29 @@
 
 namespace sumac::jobs {
 
-// What the tasks that require one label need, in thousandths of cores.
+// The demand of the tasks that require one label, in thousandths of cores.
 struct LabelDemand {
   std::int64_t millicores = 0;
-  // Of tasks whose jobs are so late that they earn nothing any more.
+  // The demand of tasks whose jobs are so late that completing them has no
+  // value any more.
   std::int64_t late_millicores = 0;
 };
 
-// What the tasks of one service need now, in thousandths of cores.
+// The current demand of the tasks of one service, in thousandths of cores.
 struct ServiceDemand {
-  // Of short tasks that run or could run, or what the jobs that arrive now will
-  // keep busy, if that is more.
+  // The demand of short tasks that run or could run, or the load of the jobs
+  // that arrive at present, whichever is larger.
   std::int64_t short_millicores = 0;
-  // Of short tasks whose jobs are so late that they earn nothing any more.
+  // The demand of short tasks whose jobs are so late that completing them has
+  // no value any more.
   std::int64_t late_millicores = 0;
-  // Of long-running tasks.
+  // The demand of long-running tasks.
   std::int64_t lasting_millicores = 0;
-  // The part of the above that only workers with a label can take, by label;
-  // what still arrives is not in it.
+  // The part of the demand above that only workers with a label can serve, by
+  // label. It excludes the load of jobs that have yet to arrive.
   std::map<std::string, LabelDemand> by_label;
-  // Instances over which the tasks of one step must be spread at least.
+  // The minimum number of instances over which the tasks of one step must be
+  // spread.
   std::int64_t fewest_instances = 0;
 };
 
--- a/libraries/jobs/task_crashes.h
+++ b/libraries/jobs/task_crashes.h
@@ -13,17 +13,19 @@
 
 namespace sumac::jobs {
 
-// A run that its worker's crash took with it, as a leader saw it.
+// A run that ended with the crash of its worker, as the leader observed it.
 struct CrashedRun {
   TaskId task;
   RunNumber run;
-  // The worker had said that it began. Otherwise the start got no answer, and
-  // may not have arrived.
+  // True if the worker had reported that the run began. Otherwise the start was
+  // not answered, and may not have reached the worker.
   bool has_begun = false;
-  // It alone of those that had just begun there has earlier crashes on record,
-  // or none has any and no other had just begun.
+  // True if, of the runs that had just begun on the worker, only this one has
+  // earlier crashes recorded, or if none has any and no other run had just
+  // begun.
   bool is_only_suspect = false;
-  // For how long the worker had been heard of since the run was ordered.
+  // The time from the start order of the run to the last message from the
+  // worker.
   Milliseconds survived{0};
 
   template <typename Self, typename Visitor>
@@ -36,7 +38,7 @@
   }
 };
 
-// A crash as it is kept with the task.
+// A crash as it is recorded for the task.
 struct TaskCrash {
   WorkerId worker;
   CrashedRun run;
@@ -50,33 +52,38 @@
   }
 };
 
-// The workers that crashed under one task, in the order of their records.
+// The crashes of workers that were running one task, in the order in which they
+// were recorded.
 struct TaskCrashes {
-  // A task under which so many workers crashed is not started again, if two of
-  // them at least were certainly at work on it.
+  // The number of crashes after which a task is not started again, if at least
+  // two of the workers were certainly running it.
   static constexpr std::size_t kMost = 3;
-  // The same whatever is certain: a start without an answer may never have
-  // arrived, and a run may have ended unseen, but not each time.
+  // The same number, however many workers were certainly running the task. A
+  // start without an answer may never have arrived, and a run may have ended
+  // without a report, but not every time.
   static constexpr std::size_t kMostOfAll = 4;
-  // The same where the last of them accuses this task alone, and each was
-  // certainly at work on it.
+  // The same number if this task is the only suspect of the last crash and
+  // every worker was certainly running it.
   static constexpr std::size_t kMostOfOnlySuspect = 2;
-  // A task whose worker was still heard of so long after its start is no
-  // suspect after one crash: what crashes a worker does so as it starts.
+  // A task whose worker still sent messages this long after the start is not a
+  // suspect after one crash: a task that crashes its worker does so as it
+  // starts.
   static constexpr Milliseconds kSuspectTime{250};
 
   TaskId task;
   std::vector<TaskCrash> crashes;
 
-  // True if the crash of this run is on record.
+  // True if the crash of this run is recorded.
   bool Has(const RunNumber& run) const;
-  // How many of the workers were certainly at work on the task.
+  // Returns how many of the workers were certainly running the task when they
+  // crashed.
   std::size_t CountCertain() const;
   // True if the task must not be started again.
   bool IsOverLimit() const;
-  // True if the task may be what crashes its workers.
+  // True if the task may be the cause of the crashes.
   bool IsSuspect() const;
-  // "worker W1 at T1, worker W2 at T2", for people; times as Unix milliseconds.
+  // Returns a text for people, "worker W1 at T1, worker W2 at T2"; times are
+  // Unix milliseconds.
   std::string ToText() const;
 
   template <typename Self, typename Visitor>
--- a/libraries/jobs/task_id.cc
+++ b/libraries/jobs/task_id.cc
@@ -6,7 +6,7 @@
 namespace sumac::jobs {
 namespace {
 
-// Takes the number after the last dot off the end of `text`.
+// Parses the number after the last dot of `text` and removes both from `text`.
 bool TakeLastNumber(std::string_view& text, std::uint32_t& number) {
   const std::size_t dot = text.rfind('.');
   if (dot == std::string_view::npos ||
--- a/libraries/jobs/task_id.h
+++ b/libraries/jobs/task_id.h
@@ -15,13 +15,13 @@
 // One step of one occurrence of a job.
 struct StepId {
   JobId job;
-  // Which time the steps are run, counted from 0.
+  // The number of the job's occurrence, counted from 0.
   std::uint32_t occurrence = 0;
   std::uint32_t step = 0;
 
   auto operator<=>(const StepId&) const = default;
 
-  // JOB.OCCURRENCE.STEP
+  // Returns the step as JOB.OCCURRENCE.STEP.
   std::string ToText() const;
 
   template <typename Self, typename Visitor>
@@ -32,7 +32,8 @@
   }
 };
 
-// One task: the unit that runs on a worker. Written JOB.OCCURRENCE.STEP.INDEX.
+// One task: the unit that runs on a worker. Its text is
+// JOB.OCCURRENCE.STEP.INDEX.
 struct TaskId {
   StepId step;
   std::uint32_t index = 0;
@@ -40,7 +41,7 @@
   auto operator<=>(const TaskId&) const = default;
 
   std::string ToText() const;
-  // Nothing if `text` is not the name of a task.
+  // Returns nothing if `text` does not identify a task.
   static std::optional<TaskId> Parse(std::string_view text);
 
   template <typename Self, typename Visitor>
--- a/libraries/jobs/wave.h
+++ b/libraries/jobs/wave.h
@@ -11,10 +11,10 @@
 
 namespace sumac::jobs {
 
-// How far one instance of a wave is.
+// The state of one instance of a maintenance wave.
 struct InstanceMaintenance {
   MaintenanceState state = MaintenanceState::kWaiting;
-  // The worker that ended with the maintenance; empty if there was none.
+  // The worker that ends with the maintenance; empty if there is none.
   WorkerId worker;
 
   template <typename Self, typename Visitor>
@@ -24,7 +24,8 @@
   }
 };
 
-// A maintenance wave over some instances.
+// A maintenance wave: a set of instances that are maintained within a given
+// time.
 struct Wave {
   WaveId id;
   WallTime started_at{};
@@ -32,7 +33,7 @@
   std::uint32_t most_at_once = 1;
   std::map<InstanceName, InstanceMaintenance> instances;
 
-  // True once every instance has had its maintenance or is gone.
+  // True once every instance has been maintained or no longer exists.
   bool is_done() const {
     for (const auto& [name, instance] : this->instances) {
       if (instance.state != MaintenanceState::kOver) {
@@ -41,7 +42,7 @@
     }
     return true;
   }
-  // How many instances may be down for this wave now.
+  // Returns how many instances may be down for this wave now.
   std::uint32_t CountDown() const {
     std::uint32_t down = 0;
     for (const auto& [name, instance] : this->instances) {
--- a/libraries/jobs/worker.h
+++ b/libraries/jobs/worker.h
@@ -14,33 +14,35 @@
 
 namespace sumac::jobs {
 
-// One life of a worker's process, as it announced itself. Kept as long as
-// anything may run there.
+// One incarnation of a worker's process, as it announced itself. The record is
+// kept as long as anything may run on the worker.
 struct Worker {
   WorkerId id;
-  // Its lives share it.
+  // The worker's name, which all its incarnations share.
   WorkerName name;
-  // When this life began, by the worker's time of day; the epoch if it doesn't
-  // tell. Of two lives with one name the one that began later is the present
-  // one.
+  // The start time of this incarnation by the worker's wall clock; the Unix
+  // epoch if the worker reports none. Of two incarnations with the same name,
+  // the one that started later is the current one.
   WallTime born{};
-  // The instance that it runs on; the instance outlives it.
+  // The instance that the worker runs on; it outlives the worker.
   InstanceName instance;
   ServiceName service;
   DataCentre data_centre;
-  // Where it takes orders, as IP:PORT.
+  // The address at which the worker receives orders, as IP:PORT.
   std::string address;
   Resources capacity;
   Rack rack;
-  // Its kind, its rack and whatever else tasks may require.
+  // The worker's kind, its rack and other labels that tasks may require.
   std::vector<std::string> labels;
-  // It will leave: nothing is started there any more.
+  // True if the worker will leave; no task is started on it any more.
   bool is_draining = false;
-  // Grows with each announcement of this life, so that a late one is known.
+  // A number that grows with each announcement of this incarnation, so that a
+  // late announcement is recognised.
   std::uint64_t sequence = 0;
 
   bool tells_start() const { return this->born != WallTime{}; }
-  // True if this life shows that the other one, of the same name, is over.
+  // True if this incarnation shows that `other`, which has the same name, is
+  // over.
   bool IsLaterThan(const Worker& other) const {
     return this->born > other.born;
   }
