--- a/libraries/maintenance/capacity_planner.cc
+++ b/libraries/maintenance/capacity_planner.cc
@@ -35,8 +35,9 @@
   for (const auto& [name, instance] : listing.rows()) {
     this->labels[name] = instance.labels;
     const auto known = this->idle.find(name);
-    // NOTE: A list that was asked for before a move was taken shows the pool
-    // before it; until the next one the instance would count as nobody's.
+    // NOTE: A list that was requested before the platform accepted a move shows
+    // the instance in its previous pool. With that row the instance would count
+    // in no pool until the next list.
     const bool is_known_better = known != this->idle.end() &&
                                  (instance.state == InstanceState::kMoving ||
                                   instance.state == InstanceState::kUnknown ||
@@ -83,7 +84,8 @@
   return output;
 }
 
-// The leader before may have ordered a move of this instance a moment ago.
+// True unless the previous leader may have ordered a move of this instance a
+// moment ago.
 bool CapacityPlanner::MayMove(const jobs::JobsState& state,
                               const InstanceName& name,
                               WallTime wall_now,
@@ -93,19 +95,20 @@
          !this->MayBeUnderWay(record->second, wall_now, now);
 }
 
-// True if an order of an earlier leader may be under way.
+// True if an order of an earlier leader may still be under way.
 bool CapacityPlanner::MayBeUnderWay(const jobs::MoveRecord& record,
                                     WallTime wall_now,
                                     SteadyTime now) const {
-  // NOTE: Two leaders' clocks may differ by seconds, so what counts is twice
-  // the pause.
+  // NOTE: The clocks of two leaders may differ by seconds, so the limit is
+  // twice the pause.
   return now - this->began_at <= this->settings.holder_pause &&
          record.epoch != this->epoch &&
          wall_now - record.at <= 2 * this->settings.holder_pause;
 }
 
-// What this leader started on such an instance could end with an order of the
-// one before. The instance is free once another worker runs there.
+// Cordons the instances that the previous leader may just have ordered to move,
+// because its order would end the tasks that this leader starts on them. An
+// instance is available again once another worker runs on it.
 void CapacityPlanner::CordonEarlierMoves(
     const jobs::JobsState& state,
     const std::map<InstanceName, InstanceFacts>& facts,
@@ -140,7 +143,7 @@
     Pool& pool = pools[instance.service];
     pool.instance_millicores =
         std::max(pool.instance_millicores, instance.millicores);
-    // One that is about to be maintained is as good as away.
+    // An instance that is about to be maintained counts as unavailable.
     if (busy.contains(name)) {
       continue;
     }
@@ -182,8 +185,9 @@
   }
 }
 
-// The demand without what more instances would not help: tasks that require a
-// label beyond what all instances with that label could take.
+// Returns the demand without the part that more instances could not serve:
+// tasks that require a label, beyond the capacity of all instances with that
+// label.
 jobs::ServiceDemand CapacityPlanner::LeaveOutHopeless(
     const jobs::ServiceDemand& demand,
     const Pool& pool,
@@ -203,8 +207,8 @@
   return served;
 }
 
-// Instances with a label that a pool needs for the tasks that require it. Late
-// tasks must run, too, so there is one for them.
+// Returns how many instances with a label a pool needs for the tasks that
+// require it. This is at least one, because late tasks must run, too.
 std::int64_t CapacityPlanner::LabelledInstancesFor(
     const Pool& pool,
     const jobs::LabelDemand& labelled) const {
@@ -239,8 +243,8 @@
   }
 }
 
-// Gives pools instances that have the labels that their tasks require, those
-// that are off first.
+// Moves instances to pools whose tasks require their labels. Instances that are
+// switched off are moved first.
 void CapacityPlanner::GrowLabels(
     const jobs::JobsState& state,
     std::map<ServiceName, Pool>& pools,
@@ -258,7 +262,8 @@
   }
 }
 
-// Sends instances with a label from one pool to another that lacks it.
+// Moves instances with a label from one pool to another that has too few of
+// them.
 void CapacityPlanner::TakeLabelled(
     std::map<ServiceName, Pool>& pools,
     const ServiceName& from,
@@ -283,9 +288,11 @@
   });
 }
 
-// A pool that has none with the label takes one in any case where another
-// keeps one. Otherwise a pool gives up only what it has enough of, and an
-// instance that it uses only if the taker can give another one in exchange.
+// True if an instance with a label may move from pool `from` to pool `to`. A
+// pool that has none with the label gets one whenever the other pool keeps at
+// least one. Otherwise a pool gives up only instances whose labels it has
+// enough of, and gives up an instance that it needs only if the other pool can
+// give one in exchange or has none with the label.
 bool CapacityPlanner::MayTakeLabelled(const Pool& giver,
                                       const Pool& taker,
                                       const ServiceName& from,
@@ -305,8 +312,8 @@
   return can_do_without && needs.CanSpare(from, name);
 }
 
-// Instances that a pool needs for its long-running tasks and so much short
-// work.
+// Returns how many instances a pool needs for its long-running tasks and for
+// `short_millicores` of short tasks.
 std::int64_t CapacityPlanner::InstancesFor(
     const Pool& pool,
     const jobs::ServiceDemand& service,
@@ -320,8 +327,8 @@
        (millicores + pool.instance_millicores - 1) / pool.instance_millicores});
 }
 
-// Sends instances of a pool that has more than it needs, the emptiest first,
-// until none is missing.
+// Moves instances from a pool that has more than it needs to pool `to`, until
+// none is missing there. Instances with the fewest runs are moved first.
 void CapacityPlanner::TakeFrom(
     const ServiceName& from,
     Pool& pool,
@@ -345,9 +352,10 @@
   }
 }
 
-// Pools that have too few take instances that are off first, then those of
-// pools that have more than they need. For work that earns nothing any more a
-// pool takes only what is off, and gives it back as soon as another needs it.
+// Moves instances to pools that have too few: first instances that are switched
+// off, then those of pools that have more than they need. For late work, which
+// has no value any more, a pool gets only instances that are switched off, and
+// gives them back as soon as another pool needs them.
 void CapacityPlanner::GrowPools(
     const jobs::JobsState& state,
     std::map<ServiceName, Pool>& pools,
@@ -382,8 +390,8 @@
   }
 }
 
-// Pools that have had too many for a while send empty instances to a pool whose
-// instances are off.
+// Moves empty instances from pools that have had too many for `surplus_time` to
+// a pool whose instances are switched off.
 void CapacityPlanner::ShrinkPools(
     const jobs::JobsState& state,
     std::map<ServiceName, Pool>& pools,
@@ -435,8 +443,8 @@
            .since = now};
 }
 
-// True if this leader has a move of the instance on record, so that the order
-// may go out.
+// True if a move of the instance by this leader is committed, so that the order
+// may be sent.
 bool CapacityPlanner::HasRecord(const jobs::JobsState& state,
                                 const InstanceName& name) const {
   const auto record = state.record().moves.find(name);
@@ -444,9 +452,9 @@
          record->second.epoch == this->epoch;
 }
 
-// True if what is on record is an earlier move of the instance. It names
-// another worker and soon is too old to keep a next leader away from the
-// instance.
+// True if there is no record of this move yet, only of an earlier one of the
+// instance at most. An earlier record names another worker, and will soon be
+// too old to keep the next leader from giving orders about the instance.
 bool CapacityPlanner::IsRecordOld(const jobs::JobsState& state,
                                   const InstanceName& name,
                                   Move& move) const {
@@ -469,7 +477,7 @@
   for (auto item = this->moves.begin(); item != this->moves.end();) {
     auto& [name, move] = *item;
     const auto known = facts.find(name);
-    // Where instances are off no worker appears.
+    // No worker appears on an instance that is switched off.
     const bool has_arrived =
         (known != facts.end() && !known->second.is_only_announced &&
          known->second.worker != move.worker) ||
@@ -495,9 +503,10 @@
         to_record.workers[name] = move.worker;
       }
     }
-    // NOTE: Instances go from pool to pool within seconds in a rush. An order
-    // that waited for a record of its own each time would come too late for the
-    // turn; the first move of an instance under a leader waits.
+    // NOTE: At peak load instances move between pools every few seconds. If
+    // each order waited for its own record, it would come too late for the
+    // shift in demand. Only the first move of an instance under a leader waits
+    // for its record.
     if (is_due && this->HasRecord(state, name)) {
       move.is_under_way = true;
       output.orders.push_back(InstanceOrder{.instance = name,
--- a/libraries/maintenance/capacity_planner.h
+++ b/libraries/maintenance/capacity_planner.h
@@ -20,25 +20,27 @@
 namespace sumac::maintenance {
 
 struct CapacitySettings {
-  // False leaves every instance where it is; the baseline for comparisons.
+  // False leaves every instance in its pool, as a baseline for comparisons.
   bool is_on = true;
-  // A new leader leaves instances alone that the one before was about to move
-  // within this time, so that their orders never take turns.
+  // The time for which a new leader gives no orders about instances that the
+  // previous leader was about to move, so that their orders never interleave.
   Milliseconds holder_pause{3'000};
-  // Room that a pool should have beyond what it needs now, in thousandths.
+  // The reserve of a pool over its current demand for short tasks, in
+  // thousandths.
   std::int64_t reserve_permille = 150;
-  // A pool gives instances up only after it had too many for this long: about
-  // what two moves cost over what an idle instance costs a second.
+  // The time for which a pool must have had too many instances before it gives
+  // some up: about the cost of two moves divided by the cost of an idle
+  // instance per second.
   Milliseconds surplus_time{2'500};
-  // How long the platform takes to move an instance; it takes no further order
-  // about it meanwhile.
+  // The time that the platform takes to move an instance. It accepts no further
+  // order about the instance meanwhile.
   Milliseconds move_time{1'500};
-  // An instance that did not appear in its new pool by then is looked for
-  // where the platform lists it.
+  // The maximum time to wait for an instance to appear in its new pool. After
+  // that it counts as in the pool in which the platform lists it.
   Milliseconds longest_move{4'000};
-  // Before an order that was not answered is given again.
+  // The time after which an order that was not answered is given again.
   Milliseconds retry{400};
-  // Instances that a pool keeps whatever its demand.
+  // The minimum number of instances of a pool, whatever its demand.
   std::int64_t fewest_per_pool = 2;
 };
 
@@ -48,11 +50,11 @@
   std::vector<InstanceOrder> orders;
 };
 
-// Decides, for the leader, which instances change their pool: demand comes in
-// turns, so instances follow it from pools that have too many, and from and to
-// the pools whose instances are off. A pool whose tasks require a label is
-// given instances that have it, and none without it for those tasks. Instances
-// that carry long-running tasks stay. Pure.
+// Decides, for the leader, which instances move to another pool. The demand
+// shifts between services, so instances follow it from pools that have too
+// many, and from and to the pools whose instances are switched off. A pool
+// whose tasks require a label is given instances that have the label, and none
+// without it for those tasks. Instances that run long-running tasks stay. Pure.
 class CapacityPlanner {
  public:
   CapacityPlanner(CapacitySettings settings,
@@ -60,7 +62,8 @@
                   LeaderEpoch epoch,
                   SteadyTime now);
 
-  // `busy` are instances that a maintenance wave holds.
+  // Plans the moves of one planning pass. `busy` holds the instances that a
+  // maintenance wave has cordoned.
   CapacityOutput Plan(const jobs::JobsState& state,
                       const std::map<InstanceName, InstanceFacts>& facts,
                       const std::map<ServiceName, jobs::ServiceDemand>& demand,
@@ -68,44 +71,47 @@
                       WallTime wall_now,
                       SteadyTime now);
 
-  // Takes in that there is a new list of the platform's instances.
+  // Updates the known pools and labels of instances from a new list of the
+  // platform.
   void TakeList(const InstanceListing& listing);
 
-  // Takes in what became of an order, and gives what is to be committed.
+  // Handles the result of an order, and returns the commands to be committed.
   std::vector<jobs::Command> TakeResult(const InstanceOrder& order,
                                         InstanceResult result,
                                         SteadyTime now);
 
-  // Instances that are on their way to another pool.
+  // Returns the instances that are being moved to another pool.
   std::set<InstanceName> Moving() const;
 
  private:
-  // A move from its choice until the instance is seen in its new pool.
+  // A move, from its decision until the instance is seen in its new pool.
   struct Move {
     ServiceName from;
     ServiceName to;
-    // The worker that ends with the move; empty where none ran.
+    // The worker that ends with the move; empty if none ran on the instance.
     WorkerId worker;
     SteadyTime since{};
     bool is_under_way = false;
     bool is_taken = false;
     SteadyTime taken_at{};
     SteadyTime due{};
-    // When to ask for its record (again).
+    // The time at which the move's record may be proposed, or proposed again.
     SteadyTime record_due{};
-    // What was on record of an earlier move of the instance when this one was
-    // first followed.
+    // The record of an earlier move of the instance, as it was when the record
+    // of this move was first checked.
     std::optional<jobs::MoveRecord> earlier_record;
     bool is_followed = false;
   };
-  // What is known of one pool in one look.
+  // The data about one pool in one planning pass.
   struct Pool {
     std::int64_t instance_millicores = 0;
     std::int64_t have = 0;
-    // What it needs, and what it would use with work that earns nothing.
+    // The number of instances that the pool needs, and the number that it could
+    // use if late work is included, which has no value any more.
     std::int64_t want = 0;
     std::int64_t want_with_late = 0;
-    // Instances that could go, the emptiest first.
+    // Instances that could be moved away, with the number of their runs; the
+    // one with the fewest runs comes first.
     std::vector<std::pair<std::int64_t, InstanceName>> movable;
   };
 
@@ -197,14 +203,16 @@
   SteadyTime began_at;
   bool has_been_fenced = false;
   std::map<InstanceName, Move> moves;
-  // Of every instance that was listed or has a worker; they stay with it.
+  // The labels of every instance that was listed or has a worker; they do not
+  // change when it moves.
   LabelNeeds::Labels labels;
-  // The pool of an instance, and when that was last known to be so.
+  // The pool of an instance, and the time at which that was last known.
   struct Place {
     ServiceName service;
     SteadyTime known_at{};
   };
-  // Instances of pools that are off, as listed or moved there since.
+  // The pools of instances, as listed or as moved since. Used for instances
+  // without a worker, which are in pools that are switched off.
   std::map<InstanceName, Place> idle;
   std::map<ServiceName, SteadyTime> surplus_since;
 };
--- a/libraries/maintenance/instance_calls.h
+++ b/libraries/maintenance/instance_calls.h
@@ -12,10 +12,12 @@
 
 namespace sumac::maintenance {
 
-// How a leader reaches the platform about instances; an adapter provides it.
-// Empty functions where the platform has no door for that.
+// The calls with which a leader lists and orders the platform's instances. An
+// adapter provides them; the functions are empty if the platform has no
+// interface for instances.
 struct InstanceCalls {
-  // One page of the list; an empty token asks for the first.
+  // Requests one page of the list of instances; an empty token requests the
+  // first page.
   std::function<kj::Promise<absl::StatusOr<InstancePage>>(std::string token)>
       list;
   std::function<kj::Promise<InstanceResult>(InstanceOrder)> send;
--- a/libraries/maintenance/instance_listing.h
+++ b/libraries/maintenance/instance_listing.h
@@ -13,43 +13,47 @@
 
 namespace sumac::maintenance {
 
-// What the platform's lists of instances show. A list is read page by page
-// while instances come and go, so that it may lack one that is there all the
-// time: absence is believed only if two lists in a row show it, and only for
-// the time since the first of them was asked for. Pure.
+// The instances that the platform lists. A list is read page by page while
+// instances come and go, so that it may lack an instance that exists all the
+// time. An instance therefore counts as gone only if two lists in a row lack
+// it, and only if it existed before the first of them was requested. Pure.
 class InstanceListing {
  public:
-  // Takes in a whole list whose first page was asked for at `asked_at`. Where
-  // some of its rows don't tell which instance they are about, it shows nobody
-  // as gone.
+  // Records a complete list whose first page was requested at `asked_at`. If
+  // some of its rows do not name their instance, no instance counts as gone on
+  // the basis of this list.
   void Take(std::vector<ListedInstance> instances,
             SteadyTime asked_at,
             bool has_nameless_rows = false);
 
-  // The rows of the last list, and those of the one before that it lacks.
+  // Returns the rows of the last list, and those rows of the list before it
+  // that the last one lacks.
   const std::map<InstanceName, ListedInstance>& rows() const {
     return this->known;
   }
-  // The row of an instance in the last list; nothing where it has none.
+  // Returns the row of an instance in the last list, or null if there is none.
   const ListedInstance* Find(const InstanceName& name) const;
 
-  // When the last list was asked for; nothing before the first.
+  // Returns when the last list was requested, or nothing if there has been no
+  // list.
   std::optional<SteadyTime> asked_at() const { return this->last_asked_at; }
 
-  // True if some row of the last list may be that of any instance.
+  // True if some rows of the last list do not name their instance, so that they
+  // may belong to any instance.
   bool has_nameless_rows() const { return this->is_last_incomplete; }
 
-  // True if an instance that existed at `since` doesn't any more.
+  // True if the last two lists show that an instance that existed at `since` no
+  // longer exists.
   bool IsGone(const InstanceName& name, SteadyTime since) const;
 
  private:
   std::map<InstanceName, ListedInstance> known;
-  // True if the last two lists tell of each row which instance it is about.
+  // True if every row of the last two lists names its instance.
   bool is_complete() const {
     return !this->is_last_incomplete && !this->is_before_incomplete;
   }
 
-  // Rows of `known` that the last list lacks.
+  // The names of the rows of `known` that the last list lacks.
   std::set<InstanceName> missed;
   std::optional<SteadyTime> last_asked_at;
   std::optional<SteadyTime> asked_before_at;
--- a/libraries/maintenance/instance_messages.h
+++ b/libraries/maintenance/instance_messages.h
@@ -13,43 +13,43 @@
 
 namespace sumac::maintenance {
 
-// What an instance does now, as the platform lists it.
+// The current state of an instance, as the platform lists it.
 enum class InstanceState {
   kUp,
   kMoving,
   kInMaintenance,
   kDown,
-  // Its row can't be read, or names a state that is not known here: nothing
-  // follows from it.
+  // The instance's row cannot be parsed or names an unknown state, so that no
+  // conclusion is drawn from it.
   kUnknown,
 };
 
 // One instance as the platform lists it.
 struct ListedInstance {
   InstanceName name;
-  // The service whose pool it is in.
+  // The service to whose pool the instance belongs.
   ServiceName service;
   InstanceState state = InstanceState::kDown;
   jobs::Resources capacity;
-  // Its kind, its rack and whatever else tasks may require; they stay with the
-  // instance.
+  // The instance's kind, its rack and other labels that tasks may require. They
+  // do not change when the instance moves to another pool.
   std::vector<std::string> labels;
-  // The worker that runs there; empty if none does.
+  // The worker that runs on the instance; empty if none does.
   WorkerName worker;
 };
 
 // One page of the platform's list of instances.
 struct InstancePage {
   std::vector<ListedInstance> instances;
-  // Rows that don't tell which instance they are about.
+  // The number of rows that do not name their instance.
   std::size_t nameless_rows = 0;
-  // Asks for the next page; empty after the last.
+  // The token with which to request the next page; empty on the last page.
   std::string next_token;
 };
 
-// Tells the platform to maintain an instance for a wave, or, with `pool` set
-// and `wave` empty, to move it to another pool. Everything that runs there
-// ends.
+// Orders the platform to maintain an instance for a wave or, if `pool` is set
+// and `wave` is empty, to move it to another pool. Everything that runs on the
+// instance ends.
 struct InstanceOrder {
   InstanceName instance;
   WaveId wave;
@@ -59,21 +59,21 @@
   LeaderEpoch epoch;
 };
 
-// What became of an order about an instance.
+// The platform's answer to an order about an instance.
 enum class InstanceResult {
-  // Done, now or before.
+  // The order was carried out, now or before.
   kDone,
-  // It is not up, or is leaving.
+  // The instance is not up, or is leaving.
   kBusy,
-  // A higher fencing token was used for it.
+  // An order with a higher fencing token was given for the instance before.
   kFenced,
-  // It is not of that wave.
+  // The instance does not belong to that wave.
   kNotOfWave,
-  // There is no such instance, or it can't go to that pool.
+  // There is no such instance, or it cannot be moved to that pool.
   kUnknownInstance,
-  // The platform takes no more orders now, and did nothing.
+  // The platform accepts no more orders at present, and did nothing.
   kRefused,
-  // No answer: it may have been done.
+  // There was no answer; the order may have been carried out.
   kUnknown,
 };
 
--- a/libraries/maintenance/label_needs.h
+++ b/libraries/maintenance/label_needs.h
@@ -14,38 +14,40 @@
 
 namespace sumac::maintenance {
 
-// What each pool has and needs of the labels that tasks require, in one look at
-// the pools. Labels that no task requires are not counted. Pure.
+// Counts, within one planning pass, how many instances with each required label
+// a pool has and needs. Labels that no task requires are not counted. Pure.
 class LabelNeeds {
  public:
   using Labels = std::map<InstanceName, std::vector<std::string>>;
 
-  // `labels` are those of all known instances and must outlive this.
+  // `labels` holds the labels of all known instances and must outlive this
+  // object.
   LabelNeeds(const Labels& labels,
              const std::map<ServiceName, jobs::ServiceDemand>& demand);
 
-  // Takes in that an instance is in the pool or on its way there.
+  // Counts an instance that is in the pool or on its way to it.
   void Add(const ServiceName& pool, const InstanceName& instance);
-  // Takes in that an instance leaves one pool for another.
+  // Counts an instance in pool `to` instead of in pool `from`.
   void Move(const ServiceName& from,
             const ServiceName& to,
             const InstanceName& instance);
-  // Says how many instances with a label a pool needs.
+  // Sets how many instances with a label a pool needs.
   void Need(const ServiceName& pool,
             const std::string& label,
             std::int64_t instances);
 
-  // How many instances of the pool, or of all pools, have the label.
+  // Return how many instances of the pool, or of all pools, have the label.
   std::int64_t CountIn(const ServiceName& pool, const std::string& label) const;
   std::int64_t CountAll(const std::string& label) const;
   std::int64_t NeedOf(const ServiceName& pool, const std::string& label) const;
   bool Has(const InstanceName& instance, const std::string& label) const;
-  // True if the pool has enough of every label that the instance has without
-  // it.
+  // True if, without the instance, the pool still has enough instances with
+  // each of its labels.
   bool CanSpare(const ServiceName& pool, const InstanceName& instance) const;
 
-  // Pools that lack a label that they need, with the label: those that have
-  // none of it first, then those that lack most.
+  // Returns the pools that have too few instances with a label, together with
+  // the label. Those that have no instance with it come first, then those with
+  // the largest shortage.
   std::vector<std::pair<ServiceName, std::string>> Lacking() const;
 
  private:
--- a/libraries/maintenance/maintenance_planner.cc
+++ b/libraries/maintenance/maintenance_planner.cc
@@ -44,8 +44,8 @@
   return output;
 }
 
-// How many instances should be on their way at once, so that the wave ends
-// somewhat before its time.
+// Returns how many instances should be in progress at once so that the wave
+// ends somewhat before its time is up.
 std::uint32_t MaintenancePlanner::WantedAtOnce(const jobs::Wave& wave,
                                                WallTime wall_now) const {
   std::int64_t left = 0;
@@ -80,9 +80,10 @@
   std::vector<std::pair<std::int64_t, InstanceName>> candidates;
   for (const auto& [name, instance] : wave.instances) {
     if (instance.state == MaintenanceState::kOrdered) {
-      // NOTE: From the first look on, also while this leader gives no orders
-      // yet: the one before has emptied the instance, which makes it the best
-      // place for tasks that the order would then end.
+      // NOTE: The instance is cordoned from the first planning pass on, even
+      // while this leader gives no orders yet. The previous leader has drained
+      // it, so that it would be the preferred place for new tasks, which the
+      // order would then end.
       this->cordons.try_emplace(name, Cordon{now});
       if (may_order) {
         this->FollowOrdered(wave, name, facts, now, output);
@@ -93,17 +94,17 @@
       }
     } else if (instance.state == MaintenanceState::kWaiting) {
       const auto known = facts.find(name);
-      // NOTE: A wave names instances that exist when it is declared. One may be
-      // so new that no worker of it was heard of and that a list from before
-      // the wave lacks it: it would be left out, and the wave be told to be
-      // done.
+      // NOTE: A wave names instances that exist when it is declared. An
+      // instance may be so new that its worker has not announced itself and
+      // that a list requested before the wave lacks it. Without this check it
+      // would be left out, and the wave would be reported as complete.
       if (known == facts.end() && sight.listing.IsGone(name, first_look)) {
         RecordOver(wave, name, "it is gone: no list shows it", output);
         this->cordons.erase(name);
         continue;
       }
       if (known == facts.end() && !sight.listing.rows().contains(name)) {
-        // The next list tells.
+        // The next list will show whether the instance exists.
         continue;
       }
       if (this->cordons.contains(name)) {
@@ -111,7 +112,8 @@
       } else if (known != facts.end() && known->second.is_moving) {
         continue;
       }
-      // Those that are off go first, then those that carry nothing.
+      // Instances that are switched off come first, then those with the least
+      // load.
       constexpr std::int64_t kOff = -1;
       const std::int64_t load =
           known == facts.end() ? kOff : known->second.load_permille;
@@ -129,7 +131,8 @@
       const auto open = this->open_orders.find(name);
       const bool is_early =
           open != this->open_orders.end() && now < open->second.due;
-      // One that is off costs no capacity: the wave's own bound is enough.
+      // An instance that is switched off costs no capacity, so that only the
+      // wave's own limit applies to it.
       const std::uint32_t most =
           facts.contains(name) ? wanted : wave.most_at_once;
       if (on_their_way < most && !is_early) {
@@ -144,13 +147,15 @@
       output.commands.emplace_back(jobs::RecordMaintenance{
           wave.id, name, MaintenanceState::kOrdered,
           known == facts.end() ? WorkerId() : known->second.worker});
-      // It stays cordoned; the order goes out once the step is on record.
+      // The instance stays cordoned; the order is sent once the step is
+      // committed.
     }
   }
 }
 
-// True if a cordoned instance may be taken away: it carries nothing, or nothing
-// with a disruption budget and was given time to be emptied.
+// True if a cordoned instance may be taken down: either nothing runs on it, or
+// nothing with a disruption budget runs on it and the time to drain it has
+// passed.
 bool MaintenancePlanner::IsReady(
     const InstanceName& name,
     const std::map<InstanceName, InstanceFacts>& facts,
@@ -162,13 +167,14 @@
   if (known->second.budgeted_runs > 0) {
     return false;
   }
-  // An own order was ready before; its worker may have ended with it since, and
-  // what ran there be counted still.
+  // If this leader gave the order, the instance was ready then. Its worker may
+  // have ended with the order since, while its runs are still counted.
   return known->second.other_runs == 0 || this->own_orders.contains(name) ||
          now - this->cordons.at(name).since > this->settings.longest_wait;
 }
 
-// Gives the order, again and again until there is a clear answer.
+// Gives the order for an instance, and repeats it until there is a definite
+// answer.
 void MaintenancePlanner::FollowOrdered(
     const jobs::Wave& wave,
     const InstanceName& name,
@@ -176,13 +182,13 @@
     SteadyTime now,
     MaintenanceOutput& output) {
   OpenOrder& open = this->open_orders[name];
-  // NOTE: That it was empty when the step was recorded says nothing any more
-  // under a later leader.
+  // NOTE: Under a later leader the instance may not be empty any more, although
+  // it was when the step was recorded.
   if (open.is_under_way || now < open.due || !this->IsReady(name, facts, now)) {
     return;
   }
   if (!this->own_orders.contains(name) && !open.unanswered_at) {
-    // The leader before may have given the order already.
+    // The previous leader may have given the order already.
     open.unanswered_at = now;
   }
   open.is_under_way = true;
@@ -192,14 +198,16 @@
                                         .epoch = this->epoch});
 }
 
-// An instance is back once another worker than before answers there, or, where
-// none ran, once the platform lists it as out of its maintenance.
+// An instance is back once a worker other than the previous one answers on it
+// or, if no worker ran on it, once the platform lists it as no longer in
+// maintenance.
 std::optional<std::string> MaintenancePlanner::WhyOver(
     const InstanceName& name,
     const jobs::InstanceMaintenance& maintenance,
     const Sight& sight,
     SteadyTime now) const {
-  // A worker that began just before the maintenance may announce itself late.
+  // A worker that started just before the maintenance may announce itself late,
+  // so that no instance counts as back before the maintenance time has passed.
   const auto order = this->open_orders.find(name);
   const bool is_own = order != this->open_orders.end();
   const SteadyTime begun_at = is_own ? order->second.begun_at : this->began_at;
@@ -211,7 +219,7 @@
       known->second.worker != maintenance.worker) {
     return StrCat("worker ", known->second.worker.value(), " answers there");
   }
-  // The platform may list what it was ordered a moment later.
+  // The platform may list the effect of an order only a moment after it.
   const SteadyTime since = is_own ? order->second.due : this->began_at;
   if (sight.listing.IsGone(name, since)) {
     return "it is gone: no list shows it";
@@ -264,8 +272,9 @@
       break;
     }
     case InstanceResult::kBusy: {
-      // NOTE: It may be busy with just this maintenance, if an earlier order
-      // was carried out without an answer; then it goes on counting as down.
+      // NOTE: The instance may be busy with this very maintenance, if an
+      // earlier order was carried out without an answer. It continues to count
+      // as down then.
       const bool may_be_down =
           open.unanswered_at &&
           now - *open.unanswered_at < this->settings.longest_delay;
--- a/libraries/maintenance/maintenance_planner.h
+++ b/libraries/maintenance/maintenance_planner.h
@@ -20,45 +20,49 @@
 namespace sumac::maintenance {
 
 struct MaintenanceSettings {
-  // A new leader gives no orders about instances for this long, so that its
-  // orders never take turns with those of the one before.
+  // The time for which a new leader gives no orders about instances, so that
+  // its orders never interleave with those of the previous leader.
   Milliseconds holder_pause{3'000};
-  // How long an instance is down for its maintenance.
+  // The time for which an instance is down for its maintenance.
   Milliseconds maintenance_time{2'000};
-  // What it takes beside that to empty an instance and see it back.
+  // The additional time that it takes to drain an instance and to detect that
+  // it is back.
   Milliseconds overhead{2'500};
-  // Runs that did not end by themselves within this are ended with their
-  // instance.
+  // The maximum time to wait for the runs on an instance to end by themselves.
+  // Runs that are left are ended with their instance.
   Milliseconds longest_wait{6'000};
-  // An order that was not answered is carried out within this, if at all.
+  // The maximum time after which an unanswered order may still be carried out.
   Milliseconds longest_delay{12'000};
-  // Before an order that was not answered, or not taken, is given again.
+  // The time after which an order that was not answered, or not accepted, is
+  // given again.
   Milliseconds retry{400};
 };
 
-// What a leader knows of one instance.
+// The leader's data about one instance.
 struct InstanceFacts {
-  // The worker there now.
+  // The worker that runs on the instance now.
   WorkerId worker;
-  // It has answered no call yet. Its announcement may be a late one, of a life
-  // before the one that was known last.
+  // True if the worker has answered no call yet. Its announcement may be a late
+  // one, from an incarnation before the last known one.
   bool is_only_announced = false;
   ServiceName service;
-  // Long-running tasks whose disruption budget counts, and other runs.
+  // The number of runs of long-running tasks to which a disruption budget
+  // applies, and of other runs.
   std::size_t budgeted_runs = 0;
   std::size_t other_runs = 0;
-  // The share of its cores that is taken, in thousandths.
+  // The share of its cores that is in use, in thousandths.
   std::int64_t load_permille = 0;
   std::int64_t millicores = 0;
-  // What its worker says that tasks may require.
+  // The labels that its worker announced and that tasks may require.
   std::vector<std::string> labels;
-  // It will leave the fleet soon.
+  // True if the instance will leave the fleet soon.
   bool is_leaving = false;
-  // It is on its way to another pool.
+  // True if the instance is being moved to another pool.
   bool is_moving = false;
 };
 
-// Why an instance of a wave counts as done, for the log.
+// The reason for which the maintenance of an instance counts as over, for the
+// log.
 struct InstanceNote {
   WaveId wave;
   InstanceName instance;
@@ -66,16 +70,17 @@
 };
 
 struct MaintenanceOutput {
-  // Nothing may be started on these any more.
+  // Instances on which nothing may be started any more.
   std::set<InstanceName> cordoned;
   std::vector<jobs::Command> commands;
   std::vector<InstanceOrder> orders;
   std::vector<InstanceNote> notes;
 };
 
-// Decides, for the leader, which instances of a maintenance wave go next: it
-// spreads a wave over its time, takes instances that carry little first,
-// empties them, has the step on record, and then gives the order. Pure.
+// Decides, for the leader, which instances of a maintenance wave are maintained
+// next. It spreads a wave over its time and takes the instances with the least
+// load first. It drains an instance, has the step committed, and then gives the
+// order. Pure.
 class MaintenancePlanner {
  public:
   MaintenancePlanner(MaintenanceSettings settings,
@@ -89,17 +94,18 @@
                          WallTime wall_now,
                          SteadyTime now);
 
-  // Takes in what became of an order, and gives what is to be committed.
+  // Handles the result of an order, and returns the commands to be committed.
   std::vector<jobs::Command> TakeResult(const jobs::JobsState& state,
                                         const InstanceOrder& order,
                                         InstanceResult result,
                                         SteadyTime now);
 
-  // True if a wave is under way, so that a fresh list is of use.
+  // True if a wave is under way, so that an up-to-date list of instances is
+  // needed.
   static bool NeedsList(const jobs::JobsState& state);
 
-  // True once an order was refused for a higher fencing token: this leader
-  // gives no more.
+  // True once an order was refused because a higher fencing token had been
+  // used. This leader gives no more orders then.
   bool is_fenced() const { return this->has_been_fenced; }
 
  private:
@@ -109,14 +115,15 @@
   struct OpenOrder {
     bool is_under_way = false;
     SteadyTime due{};
-    // An order was given whose answer is not known, by this leader or the one
-    // before; it may be carried out until some time after this.
+    // The time of an order, by this leader or the previous one, whose answer is
+    // unknown. The order may still be carried out until `longest_delay` after
+    // this time.
     std::optional<SteadyTime> unanswered_at;
-    // When the platform was last known to have taken an order.
+    // The time at which the platform last accepted an order.
     SteadyTime begun_at{};
   };
 
-  // What is known of instances in one look.
+  // The data about instances in one planning pass.
   struct Sight {
     const std::map<InstanceName, InstanceFacts>& facts;
     const InstanceListing& listing;
@@ -135,8 +142,8 @@
                      const std::map<InstanceName, InstanceFacts>& facts,
                      SteadyTime now,
                      MaintenanceOutput& output);
-  // Why an instance whose maintenance has begun counts as done; nothing while
-  // it doesn't.
+  // Returns the reason for which a maintenance that has begun counts as over,
+  // or nothing if it is not over.
   std::optional<std::string> WhyOver(
       const InstanceName& name,
       const jobs::InstanceMaintenance& maintenance,
@@ -155,9 +162,9 @@
   bool has_been_fenced = false;
   std::map<InstanceName, Cordon> cordons;
   std::map<InstanceName, OpenOrder> open_orders;
-  // Instances whose order this leader is the first to give.
+  // Instances for which this leader is the first to give the order.
   std::set<InstanceName> own_orders;
-  // When this leader first looked at each wave that is under way.
+  // The time at which this leader first planned each wave that is under way.
   std::map<WaveId, SteadyTime> first_looks;
 };
 
