--- a/libraries/maintenance/capacity_planner.cc
+++ b/libraries/maintenance/capacity_planner.cc
@@ -289,10 +289,11 @@
 }
 
 // True if an instance with a label may move from pool `from` to pool `to`. A
-// pool that has none with the label gets one whenever the other pool keeps at
-// least one. Otherwise a pool gives up only instances whose labels it has
-// enough of, and gives up an instance that it needs only if the other pool can
-// give one in exchange or has none with the label.
+// pool gets no more than it needs. A pool that has none with the label gets one
+// whenever the other pool keeps at least one. Otherwise a pool gives up only
+// instances whose labels it has enough of, and gives up an instance that it
+// needs only if the other pool can give one in exchange or has none with the
+// label.
 bool CapacityPlanner::MayTakeLabelled(const Pool& giver,
                                       const Pool& taker,
                                       const ServiceName& from,
@@ -452,9 +453,10 @@
          record->second.epoch == this->epoch;
 }
 
-// True if there is no record of this move yet, only of an earlier one of the
-// instance at most. An earlier record names another worker, and will soon be
-// too old to keep the next leader from giving orders about the instance.
+// True if no record of this move is committed yet, although one of an earlier
+// move of the instance may be. An earlier record names another worker, and will
+// soon be too old to keep the next leader from giving orders about the
+// instance.
 bool CapacityPlanner::IsRecordOld(const jobs::JobsState& state,
                                   const InstanceName& name,
                                   Move& move) const {
@@ -477,7 +479,8 @@
   for (auto item = this->moves.begin(); item != this->moves.end();) {
     auto& [name, move] = *item;
     const auto known = facts.find(name);
-    // No worker appears on an instance that is switched off.
+    // No worker appears on an instance that is switched off, so that its move
+    // counts as complete after the move time.
     const bool has_arrived =
         (known != facts.end() && !known->second.is_only_announced &&
          known->second.worker != move.worker) ||
--- a/libraries/maintenance/capacity_planner.h
+++ b/libraries/maintenance/capacity_planner.h
@@ -62,8 +62,8 @@
                   LeaderEpoch epoch,
                   SteadyTime now);
 
-  // Plans the moves of one planning pass. `busy` holds the instances that a
-  // maintenance wave has cordoned.
+  // Plans the moves of one planning pass. `busy` holds the instances that
+  // maintenance waves have cordoned or ordered down.
   CapacityOutput Plan(const jobs::JobsState& state,
                       const std::map<InstanceName, InstanceFacts>& facts,
                       const std::map<ServiceName, jobs::ServiceDemand>& demand,
@@ -104,7 +104,9 @@
   };
   // The data about one pool in one planning pass.
   struct Pool {
+    // The processor time of the pool's largest instance.
     std::int64_t instance_millicores = 0;
+    // The number of instances in the pool or being moved to it.
     std::int64_t have = 0;
     // The number of instances that the pool needs, and the number that it could
     // use if late work is included, which has no value any more.
@@ -211,8 +213,8 @@
     ServiceName service;
     SteadyTime known_at{};
   };
-  // The pools of instances, as listed or as moved since. Used for instances
-  // without a worker, which are in pools that are switched off.
+  // The last known pools of instances, as listed or as moved since. Instances
+  // in pools that are switched off have no worker and are known only from here.
   std::map<InstanceName, Place> idle;
   std::map<ServiceName, SteadyTime> surplus_since;
 };
--- a/tests/libraries/jobs/jobs_state_test.cc
+++ b/tests/libraries/jobs/jobs_state_test.cc
@@ -11,7 +11,7 @@
 
 const QueueName kQueue("clips");
 
-// A document is the name of the queue's service, or "bad".
+// Decodes a document that holds the name of the queue's service, or "bad".
 absl::StatusOr<JobsDeclaration> Decode(std::string_view document) {
   if (document == "bad") {
     return MakeError(ResultCode::kInvalidDeclaration, "bad");
@@ -55,10 +55,10 @@
   WallTime at{Milliseconds(1'000'000)};
 };
 
-TEST_F(JobsStateTest, TheHighestVersionHolds) {
+TEST_F(JobsStateTest, OnlyAHigherVersionComesIntoForce) {
   EXPECT_TRUE(this->Do(Declare{5, "other"}).is_ok());
   EXPECT_EQ(this->state.record().declaration_document, "other");
-  // The same and older ones are taken and change nothing.
+  // The same version and older ones are accepted and change nothing.
   EXPECT_TRUE(this->Do(Declare{5, "third"}).is_ok());
   EXPECT_TRUE(this->Do(Declare{4, "third"}).is_ok());
   EXPECT_EQ(this->state.record().declaration_document, "other");
@@ -66,8 +66,8 @@
   EXPECT_EQ(this->state.record().declaration_version, 5U);
 }
 
-// Operators send a declaration again until they have its answer; a copy that
-// comes when it is in force needs no further commit.
+// Operators send a declaration again until they have its answer. A copy that
+// arrives once the declaration is in force needs no further commit.
 TEST_F(JobsStateTest, ADeclarationThatIsInForceNeedsNoCommit) {
   this->Do(Declare{5, "other"});
   EXPECT_TRUE(this->state.AnswerIfOld(Declare{5, "other"}).has_value());
@@ -97,7 +97,7 @@
   EXPECT_TRUE(this->state.active_jobs().empty());
 }
 
-TEST_F(JobsStateTest, AnEndThatComesAgainCountsOnce) {
+TEST_F(JobsStateTest, AnEndThatIsReportedAgainCountsOnce) {
   this->Submit("a", {{.count = 1}});
   this->End("a", 0, 0, RunOutcome::kFailed, 1);
   this->End("a", 0, 0, RunOutcome::kFailed, 1);
@@ -106,7 +106,7 @@
   EXPECT_EQ(this->StateOf("a"), JobState::kFailed);
 }
 
-TEST_F(JobsStateTest, EndsOfTasksThatAreNotThereChangeNothing) {
+TEST_F(JobsStateTest, EndsOfUnknownTasksChangeNothing) {
   this->Submit("a", {{.count = 1}});
   this->End("a", 0, 7, RunOutcome::kDone);
   this->End("a", 3, 0, RunOutcome::kDone);
@@ -131,7 +131,7 @@
   EXPECT_EQ(this->Do(CancelJob{JobId("none")}).code, ResultCode::kUnknownName);
 }
 
-TEST_F(JobsStateTest, AFinishedJobIsKnownForAWhile) {
+TEST_F(JobsStateTest, AFinishedJobIsKeptForAWhile) {
   this->Submit("a", {{.count = 1}});
   this->End("a", 0, 0, RunOutcome::kDone);
   this->at += Milliseconds(120'000);
@@ -148,7 +148,7 @@
   EXPECT_EQ(this->state.FindJob(JobId("a"))->service.value(), "other");
 }
 
-TEST_F(JobsStateTest, AWorkerWhoseLifeIsOverDoesNotComeBack) {
+TEST_F(JobsStateTest, AnEndedWorkerDoesNotComeBack) {
   this->Do(RecordWorker{{.id = WorkerId("w"), .sequence = 3}});
   this->Do(
       RecordWorker{{.id = WorkerId("w"), .is_draining = true, .sequence = 4}});
@@ -157,13 +157,13 @@
   this->Do(ForgetWorker{WorkerId("w"), true});
   this->Do(RecordWorker{{.id = WorkerId("w"), .sequence = 9}});
   EXPECT_EQ(this->state.FindWorker(WorkerId("w")), nullptr);
-  // One that was only silent may.
+  // A worker that was only silent may come back.
   this->Do(RecordWorker{{.id = WorkerId("v"), .sequence = 1}});
   this->Do(ForgetWorker{WorkerId("v"), false, 1});
   EXPECT_EQ(this->state.FindWorker(WorkerId("v")), nullptr);
   this->Do(RecordWorker{{.id = WorkerId("v"), .sequence = 2}});
   EXPECT_NE(this->state.FindWorker(WorkerId("v")), nullptr);
-  // What was asked for before it came back is void.
+  // A removal that was proposed before the worker came back has no effect.
   this->Do(ForgetWorker{WorkerId("v"), false, 1});
   EXPECT_NE(this->state.FindWorker(WorkerId("v")), nullptr);
 }
@@ -187,7 +187,7 @@
   EXPECT_TRUE(this->state.waves().at(WaveId("1")).is_done());
 }
 
-TEST_F(JobsStateTest, ASnapshotHoldsAll) {
+TEST_F(JobsStateTest, ASnapshotHoldsTheWholeState) {
   this->Submit("a", {{.count = 2}});
   this->Submit("b", {{.count = 1}});
   this->End("a", 0, 1, RunOutcome::kDone, 5);
@@ -207,9 +207,10 @@
   EXPECT_NE(loaded.declaration().FindQueue(kQueue), nullptr);
 }
 
-// A controller that comes back with an empty disk takes the snapshot in; with
-// the work of all finished jobs in it that took longer than a rush leaves.
-TEST_F(JobsStateTest, AFinishedJobKeepsLittle) {
+// Guards against large snapshots: a controller that restarts with an empty disk
+// has to load one, and with the working state of all finished jobs in it this
+// took too long at peak load.
+TEST_F(JobsStateTest, AFinishedJobDropsItsWorkingState) {
   constexpr std::uint32_t kTasks = 32;
   constexpr std::size_t kSmall = 700;
   const std::size_t before = ToCbor(this->state.record()).size();
@@ -222,7 +223,7 @@
   EXPECT_EQ(this->StateOf("a"), JobState::kDone);
   EXPECT_EQ(this->state.FindJob(JobId("a"))->CountAllDone(), kTasks);
   EXPECT_LT(ToCbor(this->state.record()).size(), before + kSmall);
-  // A late end and a resend change nothing.
+  // A late end and a repeated submission change nothing.
   this->End("a", 0, 1, RunOutcome::kFailed, 9);
   this->Do(SubmitJob{JobId("a"), kQueue, spec});
   EXPECT_EQ(this->StateOf("a"), JobState::kDone);
@@ -239,7 +240,7 @@
   EXPECT_EQ(this->StateOf("gang"), JobState::kDone);
 }
 
-TEST_F(JobsStateTest, AGangsRunFailsOnceHoweverManyMembersSaySo) {
+TEST_F(JobsStateTest, AFailedRunOfAGangCountsOnceForAllMembers) {
   this->Submit("gang", {{.count = 3, .is_gang = true}});
   this->End("gang", 0, 0, RunOutcome::kFailed, 1);
   this->End("gang", 0, 1, RunOutcome::kFailed, 1);
@@ -248,13 +249,15 @@
                 ->ProgressOf({{JobId("gang"), 0, 0}, 2})
                 .last_ended_run,
             RunNumber(1));
-  // Another member fails the next run; the gang may fail twice.
+  // Another member fails the next run, which reaches the limit of two failed
+  // runs.
   this->End("gang", 0, 2, RunOutcome::kFailed, 2);
   EXPECT_EQ(this->StateOf("gang"), JobState::kFailed);
 }
 
-// Replicas that took the same commands must agree on which lives are over, also
-// one that began from a snapshot between two sweeps.
+// Replicas that applied the same commands must hold the same records of ended
+// workers and moves, including a replica that started from a snapshot between
+// two sweeps.
 TEST_F(JobsStateTest, OldRecordsAreDroppedAlikeAfterASnapshot) {
   this->Do(RecordMoves{{InstanceName("m1")}});
   this->Do(ForgetWorker{WorkerId("w1"), true});
@@ -281,7 +284,8 @@
   }
 }
 
-// The crash of a worker under the first task of a job.
+// Returns a command that records the crash of a worker that ran the first task
+// of a job.
 ForgetWorker CrashOf(const std::string& job,
                      std::uint64_t run,
                      bool is_only_suspect) {
@@ -316,14 +320,14 @@
       "w2 at 1000004, worker w3 at 1000005");
 }
 
-TEST_F(JobsStateTest, TheOnlySuspectOfTwoCrashesFailsItsJob) {
+TEST_F(JobsStateTest, AnOnlySuspectFailsItsJobAfterTwoCrashes) {
   this->Submit("j", {{.count = 2}});
   this->Do(CrashOf("j", 1, false));
   this->Do(CrashOf("j", 2, true));
   EXPECT_EQ(this->StateOf("j"), JobState::kFailed);
 }
 
-TEST_F(JobsStateTest, AStartWithoutAnAnswerAccusesNobodyOfTwoCrashes) {
+TEST_F(JobsStateTest, TwoCrashesDoNotFailAJobIfAStartWasUnanswered) {
   this->Submit("j", {{.count = 2}});
   this->Do(CrashOf("j", 1, true));
   ForgetWorker unanswered = CrashOf("j", 2, true);
@@ -332,7 +336,7 @@
   EXPECT_EQ(this->StateOf("j"), JobState::kActive);
 }
 
-TEST_F(JobsStateTest, StartsWithoutAnswersFailAJobOneCrashLater) {
+TEST_F(JobsStateTest, UnansweredStartsFailAJobAfterFourCrashes) {
   this->Submit("j", {{.count = 2}});
   for (std::uint64_t run = 1; run <= 4; ++run) {
     EXPECT_EQ(this->StateOf("j"), JobState::kActive);
@@ -354,7 +358,7 @@
   EXPECT_EQ(this->StateOf("j"), JobState::kFailed);
 }
 
-TEST_F(JobsStateTest, ACrashUnderADoneTaskCountsNothing) {
+TEST_F(JobsStateTest, ACrashUnderADoneTaskIsNotCounted) {
   this->Submit("j", {{.count = 2}});
   this->End("j", 0, 0, RunOutcome::kDone);
   this->Do(CrashOf("j", 2, true));
--- a/tests/libraries/maintenance/capacity_planner_test.cc
+++ b/tests/libraries/maintenance/capacity_planner_test.cc
@@ -11,7 +11,8 @@
 const ServiceName kOff("off");
 constexpr std::int64_t kCores = 16'000;
 
-// Three pools, one of which is off; a clock; and instances by number.
+// Three pools, one of which is switched off, with numbered instances and a
+// clock that the test advances.
 class CapacityPlannerTest : public testing::Test {
  protected:
   CapacityPlannerTest()
@@ -35,7 +36,7 @@
                         .millicores = kCores};
     }
   }
-  // Instances that also have a label.
+  // Adds instances that have a label.
   void AddLabelled(const ServiceName& service,
                    int count,
                    const std::string& label) {
@@ -54,7 +55,7 @@
     }
     return names;
   }
-  // What tasks of a service need that run only where the label is.
+  // Adds demand of tasks of a service that require a label.
   void Demand(const ServiceName& service,
               const std::string& label,
               std::int64_t millicores) {
@@ -71,13 +72,14 @@
     }
     this->TakeList(list);
   }
-  // A list that is asked for and comes now.
+  // Delivers a list that was requested now.
   void TakeList(std::vector<ListedInstance> rows) {
     this->listing.Take(std::move(rows), this->now);
     this->planner.TakeList(this->listing);
   }
-  // One look; what it wants committed is committed, and it looks again for the
-  // orders that follow.
+  // Runs two planning passes and commits their commands. Returns the output of
+  // the first, with the orders of the second, which follow once the commands
+  // are committed.
   CapacityOutput Plan() {
     CapacityOutput first = this->Look();
     CapacityOutput second = this->Look();
@@ -95,8 +97,8 @@
     }
     return output;
   }
-  // Lets a pool have one instance too many, which is ordered off and taken
-  // away.
+  // Gives a pool one instance too many, which the planner orders to the
+  // switched-off pool. Returns the instance.
   InstanceName SwitchOneOff() {
     this->AddInstances(kBusy, 2);
     this->AddInstances(kQuiet, 3);
@@ -115,7 +117,7 @@
     return order.instance;
   }
   WallTime wall() const { return WallTime(this->now.time_since_epoch()); }
-  // The pools that the orders of a plan name.
+  // Returns the pools that the orders of a plan name.
   static std::vector<std::string> PoolsOf(const CapacityOutput& output) {
     std::vector<std::string> pools;
     pools.reserve(output.orders.size());
@@ -135,7 +137,7 @@
   std::set<InstanceName> busy;
 };
 
-TEST_F(CapacityPlannerTest, APoolInNeedTakesInstancesThatAreOffFirst) {
+TEST_F(CapacityPlannerTest, APoolThatNeedsInstancesGetsThoseThatAreOffFirst) {
   this->AddInstances(kBusy, 2);
   this->AddInstances(kQuiet, 6);
   this->AddIdle(1);
@@ -157,7 +159,7 @@
   EXPECT_TRUE(this->Plan().orders.empty());
 }
 
-TEST_F(CapacityPlannerTest, AMoveIsOnRecordBeforeItIsOrdered) {
+TEST_F(CapacityPlannerTest, AMoveIsCommittedBeforeItIsOrdered) {
   this->AddInstances(kBusy, 2);
   this->AddIdle(1);
   this->demand[kBusy].short_millicores = 2 * kCores;
@@ -167,8 +169,10 @@
   EXPECT_EQ(this->Look().orders.size(), 1U);
 }
 
-// The leader before was about to move it, and its order may just have gone out.
-TEST_F(CapacityPlannerTest, ANewLeaderKeepsAwayFromWhatTheLastOneMoved) {
+// The previous leader was about to move the instance, and may just have sent
+// its order.
+TEST_F(CapacityPlannerTest,
+       ANewLeaderWaitsWithInstancesThatThePreviousOneMoved) {
   this->AddInstances(kBusy, 2);
   this->AddIdle(1);
   this->demand[kBusy].short_millicores = 2 * kCores;
@@ -182,8 +186,8 @@
   EXPECT_EQ(this->Plan().orders.size(), 1U);
 }
 
-// A step whose tasks must keep apart needs as many instances, whatever little
-// they use.
+// A step whose tasks must run on different instances needs that many instances,
+// however little the tasks use.
 TEST_F(CapacityPlannerTest, APoolKeepsAsManyInstancesAsAStepIsSpreadOver) {
   this->AddInstances(kBusy, 5);
   this->AddInstances(kQuiet, 2);
@@ -194,7 +198,7 @@
   EXPECT_TRUE(this->Plan().orders.empty());
   this->now += Milliseconds(10'000);
   EXPECT_TRUE(this->Plan().orders.empty());
-  // One of them is about to be maintained, so another takes its place.
+  // One of the instances is about to be maintained, so another replaces it.
   this->busy.insert(InstanceName("busy0"));
   EXPECT_EQ(PoolsOf(this->Plan()), std::vector<std::string>{"busy"});
 }
@@ -222,7 +226,7 @@
   EXPECT_EQ(this->Plan().orders.size(), 1U);
 }
 
-TEST_F(CapacityPlannerTest, AMoveEndsTheWorkerThatWasThere) {
+TEST_F(CapacityPlannerTest, AMoveRemovesTheWorkerOfTheInstance) {
   this->AddInstances(kBusy, 2);
   this->AddInstances(kQuiet, 4);
   this->AddIdle(0);
@@ -238,8 +242,9 @@
   EXPECT_TRUE(forget.is_over);
 }
 
-// A pool that is off holds an instance from the moment it was sent there, but
-// the platform takes no further order about it before it has arrived.
+// An instance counts in the switched-off pool from the moment it was ordered
+// there, but the platform accepts no further order about it before it has
+// arrived.
 TEST_F(CapacityPlannerTest,
        AnInstanceThatWasJustSwitchedOffIsUsedOnceItArrived) {
   const InstanceName moved = this->SwitchOneOff();
@@ -254,9 +259,9 @@
   EXPECT_EQ(again.orders[0].instance, moved);
 }
 
-// A list was asked for before a move and came after it. It shows the pool that
-// the instance has left, which took it for one that is not off until the next
-// list, 15 s later.
+// Guards against an unused instance: a list that was requested before a move
+// and arrives after it shows the instance in its previous pool. The instance
+// then did not count as switched off until the next list, 15 s later.
 TEST_F(CapacityPlannerTest, AListFromBeforeAMoveDoesNotUndoIt) {
   const SteadyTime asked_at = this->now;
   const InstanceName moved = this->SwitchOneOff();
@@ -269,9 +274,10 @@
   EXPECT_EQ(PoolsOf(this->Plan()), std::vector<std::string>{"busy"});
 }
 
-// The record of a move keeps the next leader away from its instance for some
-// seconds, and what it starts away from the worker that ends. A second move of
-// an instance left that of the first on record.
+// The record of a move keeps the next leader from giving orders about the
+// instance for some seconds, and from starting tasks on the worker that ends.
+// Guards against a second move of an instance that leaves the record of the
+// first in place.
 TEST_F(CapacityPlannerTest, EachMoveOfAnInstanceIsRecorded) {
   const InstanceName moved = this->SwitchOneOff();
   this->demand[kBusy].short_millicores = 2 * kCores;
@@ -285,9 +291,10 @@
   EXPECT_GT(this->state.record().moves.at(moved).at, second_at);
 }
 
-// An announcement of an earlier life that comes while the instance moves was
-// taken for its arrival: the instance was no longer cordoned.
-TEST_F(CapacityPlannerTest, AnAnnouncementWithoutAnAnswerIsNoArrival) {
+// Guards against an early end of the cordon: an announcement of an earlier
+// incarnation that arrives while the instance moves must not count as its
+// arrival.
+TEST_F(CapacityPlannerTest, AnAnnouncementAloneIsNoArrival) {
   this->AddInstances(kBusy, 2);
   this->AddInstances(kQuiet, 3);
   this->AddIdle(0);
@@ -304,9 +311,10 @@
   EXPECT_FALSE(this->Plan().cordoned.contains(moved));
 }
 
-// A backlog that is too late earns nothing: it may use what is off, and no
-// more.
-TEST_F(CapacityPlannerTest, LateWorkTakesOnlyWhatIsOffAndGivesItBack) {
+// A backlog that is too late has no value: it may use only instances that are
+// switched off.
+TEST_F(CapacityPlannerTest,
+       LateWorkUsesOnlyInstancesThatAreOffAndGivesThemBack) {
   this->AddInstances(kBusy, 2);
   this->AddInstances(kQuiet, 4);
   this->AddIdle(1);
@@ -315,7 +323,8 @@
   const CapacityOutput output = this->Plan();
   ASSERT_EQ(PoolsOf(output), std::vector<std::string>{"busy"});
   EXPECT_EQ(output.orders[0].instance, InstanceName("idle0"));
-  // Another pool needs more than it has: late work gives way.
+  // Another pool needs more than it has, and is given instances before late
+  // work.
   this->AddInstances(kBusy, 4);
   this->demand[kQuiet].short_millicores = 6 * kCores;
   for (const std::string& pool : PoolsOf(this->Plan())) {
@@ -324,9 +333,10 @@
   EXPECT_FALSE(this->planner.Moving().empty());
 }
 
-// A third of the tasks required a label that one instance in ten has. The pool
-// grew by cores alone to 38 of 49 instances, 35 of them without the label: the
-// tasks found no place all the same, and the other services went without.
+// Guards against a pool that grows by its demand for cores alone. A third of
+// the tasks required a label that one instance in ten has: the pool grew to 38
+// of 49 instances, 35 of them without the label. The tasks still could not be
+// placed, and the other services lacked instances.
 TEST_F(CapacityPlannerTest, APoolTakesInstancesThatHaveTheLabel) {
   this->AddInstances(kBusy, 2);
   this->AddInstances(kQuiet, 2);
@@ -355,15 +365,15 @@
   EXPECT_TRUE(this->Plan().orders.empty());
 }
 
-// The pool has instances enough, and none of them can run what waits.
-TEST_F(CapacityPlannerTest, APoolIsGivenAnInstanceWithTheLabelByAFullPool) {
+// The pool has enough instances, but none of them can run the waiting tasks.
+TEST_F(CapacityPlannerTest, AFullPoolExchangesAnInstanceWithTheLabel) {
   this->AddInstances(kBusy, 4);
   this->AddInstances(kQuiet, 3);
   this->AddLabelled(kQuiet, 1, "b");
   this->AddIdle(0);
   this->demand[kQuiet].short_millicores = 3 * kCores;
   this->Demand(kBusy, "b", 1'000);
-  // One without the label goes the other way in exchange.
+  // An instance without the label moves the other way in exchange.
   const CapacityOutput output = this->Plan();
   ASSERT_EQ(output.orders.size(), 2U);
   for (const InstanceOrder& order : output.orders) {
--- a/tests/libraries/maintenance/instance_listing_test.cc
+++ b/tests/libraries/maintenance/instance_listing_test.cc
@@ -22,7 +22,7 @@
   return rows;
 }
 
-TEST(InstanceListingTest, NobodyIsGoneBeforeTwoLists) {
+TEST(InstanceListingTest, NoInstanceIsGoneBeforeTwoLists) {
   InstanceListing listing;
   EXPECT_FALSE(listing.IsGone(kOne, At(0)));
   listing.Take({}, At(10));
@@ -31,7 +31,7 @@
   EXPECT_TRUE(listing.IsGone(kOne, At(0)));
 }
 
-TEST(InstanceListingTest, BothListsMustBeAskedForSinceThen) {
+TEST(InstanceListingTest, BothListsMustBeRequestedAfterTheGivenTime) {
   InstanceListing listing;
   listing.Take({}, At(10));
   listing.Take({}, At(20));
@@ -52,8 +52,8 @@
   EXPECT_NE(listing.Find(kOther), nullptr);
 }
 
-// A row without a name may be that of any instance.
-TEST(InstanceListingTest, ListsWithNamelessRowsShowNobodyAsGone) {
+// A row without a name may belong to any instance.
+TEST(InstanceListingTest, ListsWithNamelessRowsShowNoInstanceAsGone) {
   InstanceListing listing;
   listing.Take({}, At(10), true);
   listing.Take({}, At(20));
@@ -65,7 +65,7 @@
   EXPECT_FALSE(listing.IsGone(kOne, At(0)));
 }
 
-TEST(InstanceListingTest, ARowThatComesAndGoesIsNeverGone) {
+TEST(InstanceListingTest, AnInstanceInEverySecondListIsNeverGone) {
   InstanceListing listing;
   for (int round = 0; round < 6; ++round) {
     listing.Take(Rows(round % 2 == 0 ? std::vector{kOne} : std::vector{kOther}),
--- a/tests/libraries/maintenance/maintenance_planner_test.cc
+++ b/tests/libraries/maintenance/maintenance_planner_test.cc
@@ -30,7 +30,7 @@
   }
   WallTime wall() const { return WallTime(this->now.time_since_epoch()); }
 
-  // One look; what it wants committed is committed.
+  // Runs one planning pass, commits its commands and returns its orders.
   std::vector<InstanceOrder> Look() {
     this->now += Milliseconds(100);
     MaintenanceOutput output = this->planner.Plan(
@@ -41,7 +41,7 @@
     }
     return output.orders;
   }
-  // Looks until there are orders, a few times at most.
+  // Runs up to five planning passes until there are orders.
   std::vector<InstanceOrder> LookForOrders() {
     for (int look = 0; look < 5; ++look) {
       std::vector<InstanceOrder> orders = this->Look();
@@ -60,7 +60,7 @@
   MaintenanceState StateOf(const std::string& name) const {
     return this->state.waves().at(kWave).instances.at(InstanceName(name)).state;
   }
-  // A whole list that was asked for at `asked_at` and comes now.
+  // Delivers a complete list that was requested at `asked_at`.
   void TakeList(const std::vector<std::string>& names, SteadyTime asked_at) {
     std::vector<ListedInstance> rows;
     rows.reserve(names.size());
@@ -69,8 +69,8 @@
     }
     this->listing.Take(rows, asked_at);
   }
-  // Lists that are asked for from now on and answered at once, with a look
-  // after each.
+  // Delivers lists that are requested from now on and answered at once, with a
+  // planning pass after each.
   void LookWithLists(const std::vector<std::string>& names, int lists) {
     for (int list = 0; list < lists; ++list) {
       this->now += Milliseconds(1);
@@ -92,7 +92,7 @@
   std::set<InstanceName> cordoned;
 };
 
-TEST_F(MaintenancePlannerTest, AWaveGoesThroughAllItsInstances) {
+TEST_F(MaintenancePlannerTest, AWaveMaintainsAllItsInstances) {
   this->AddInstance("m1");
   this->AddInstance("m2", 500);
   this->StartWave({InstanceName("m1"), InstanceName("m2")}, 1);
@@ -135,23 +135,25 @@
   EXPECT_EQ(this->LookForOrders().size(), 1U);
 }
 
-TEST_F(MaintenancePlannerTest, ALateAnnouncementIsNotTakenForTheReturn) {
+TEST_F(MaintenancePlannerTest, ALateAnnouncementIsNoReturn) {
   this->AddInstance("m1");
   this->AddInstance("m2");
   this->StartWave({InstanceName("m1"), InstanceName("m2")}, 1);
   const auto orders = this->LookForOrders();
   ASSERT_EQ(orders.size(), 1U);
   this->Answer(orders[0], InstanceResult::kDone);
-  // A life that began just before the order is heard of only now.
+  // An incarnation that started just before the order announces itself only
+  // now.
   this->LetTheInstanceComeBack("m1");
   EXPECT_TRUE(this->LookForOrders().empty());
   EXPECT_EQ(this->StateOf("m1"), MaintenanceState::kBegun);
 }
 
-// A cut held an announcement of an earlier life up for longer than the
-// maintenance takes. It was taken for the return, and the next instance went
-// down while this one still was.
-TEST_F(MaintenancePlannerTest, AnAnnouncementWithoutAnAnswerIsNoReturn) {
+// Guards against too many instances being down: a partition delayed an
+// announcement of an earlier incarnation for longer than the maintenance takes.
+// It counted as the return of the instance, and the next instance was taken
+// down while this one was still down.
+TEST_F(MaintenancePlannerTest, AnAnnouncementAloneIsNoReturn) {
   this->AddInstance("m1");
   this->AddInstance("m2");
   this->StartWave({InstanceName("m1"), InstanceName("m2")}, 1);
@@ -168,7 +170,7 @@
   EXPECT_EQ(this->StateOf("m1"), MaintenanceState::kOver);
 }
 
-TEST_F(MaintenancePlannerTest, AnInstanceThatMayBeDownUnansweredStaysCounted) {
+TEST_F(MaintenancePlannerTest, AnInstanceThatMayBeDownCountsAsDown) {
   this->AddInstance("m1");
   this->AddInstance("m2");
   this->StartWave({InstanceName("m1"), InstanceName("m2")}, 1);
@@ -205,10 +207,10 @@
   EXPECT_EQ(this->StateOf("m1"), MaintenanceState::kOver);
 }
 
-// A wave was told to be done while one of its instances had never been ordered
-// down. The instance was the fiftieth and appeared 0.4 to 0.9 s before the wave
-// was declared: the last list of instances before that, at 3.391 s, has 49
-// rows, the next one, at 4.270 s, has 50.
+// Guards against a wave that is reported as complete although one of its
+// instances was never maintained. The instance had appeared 0.4 to 0.9 s before
+// the wave was declared, so that the last list before the wave, with 49 rows,
+// lacked it; the next list, 0.9 s later, had 50 rows.
 TEST_F(MaintenancePlannerTest, AnInstanceThatAppearedAfterTheListIsMaintained) {
   this->AddInstance("m2", 500);
   this->TakeList({"m2"}, this->now);
@@ -221,7 +223,8 @@
   EXPECT_EQ(orders[0].instance.value(), "m1");
 }
 
-TEST_F(MaintenancePlannerTest, AListAskedForBeforeTheWaveShowsNobodyAsGone) {
+TEST_F(MaintenancePlannerTest,
+       AListRequestedBeforeTheWaveShowsNoInstanceAsGone) {
   const SteadyTime before = this->now;
   this->StartWave({InstanceName("m1")}, 1);
   this->Look();
@@ -232,10 +235,10 @@
   EXPECT_EQ(this->StateOf("m1"), MaintenanceState::kWaiting);
 }
 
-// A list is read page by page, and a row that moves to a page that was read
-// before is in none of them.
+// A list is read page by page. A row that moves to a page that was read already
+// is missing from the list.
 TEST_F(MaintenancePlannerTest, AnInstanceThatOneListLacksIsNotGone) {
-  // No orders yet.
+  // The leader has just begun and gives no orders yet.
   this->now = SteadyTime(Milliseconds(1'500));
   this->StartWave({InstanceName("m1")}, 1);
   this->Look();
@@ -246,7 +249,8 @@
   }
 }
 
-TEST_F(MaintenancePlannerTest, AnInstanceUnderWayThatOneListLacksIsNotBack) {
+TEST_F(MaintenancePlannerTest,
+       AnInstanceInMaintenanceThatOneListLacksIsNotOver) {
   this->AddInstance("m1");
   this->StartWave({InstanceName("m1")}, 1);
   const auto orders = this->LookForOrders();
@@ -271,7 +275,8 @@
   EXPECT_LE(this->LookForOrders().size(), 3U);
 }
 
-// It costs no capacity, so only the wave's bound holds it back.
+// An instance that is switched off costs no capacity, so only the wave's limit
+// applies to it.
 TEST_F(MaintenancePlannerTest, InstancesThatAreOffDoNotWaitForTheRamp) {
   std::vector<ListedInstance> list;
   std::vector<InstanceName> names;
