--- a/libraries/jobs/jobs_state.cc
+++ b/libraries/jobs/jobs_state.cc
@@ -64,7 +64,7 @@
   this->active.clear();
   this->finished.clear();
   this->by_id.clear();
-  this->present_lives.clear();
+  this->current_incarnations.clear();
   ++this->finishes;
   for (auto& [id, worker] : this->own_record.workers) {
     if (worker.name.value().empty()) {
@@ -72,7 +72,7 @@
       // of its incarnation.
       worker.name = WorkerName(id.value());
     }
-    this->present_lives[worker.name] = id;
+    this->current_incarnations[worker.name] = id;
   }
   for (const auto& [id, job] : this->own_record.jobs) {
     this->by_id[id] = &job;
@@ -101,22 +101,24 @@
   return found == this->own_record.workers.end() ? nullptr : &found->second;
 }
 
-const Worker* JobsState::FindPresentLife(const WorkerName& name) const {
-  const auto found = this->present_lives.find(name);
-  return found == this->present_lives.end() ? nullptr
-                                            : this->FindWorker(found->second);
+const Worker* JobsState::FindCurrentIncarnation(const WorkerName& name) const {
+  const auto found = this->current_incarnations.find(name);
+  return found == this->current_incarnations.end()
+             ? nullptr
+             : this->FindWorker(found->second);
 }
 
 // Returns the incarnation that a command refers to, or null. The command may
 // hold the worker's name instead of an incarnation's id. The last report of a
 // leaving worker may arrive after the worker has started again, so by name it
 // ends only an incarnation that is draining.
-const Worker* JobsState::LifeToForget(const ForgetWorker& command) const {
+const Worker* JobsState::FindIncarnationToForget(
+    const ForgetWorker& command) const {
   if (const Worker* worker = this->FindWorker(command.worker)) {
     return worker;
   }
   const Worker* present =
-      this->FindPresentLife(WorkerName(command.worker.value()));
+      this->FindCurrentIncarnation(WorkerName(command.worker.value()));
   return present != nullptr && present->is_draining ? present : nullptr;
 }
 
@@ -129,15 +131,15 @@
   };
   if (const auto* record = std::get_if<RecordWorker>(&command)) {
     touched.insert(record->worker.id);
-    add(this->FindPresentLife(record->worker.name));
+    add(this->FindCurrentIncarnation(record->worker.name));
   } else if (const auto* forget = std::get_if<ForgetWorker>(&command)) {
     touched.insert(forget->worker);
-    add(this->LifeToForget(*forget));
+    add(this->FindIncarnationToForget(*forget));
   }
   return touched;
 }
 
-void JobsState::EndLife(const WorkerId& worker, WallTime at) {
+void JobsState::EndIncarnation(const WorkerId& worker, WallTime at) {
   this->own_record.ended_workers.emplace(worker, at);
   this->own_record.workers.erase(worker);
 }
@@ -199,9 +201,9 @@
   if (announced.name.value().empty()) {
     announced.name = WorkerName(announced.id.value());
   }
-  const Worker* present = this->FindPresentLife(announced.name);
+  const Worker* present = this->FindCurrentIncarnation(announced.name);
   if (present != nullptr && present->id != announced.id) {
-    if (!announced.tells_start()) {
+    if (!announced.has_start_time()) {
       return fleet::Answer{
           .code = ResultCode::kStaleReport,
           .message = StrCat("a life of ", announced.name.value(),
@@ -210,9 +212,9 @@
     if (!announced.IsLaterThan(*present)) {
       return fleet::Answer::Success("a later life of it is known");
     }
-    this->EndLife(WorkerId(present->id), at);
+    this->EndIncarnation(WorkerId(present->id), at);
   }
-  this->present_lives[announced.name] = announced.id;
+  this->current_incarnations[announced.name] = announced.id;
   Worker& worker = this->own_record.workers[command.worker.id];
   if (announced.sequence < worker.sequence) {
     return fleet::Answer::Success("an older announcement changes nothing");
@@ -228,10 +230,10 @@
   for (const CrashedRun& run : command.crashed_runs) {
     this->TakeCrash(command.worker, run, at);
   }
-  const Worker* worker = this->LifeToForget(command);
+  const Worker* worker = this->FindIncarnationToForget(command);
   const bool is_by_name =
-      worker == nullptr &&
-      this->FindPresentLife(WorkerName(command.worker.value())) != nullptr;
+      worker == nullptr && this->FindCurrentIncarnation(
+                               WorkerName(command.worker.value())) != nullptr;
   if (is_by_name) {
     return fleet::Answer::Success("the present life has not said it leaves");
   }
@@ -241,13 +243,13 @@
   }
   const WorkerId id = worker == nullptr ? command.worker : worker->id;
   if (worker != nullptr) {
-    const auto present = this->present_lives.find(worker->name);
-    if (present != this->present_lives.end() && present->second == id) {
-      this->present_lives.erase(present);
+    const auto present = this->current_incarnations.find(worker->name);
+    if (present != this->current_incarnations.end() && present->second == id) {
+      this->current_incarnations.erase(present);
     }
   }
   if (command.is_over) {
-    this->EndLife(id, at);
+    this->EndIncarnation(id, at);
   }
   this->own_record.workers.erase(id);
   return fleet::Answer::Success("forgotten");
--- a/libraries/jobs/jobs_state.h
+++ b/libraries/jobs/jobs_state.h
@@ -113,7 +113,7 @@
   const Worker* FindWorker(const WorkerId& id) const;
   // Returns the current incarnation of the worker with this name, or null if
   // none is known.
-  const Worker* FindPresentLife(const WorkerName& name) const;
+  const Worker* FindCurrentIncarnation(const WorkerName& name) const;
   // Returns the workers that a command would record, end or replace. Must be
   // called before the command is applied.
   std::set<WorkerId> WorkersTouchedBy(const Command& command) const;
@@ -149,8 +149,8 @@
   void FollowDeclaration(Job& job) const;
   void DropOldRecords(WallTime now);
   void SweepInstanceRecords(WallTime now);
-  const Worker* LifeToForget(const ForgetWorker& command) const;
-  void EndLife(const WorkerId& worker, WallTime at);
+  const Worker* FindIncarnationToForget(const ForgetWorker& command) const;
+  void EndIncarnation(const WorkerId& worker, WallTime at);
   void Reindex();
 
   DeclarationDecoder decoder;
@@ -159,7 +159,7 @@
   std::uint64_t finishes = 1;
   std::map<std::uint64_t, const Job*> active;
   // The current incarnation of each worker, by the worker's name.
-  std::unordered_map<WorkerName, WorkerId> present_lives;
+  std::unordered_map<WorkerName, WorkerId> current_incarnations;
   // Every job by its id; lookups by id are frequent.
   std::unordered_map<JobId, const Job*> by_id;
   // Finished jobs by the time of their end; they are removed in that order.
--- a/libraries/jobs/worker.h
+++ b/libraries/jobs/worker.h
@@ -40,7 +40,7 @@
   // late announcement is recognised.
   std::uint64_t sequence = 0;
 
-  bool tells_start() const { return this->born != WallTime{}; }
+  bool has_start_time() const { return this->born != WallTime{}; }
   // True if this incarnation shows that `other`, which has the same name, is
   // over.
   bool IsLaterThan(const Worker& other) const {
