--- a/libraries/jobs/jobs_state.cc
+++ b/libraries/jobs/jobs_state.cc
@@ -44,7 +44,7 @@
 fleet::Answer JobsState::Apply(const StampedCommand& command) {
   this->DropOldRecords(command.at);
   return std::visit(
-      [&](const auto& body) { return this->Take(body, command.at); },
+      [&](const auto& body) { return this->ApplyCommand(body, command.at); },
       command.command);
 }
 
@@ -122,21 +122,22 @@
   return present != nullptr && present->is_draining ? present : nullptr;
 }
 
-std::set<WorkerId> JobsState::WorkersTouchedBy(const Command& command) const {
-  std::set<WorkerId> touched;
-  const auto add = [&touched](const Worker* worker) {
+std::set<WorkerId> JobsState::FindAffectedWorkers(
+    const Command& command) const {
+  std::set<WorkerId> affected;
+  const auto add = [&affected](const Worker* worker) {
     if (worker != nullptr) {
-      touched.insert(worker->id);
+      affected.insert(worker->id);
     }
   };
   if (const auto* record = std::get_if<RecordWorker>(&command)) {
-    touched.insert(record->worker.id);
+    affected.insert(record->worker.id);
     add(this->FindCurrentIncarnation(record->worker.name));
   } else if (const auto* forget = std::get_if<ForgetWorker>(&command)) {
-    touched.insert(forget->worker);
+    affected.insert(forget->worker);
     add(this->FindIncarnationToForget(*forget));
   }
-  return touched;
+  return affected;
 }
 
 void JobsState::EndIncarnation(const WorkerId& worker, WallTime at) {
@@ -144,12 +145,13 @@
   this->own_record.workers.erase(worker);
 }
 
-fleet::Answer JobsState::Take(const BeginEpoch& /*command*/, WallTime /*at*/) {
+fleet::Answer JobsState::ApplyCommand(const BeginEpoch& /*command*/,
+                                      WallTime /*at*/) {
   this->own_record.epoch = this->own_record.epoch.Next();
   return fleet::Answer{.document = {{"epoch", this->own_record.epoch.value()}}};
 }
 
-std::optional<fleet::Answer> JobsState::AnswerIfOld(
+std::optional<fleet::Answer> JobsState::AnswerIfNotNewer(
     const Declare& command) const {
   if (command.version > this->own_record.declaration_version) {
     return std::nullopt;
@@ -157,26 +159,26 @@
   return fleet::Answer::Success("a version as high is already in force");
 }
 
-fleet::Answer JobsState::Take(const Declare& command, WallTime /*at*/) {
+fleet::Answer JobsState::ApplyCommand(const Declare& command, WallTime /*at*/) {
   absl::StatusOr<JobsDeclaration> read = this->decoder(command.document);
   if (!read.ok()) {
     return fleet::Answer::FromStatus(read.status());
   }
-  if (const auto answer = this->AnswerIfOld(command)) {
+  if (const auto answer = this->AnswerIfNotNewer(command)) {
     return *answer;
   }
   this->own_record.declaration_version = command.version;
   this->own_record.declaration_document = command.document;
   this->declared = *std::move(read);
   for (const auto& [sequence, job] : this->active) {
-    this->FollowDeclaration(this->own_record.jobs.at(job->id));
+    this->UpdateFromDeclaration(this->own_record.jobs.at(job->id));
   }
   return fleet::Answer::Success("in force");
 }
 
 // Assigns a job to the service that its queue now belongs to. Jobs of a queue
 // that is no longer declared keep their service.
-void JobsState::FollowDeclaration(Job& job) const {
+void JobsState::UpdateFromDeclaration(Job& job) const {
   const QueueDeclaration* queue = this->declared.FindQueue(job.queue);
   if (queue == nullptr) {
     return;
@@ -193,7 +195,8 @@
   job.most_attempts = queue->most_attempts;
 }
 
-fleet::Answer JobsState::Take(const RecordWorker& command, WallTime at) {
+fleet::Answer JobsState::ApplyCommand(const RecordWorker& command,
+                                      WallTime at) {
   if (this->own_record.ended_workers.contains(command.worker.id)) {
     return fleet::Answer::Success("its life is over");
   }
@@ -226,9 +229,10 @@
   return fleet::Answer::Success("recorded");
 }
 
-fleet::Answer JobsState::Take(const ForgetWorker& command, WallTime at) {
+fleet::Answer JobsState::ApplyCommand(const ForgetWorker& command,
+                                      WallTime at) {
   for (const CrashedRun& run : command.crashed_runs) {
-    this->TakeCrash(command.worker, run, at);
+    this->ApplyCrash(command.worker, run, at);
   }
   const Worker* worker = this->FindIncarnationToForget(command);
   const bool is_by_name =
@@ -255,7 +259,7 @@
   return fleet::Answer::Success("forgotten");
 }
 
-fleet::Answer JobsState::Take(const SubmitJob& command, WallTime at) {
+fleet::Answer JobsState::ApplyCommand(const SubmitJob& command, WallTime at) {
   if (this->own_record.jobs.contains(command.job)) {
     return fleet::Answer::Success("accepted before");
   }
@@ -279,7 +283,7 @@
   return fleet::Answer::Success("accepted");
 }
 
-fleet::Answer JobsState::Take(const CancelJob& command, WallTime at) {
+fleet::Answer JobsState::ApplyCommand(const CancelJob& command, WallTime at) {
   const auto found = this->own_record.jobs.find(command.job);
   if (found == this->own_record.jobs.end()) {
     return fleet::Answer{
@@ -292,14 +296,15 @@
   return fleet::Answer::Success("cancelled");
 }
 
-fleet::Answer JobsState::Take(const RecordEnds& command, WallTime at) {
+fleet::Answer JobsState::ApplyCommand(const RecordEnds& command, WallTime at) {
   for (const RunEnd& end : command.ends) {
-    this->TakeEnd(end, at);
+    this->ApplyRunEnd(end, at);
   }
   return fleet::Answer::Success("recorded");
 }
 
-fleet::Answer JobsState::Take(const RecordBegun& command, WallTime /*at*/) {
+fleet::Answer JobsState::ApplyCommand(const RecordBegun& command,
+                                      WallTime /*at*/) {
   for (const JobId& id : command.jobs) {
     const auto found = this->own_record.jobs.find(id);
     if (found != this->own_record.jobs.end()) {
@@ -309,7 +314,7 @@
   return fleet::Answer::Success("recorded");
 }
 
-void JobsState::TakeEnd(const RunEnd& end, WallTime at) {
+void JobsState::ApplyRunEnd(const RunEnd& end, WallTime at) {
   const auto found = this->own_record.jobs.find(end.task.step.job);
   if (found == this->own_record.jobs.end()) {
     return;
@@ -325,7 +330,7 @@
   }
   StepProgress& step = occurrence->second.steps[end.task.step.step];
   if (job.spec.steps[end.task.step.step].is_gang) {
-    this->TakeGangEnd(job, end, step, at);
+    this->ApplyGangEnd(job, end, step, at);
     return;
   }
   TaskProgress& task = step.tasks[end.task.index];
@@ -339,7 +344,7 @@
   if (end.outcome == RunOutcome::kDone) {
     task.is_done = true;
     ++step.done_count;
-    this->CountDone(job, end.task, at);
+    this->FinishIfAllDone(job, end.task, at);
     return;
   }
   if (is_repeated) {
@@ -364,9 +369,9 @@
   return crashes != nullptr && crashes->Has(run.run);
 }
 
-void JobsState::TakeCrash(const WorkerId& worker,
-                          const CrashedRun& run,
-                          WallTime at) {
+void JobsState::ApplyCrash(const WorkerId& worker,
+                           const CrashedRun& run,
+                           WallTime at) {
   if (this->IsCrashSettled(run)) {
     return;
   }
@@ -388,10 +393,10 @@
 
 // The members of a gang share their runs: one member that is done counts for
 // all, and a failed run counts once, however many members report it.
-void JobsState::TakeGangEnd(Job& job,
-                            const RunEnd& end,
-                            StepProgress& step,
-                            WallTime at) {
+void JobsState::ApplyGangEnd(Job& job,
+                             const RunEnd& end,
+                             StepProgress& step,
+                             WallTime at) {
   TaskProgress& first = step.tasks.front();
   const bool is_repeated = end.run <= first.last_ended_run;
   if (step.is_done()) {
@@ -407,7 +412,7 @@
       task.is_done = true;
     }
     step.done_count = static_cast<std::uint32_t>(step.tasks.size());
-    this->CountDone(job, end.task, at);
+    this->FinishIfAllDone(job, end.task, at);
     return;
   }
   if (is_repeated || is_long_running) {
@@ -422,7 +427,7 @@
   }
 }
 
-void JobsState::CountDone(Job& job, const TaskId& task, WallTime at) {
+void JobsState::FinishIfAllDone(Job& job, const TaskId& task, WallTime at) {
   if (!job.occurrences.at(task.step.occurrence).is_done()) {
     return;
   }
@@ -476,7 +481,7 @@
   });
 }
 
-fleet::Answer JobsState::Take(const StartWave& command, WallTime at) {
+fleet::Answer JobsState::ApplyCommand(const StartWave& command, WallTime at) {
   if (this->own_record.waves.contains(command.wave)) {
     return fleet::Answer::Success("started before");
   }
@@ -491,7 +496,8 @@
   return fleet::Answer::Success("started");
 }
 
-fleet::Answer JobsState::Take(const RecordMaintenance& command, WallTime at) {
+fleet::Answer JobsState::ApplyCommand(const RecordMaintenance& command,
+                                      WallTime at) {
   const auto wave = this->own_record.waves.find(command.wave);
   if (wave == this->own_record.waves.end() ||
       !wave->second.instances.contains(command.instance)) {
@@ -515,7 +521,7 @@
   return fleet::Answer::Success("recorded");
 }
 
-fleet::Answer JobsState::Take(const RecordMoves& command, WallTime at) {
+fleet::Answer JobsState::ApplyCommand(const RecordMoves& command, WallTime at) {
   for (const InstanceName& instance : command.instances) {
     const auto worker = command.workers.find(instance);
     this->own_record.moves[instance] = MoveRecord{
--- a/libraries/jobs/jobs_state.h
+++ b/libraries/jobs/jobs_state.h
@@ -91,7 +91,7 @@
   // Returns the answer to a declaration that changes nothing because its
   // version or a higher one is in force. Returns nothing for a declaration that
   // has to be committed.
-  std::optional<fleet::Answer> AnswerIfOld(const Declare& command) const;
+  std::optional<fleet::Answer> AnswerIfNotNewer(const Declare& command) const;
 
   // Replaces the whole state with that of an encoded snapshot.
   absl::Status Load(const std::string& bytes);
@@ -116,7 +116,7 @@
   const Worker* FindCurrentIncarnation(const WorkerName& name) const;
   // Returns the workers that a command would record, end or replace. Must be
   // called before the command is applied.
-  std::set<WorkerId> WorkersTouchedBy(const Command& command) const;
+  std::set<WorkerId> FindAffectedWorkers(const Command& command) const;
   // True if this crash needs no record any more: it is recorded already, or its
   // task is done, or its job has finished.
   bool IsCrashSettled(const CrashedRun& run) const;
@@ -126,27 +126,27 @@
   }
 
  private:
-  fleet::Answer Take(const BeginEpoch& command, WallTime at);
-  fleet::Answer Take(const Declare& command, WallTime at);
-  fleet::Answer Take(const RecordWorker& command, WallTime at);
-  fleet::Answer Take(const ForgetWorker& command, WallTime at);
-  fleet::Answer Take(const SubmitJob& command, WallTime at);
-  fleet::Answer Take(const CancelJob& command, WallTime at);
-  fleet::Answer Take(const RecordEnds& command, WallTime at);
-  fleet::Answer Take(const RecordBegun& command, WallTime at);
-  fleet::Answer Take(const StartWave& command, WallTime at);
-  fleet::Answer Take(const RecordMaintenance& command, WallTime at);
-  fleet::Answer Take(const RecordMoves& command, WallTime at);
-
-  void TakeEnd(const RunEnd& end, WallTime at);
-  void TakeCrash(const WorkerId& worker, const CrashedRun& run, WallTime at);
-  void TakeGangEnd(Job& job,
-                   const RunEnd& end,
-                   StepProgress& step,
-                   WallTime at);
-  void CountDone(Job& job, const TaskId& task, WallTime at);
+  fleet::Answer ApplyCommand(const BeginEpoch& command, WallTime at);
+  fleet::Answer ApplyCommand(const Declare& command, WallTime at);
+  fleet::Answer ApplyCommand(const RecordWorker& command, WallTime at);
+  fleet::Answer ApplyCommand(const ForgetWorker& command, WallTime at);
+  fleet::Answer ApplyCommand(const SubmitJob& command, WallTime at);
+  fleet::Answer ApplyCommand(const CancelJob& command, WallTime at);
+  fleet::Answer ApplyCommand(const RecordEnds& command, WallTime at);
+  fleet::Answer ApplyCommand(const RecordBegun& command, WallTime at);
+  fleet::Answer ApplyCommand(const StartWave& command, WallTime at);
+  fleet::Answer ApplyCommand(const RecordMaintenance& command, WallTime at);
+  fleet::Answer ApplyCommand(const RecordMoves& command, WallTime at);
+
+  void ApplyRunEnd(const RunEnd& end, WallTime at);
+  void ApplyCrash(const WorkerId& worker, const CrashedRun& run, WallTime at);
+  void ApplyGangEnd(Job& job,
+                    const RunEnd& end,
+                    StepProgress& step,
+                    WallTime at);
+  void FinishIfAllDone(Job& job, const TaskId& task, WallTime at);
   void Finish(Job& job, JobState state, std::string reason, WallTime at);
-  void FollowDeclaration(Job& job) const;
+  void UpdateFromDeclaration(Job& job) const;
   void DropOldRecords(WallTime now);
   void SweepInstanceRecords(WallTime now);
   const Worker* FindIncarnationToForget(const ForgetWorker& command) const;
--- a/services/sumacd/job_controller.cc
+++ b/services/sumacd/job_controller.cc
@@ -320,7 +320,7 @@
   if (!this->scheduler) {
     return;
   }
-  this->changed_workers.merge(this->jobs_state.WorkersTouchedBy(command));
+  this->changed_workers.merge(this->jobs_state.FindAffectedWorkers(command));
 }
 
 // The active jobs that a command may finish; while another controller leads,
@@ -564,7 +564,7 @@
     // Reading a document takes every controller some 3 ms, and operators send
     // each again until they have its answer: 14 in two seconds took a tenth of
     // a busy leader's loop. The door has checked that it is valid.
-    if (auto answer = this->jobs_state.AnswerIfOld(*declare)) {
+    if (auto answer = this->jobs_state.AnswerIfNotNewer(*declare)) {
       return *std::move(answer);
     }
   }
