--- a/libraries/jobs/jobs_state.cc
+++ b/libraries/jobs/jobs_state.cc
@@ -14,11 +14,11 @@
 
 // The time for which a finished job is kept for queries. Users require 120 s at
 // most; the rest is a margin for clock differences.
-constexpr Milliseconds kKeepFinished{180'000};
+constexpr Milliseconds kFinishedRetention{180'000};
 
 // The time for which moves are kept. They matter to a later leader for only a
 // few seconds.
-constexpr Milliseconds kKeepMoves{30'000};
+constexpr Milliseconds kMoveRetention{30'000};
 
 // The interval between sweeps for old moves and ended workers. A sweep scans
 // all of them; at each command this took a tenth of a leader's processor time
@@ -455,7 +455,7 @@
 
 void JobsState::DropOldRecords(WallTime now) {
   while (!this->finished.empty() &&
-         this->finished.begin()->first + kKeepFinished < now) {
+         this->finished.begin()->first + kFinishedRetention < now) {
     this->by_id.erase(this->finished.begin()->second);
     this->own_record.jobs.erase(this->finished.begin()->second);
     this->finished.erase(this->finished.begin());
@@ -474,10 +474,10 @@
 void JobsState::SweepInstanceRecords(WallTime now) {
   this->own_record.swept_at = now;
   std::erase_if(this->own_record.moves, [now](const auto& move) {
-    return move.second.at + kKeepMoves < now;
+    return move.second.at + kMoveRetention < now;
   });
   std::erase_if(this->own_record.ended_workers, [now](const auto& ended) {
-    return ended.second + kKeepFinished < now;
+    return ended.second + kFinishedRetention < now;
   });
 }
 
--- a/libraries/jobs/task_crashes.h
+++ b/libraries/jobs/task_crashes.h
@@ -57,14 +57,14 @@
 struct TaskCrashes {
   // The number of crashes after which a task is not started again, if at least
   // two of the workers were certainly running it.
-  static constexpr std::size_t kMost = 3;
+  static constexpr std::size_t kCrashLimit = 3;
   // The same number, however many workers were certainly running the task. A
   // start without an answer may never have arrived, and a run may have ended
   // without a report, but not every time.
-  static constexpr std::size_t kMostOfAll = 4;
+  static constexpr std::size_t kUnconfirmedCrashLimit = 4;
   // The same number if this task is the only suspect of the last crash and
   // every worker was certainly running it.
-  static constexpr std::size_t kMostOfOnlySuspect = 2;
+  static constexpr std::size_t kOnlySuspectCrashLimit = 2;
   // A task whose worker still sent messages this long after the start is not a
   // suspect after one crash: a task that crashes its worker does so as it
   // starts.
@@ -77,7 +77,7 @@
   bool Has(const RunNumber& run) const;
   // Returns how many of the workers were certainly running the task when they
   // crashed.
-  std::size_t CountCertain() const;
+  std::size_t CountConfirmed() const;
   // True if the task must not be started again.
   bool IsOverLimit() const;
   // True if the task may be the cause of the crashes.
