--- a/libraries/jobs/service_demand.h
+++ b/libraries/jobs/service_demand.h
@@ -25,13 +25,13 @@
   // no value any more.
   std::int64_t late_millicores = 0;
   // The demand of long-running tasks.
-  std::int64_t lasting_millicores = 0;
+  std::int64_t long_running_millicores = 0;
   // The part of the demand above that only workers with a label can serve, by
   // label. It excludes the load of jobs that have yet to arrive.
   std::map<std::string, LabelDemand> by_label;
   // The minimum number of instances over which the tasks of one step must be
   // spread.
-  std::int64_t fewest_instances = 0;
+  std::int64_t min_instances = 0;
 };
 
 }  // namespace sumac::jobs
--- a/libraries/maintenance/capacity_planner.cc
+++ b/libraries/maintenance/capacity_planner.cc
@@ -320,11 +320,11 @@
     const jobs::ServiceDemand& service,
     std::int64_t short_millicores) const {
   const std::int64_t millicores =
-      service.lasting_millicores +
+      service.long_running_millicores +
       short_millicores * (kPermille + this->settings.reserve_permille) /
           kPermille;
   return std::max(
-      {this->settings.fewest_per_pool, service.fewest_instances,
+      {this->settings.fewest_per_pool, service.min_instances,
        (millicores + pool.instance_millicores - 1) / pool.instance_millicores});
 }
 
--- a/tests/libraries/maintenance/capacity_planner_test.cc
+++ b/tests/libraries/maintenance/capacity_planner_test.cc
@@ -192,7 +192,7 @@
   this->AddInstances(kBusy, 5);
   this->AddInstances(kQuiet, 2);
   this->AddIdle(1);
-  this->demand[kBusy] = {.lasting_millicores = 5'000, .fewest_instances = 5};
+  this->demand[kBusy] = {.long_running_millicores = 5'000, .min_instances = 5};
   this->demand[kQuiet] = {};
   this->now += Milliseconds(10'000);
   EXPECT_TRUE(this->Plan().orders.empty());
