--- a/libraries/maintenance/capacity_planner.cc
+++ b/libraries/maintenance/capacity_planner.cc
@@ -26,8 +26,8 @@
       epoch(epoch),
       began_at(now) {}
 
-void CapacityPlanner::TakeList(const InstanceListing& listing) {
-  const SteadyTime asked_at = listing.asked_at().value_or(SteadyTime{});
+void CapacityPlanner::UpdateListing(const InstanceListing& listing) {
+  const SteadyTime requested_at = listing.requested_at().value_or(SteadyTime{});
   std::map<InstanceName, Place> listed;
   std::erase_if(this->labels, [&listing](const auto& known) {
     return !listing.rows().contains(known.first);
@@ -42,11 +42,11 @@
                                  (instance.state == InstanceState::kMoving ||
                                   instance.state == InstanceState::kUnknown ||
                                   (instance.state == InstanceState::kUp &&
-                                   known->second.known_at >= asked_at));
+                                   known->second.known_at >= requested_at));
     if (is_known_better) {
       listed.insert(*known);
     } else if (instance.state == InstanceState::kUp) {
-      listed[name] = Place{instance.service, asked_at};
+      listed[name] = Place{instance.service, requested_at};
     }
   }
   this->idle = std::move(listed);
@@ -524,7 +524,7 @@
   }
 }
 
-std::vector<jobs::Command> CapacityPlanner::TakeResult(
+std::vector<jobs::Command> CapacityPlanner::HandleOrderResult(
     const InstanceOrder& order,
     InstanceResult result,
     SteadyTime now) {
@@ -546,7 +546,7 @@
       }
       break;
     case InstanceResult::kBusy:
-    case InstanceResult::kNotOfWave:
+    case InstanceResult::kNotInWave:
     case InstanceResult::kUnknownInstance:
       this->moves.erase(found);
       break;
--- a/libraries/maintenance/capacity_planner.h
+++ b/libraries/maintenance/capacity_planner.h
@@ -73,12 +73,12 @@
 
   // Updates the known pools and labels of instances from a new list of the
   // platform.
-  void TakeList(const InstanceListing& listing);
+  void UpdateListing(const InstanceListing& listing);
 
   // Handles the result of an order, and returns the commands to be committed.
-  std::vector<jobs::Command> TakeResult(const InstanceOrder& order,
-                                        InstanceResult result,
-                                        SteadyTime now);
+  std::vector<jobs::Command> HandleOrderResult(const InstanceOrder& order,
+                                               InstanceResult result,
+                                               SteadyTime now);
 
   // Returns the instances that are being moved to another pool.
   std::set<InstanceName> Moving() const;
--- a/libraries/maintenance/instance_listing.h
+++ b/libraries/maintenance/instance_listing.h
@@ -19,12 +19,12 @@
 // it, and only if it existed before the first of them was requested. Pure.
 class InstanceListing {
  public:
-  // Records a complete list whose first page was requested at `asked_at`. If
-  // some of its rows do not name their instance, no instance counts as gone on
-  // the basis of this list.
-  void Take(std::vector<ListedInstance> instances,
-            SteadyTime asked_at,
-            bool has_nameless_rows = false);
+  // Records a complete list whose first page was requested at `requested_at`.
+  // If some of its rows do not name their instance, no instance counts as gone
+  // on the basis of this list.
+  void RecordList(std::vector<ListedInstance> instances,
+                  SteadyTime requested_at,
+                  bool has_nameless_rows = false);
 
   // Returns the rows of the last list, and those rows of the list before it
   // that the last one lacks.
@@ -36,7 +36,9 @@
 
   // Returns when the last list was requested, or nothing if there has been no
   // list.
-  std::optional<SteadyTime> asked_at() const { return this->last_asked_at; }
+  std::optional<SteadyTime> requested_at() const {
+    return this->last_requested_at;
+  }
 
   // True if some rows of the last list do not name their instance, so that they
   // may belong to any instance.
@@ -50,15 +52,15 @@
   std::map<InstanceName, ListedInstance> known;
   // True if every row of the last two lists names its instance.
   bool is_complete() const {
-    return !this->is_last_incomplete && !this->is_before_incomplete;
+    return !this->is_last_incomplete && !this->is_previous_incomplete;
   }
 
   // The names of the rows of `known` that the last list lacks.
-  std::set<InstanceName> missed;
-  std::optional<SteadyTime> last_asked_at;
-  std::optional<SteadyTime> asked_before_at;
+  std::set<InstanceName> absent_rows;
+  std::optional<SteadyTime> last_requested_at;
+  std::optional<SteadyTime> previous_requested_at;
   bool is_last_incomplete = false;
-  bool is_before_incomplete = false;
+  bool is_previous_incomplete = false;
 };
 
 }  // namespace sumac::maintenance
--- a/libraries/maintenance/instance_messages.h
+++ b/libraries/maintenance/instance_messages.h
@@ -68,7 +68,7 @@
   // An order with a higher fencing token was given for the instance before.
   kFenced,
   // The instance does not belong to that wave.
-  kNotOfWave,
+  kNotInWave,
   // There is no such instance, or it cannot be moved to that pool.
   kUnknownInstance,
   // The platform accepts no more orders at present, and did nothing.
--- a/libraries/maintenance/maintenance_planner.cc
+++ b/libraries/maintenance/maintenance_planner.cc
@@ -19,7 +19,7 @@
       epoch(epoch),
       began_at(now) {}
 
-bool MaintenancePlanner::NeedsList(const jobs::JobsState& state) {
+bool MaintenancePlanner::NeedsListing(const jobs::JobsState& state) {
   return std::any_of(state.waves().begin(), state.waves().end(),
                      [](const auto& wave) { return !wave.second.is_done(); });
 }
@@ -225,9 +225,10 @@
     return "it is gone: no list shows it";
   }
   const ListedInstance* row = sight.listing.Find(name);
-  const bool is_listed_as_back =
-      row != nullptr && row->state != InstanceState::kInMaintenance &&
-      row->state != InstanceState::kUnknown && sight.listing.asked_at() > since;
+  const bool is_listed_as_back = row != nullptr &&
+                                 row->state != InstanceState::kInMaintenance &&
+                                 row->state != InstanceState::kUnknown &&
+                                 sight.listing.requested_at() > since;
   if (!maintenance.worker.value().empty() || !is_listed_as_back) {
     return std::nullopt;
   }
@@ -243,7 +244,7 @@
   output.notes.push_back({wave.id, name, std::move(reason)});
 }
 
-std::vector<jobs::Command> MaintenancePlanner::TakeResult(
+std::vector<jobs::Command> MaintenancePlanner::HandleOrderResult(
     const jobs::JobsState& state,
     const InstanceOrder& order,
     InstanceResult result,
@@ -286,7 +287,7 @@
       }
       break;
     }
-    case InstanceResult::kNotOfWave:
+    case InstanceResult::kNotInWave:
     case InstanceResult::kUnknownInstance:
       this->cordons.erase(order.instance);
       record(MaintenanceState::kOver);
--- a/libraries/maintenance/maintenance_planner.h
+++ b/libraries/maintenance/maintenance_planner.h
@@ -95,14 +95,14 @@
                          SteadyTime now);
 
   // Handles the result of an order, and returns the commands to be committed.
-  std::vector<jobs::Command> TakeResult(const jobs::JobsState& state,
-                                        const InstanceOrder& order,
-                                        InstanceResult result,
-                                        SteadyTime now);
+  std::vector<jobs::Command> HandleOrderResult(const jobs::JobsState& state,
+                                               const InstanceOrder& order,
+                                               InstanceResult result,
+                                               SteadyTime now);
 
   // True if a wave is under way, so that an up-to-date list of instances is
   // needed.
-  static bool NeedsList(const jobs::JobsState& state);
+  static bool NeedsListing(const jobs::JobsState& state);
 
   // True once an order was refused because a higher fencing token had been
   // used. This leader gives no more orders then.
--- a/tests/libraries/maintenance/capacity_planner_test.cc
+++ b/tests/libraries/maintenance/capacity_planner_test.cc
@@ -70,12 +70,12 @@
                       .service = kOff,
                       .state = InstanceState::kUp});
     }
-    this->TakeList(list);
+    this->DeliverList(list);
   }
   // Delivers a list that was requested now.
-  void TakeList(std::vector<ListedInstance> rows) {
-    this->listing.Take(std::move(rows), this->now);
-    this->planner.TakeList(this->listing);
+  void DeliverList(std::vector<ListedInstance> rows) {
+    this->listing.RecordList(std::move(rows), this->now);
+    this->planner.UpdateListing(this->listing);
   }
   // Runs two planning passes and commits their commands. Returns the output of
   // the first, with the orders of the second, which follow once the commands
@@ -112,7 +112,7 @@
       return InstanceName();
     }
     const InstanceOrder& order = output.orders.front();
-    this->planner.TakeResult(order, InstanceResult::kDone, this->now);
+    this->planner.HandleOrderResult(order, InstanceResult::kDone, this->now);
     this->facts.erase(order.instance);
     return order.instance;
   }
@@ -220,8 +220,8 @@
   const CapacityOutput first = this->Plan();
   ASSERT_EQ(first.orders.size(), 1U);
   EXPECT_TRUE(this->Plan().orders.empty());
-  this->planner.TakeResult(first.orders[0], InstanceResult::kUnknown,
-                           this->now);
+  this->planner.HandleOrderResult(first.orders[0], InstanceResult::kUnknown,
+                                  this->now);
   this->now += CapacitySettings().retry;
   EXPECT_EQ(this->Plan().orders.size(), 1U);
 }
@@ -234,7 +234,7 @@
   this->demand[kQuiet] = {};
   const CapacityOutput output = this->Plan();
   ASSERT_EQ(output.orders.size(), 1U);
-  const auto commands = this->planner.TakeResult(
+  const auto commands = this->planner.HandleOrderResult(
       output.orders[0], InstanceResult::kDone, this->now);
   ASSERT_EQ(commands.size(), 1U);
   const auto& forget = std::get<jobs::ForgetWorker>(commands[0]);
@@ -248,7 +248,7 @@
 TEST_F(CapacityPlannerTest,
        AnInstanceThatWasJustSwitchedOffIsUsedOnceItArrived) {
   const InstanceName moved = this->SwitchOneOff();
-  this->TakeList(
+  this->DeliverList(
       {{.name = moved, .service = kQuiet, .state = InstanceState::kMoving}});
   this->demand[kBusy].short_millicores = 2 * kCores;
   this->now += CapacitySettings().move_time / 2;
@@ -263,12 +263,12 @@
 // and arrives after it shows the instance in its previous pool. The instance
 // then did not count as switched off until the next list, 15 s later.
 TEST_F(CapacityPlannerTest, AListFromBeforeAMoveDoesNotUndoIt) {
-  const SteadyTime asked_at = this->now;
+  const SteadyTime requested_at = this->now;
   const InstanceName moved = this->SwitchOneOff();
-  this->listing.Take(
+  this->listing.RecordList(
       {{.name = moved, .service = kQuiet, .state = InstanceState::kUp}},
-      asked_at);
-  this->planner.TakeList(this->listing);
+      requested_at);
+  this->planner.UpdateListing(this->listing);
   this->demand[kBusy].short_millicores = 2 * kCores;
   this->now += CapacitySettings().move_time;
   EXPECT_EQ(PoolsOf(this->Plan()), std::vector<std::string>{"busy"});
@@ -303,7 +303,8 @@
   const CapacityOutput output = this->Plan();
   ASSERT_FALSE(output.orders.empty());
   const InstanceName moved = output.orders[0].instance;
-  this->planner.TakeResult(output.orders[0], InstanceResult::kDone, this->now);
+  this->planner.HandleOrderResult(output.orders[0], InstanceResult::kDone,
+                                  this->now);
   this->facts[moved] =
       InstanceFacts{.worker = WorkerId("before"), .is_only_announced = true};
   EXPECT_TRUE(this->Plan().cordoned.contains(moved));
@@ -340,14 +341,14 @@
 TEST_F(CapacityPlannerTest, APoolTakesInstancesThatHaveTheLabel) {
   this->AddInstances(kBusy, 2);
   this->AddInstances(kQuiet, 2);
-  this->TakeList({{.name = InstanceName("idle0"),
-                   .service = kOff,
-                   .state = InstanceState::kUp,
-                   .labels = {"a"}},
-                  {.name = InstanceName("idle1"),
-                   .service = kOff,
-                   .state = InstanceState::kUp,
-                   .labels = {"b"}}});
+  this->DeliverList({{.name = InstanceName("idle0"),
+                      .service = kOff,
+                      .state = InstanceState::kUp,
+                      .labels = {"a"}},
+                     {.name = InstanceName("idle1"),
+                      .service = kOff,
+                      .state = InstanceState::kUp,
+                      .labels = {"b"}}});
   this->demand[kQuiet] = {};
   this->Demand(kBusy, "b", 1'000);
   const CapacityOutput output = this->Plan();
@@ -415,8 +416,8 @@
   this->demand[kBusy].short_millicores = 2 * kCores;
   const CapacityOutput output = this->Plan();
   ASSERT_EQ(output.orders.size(), 1U);
-  this->planner.TakeResult(output.orders[0], InstanceResult::kFenced,
-                           this->now);
+  this->planner.HandleOrderResult(output.orders[0], InstanceResult::kFenced,
+                                  this->now);
   this->now += Milliseconds(2'000);
   EXPECT_TRUE(this->Plan().orders.empty());
 }
--- a/tests/libraries/maintenance/maintenance_planner_test.cc
+++ b/tests/libraries/maintenance/maintenance_planner_test.cc
@@ -52,29 +52,30 @@
     return {};
   }
   void Answer(const InstanceOrder& order, InstanceResult result) {
-    for (jobs::Command& command :
-         this->planner.TakeResult(this->state, order, result, this->now)) {
+    for (jobs::Command& command : this->planner.HandleOrderResult(
+             this->state, order, result, this->now)) {
       this->Commit(std::move(command));
     }
   }
   MaintenanceState StateOf(const std::string& name) const {
     return this->state.waves().at(kWave).instances.at(InstanceName(name)).state;
   }
-  // Delivers a complete list that was requested at `asked_at`.
-  void TakeList(const std::vector<std::string>& names, SteadyTime asked_at) {
+  // Delivers a complete list that was requested at `requested_at`.
+  void DeliverList(const std::vector<std::string>& names,
+                   SteadyTime requested_at) {
     std::vector<ListedInstance> rows;
     rows.reserve(names.size());
     for (const std::string& name : names) {
       rows.push_back({.name = InstanceName(name), .state = InstanceState::kUp});
     }
-    this->listing.Take(rows, asked_at);
+    this->listing.RecordList(rows, requested_at);
   }
   // Delivers lists that are requested from now on and answered at once, with a
   // planning pass after each.
   void LookWithLists(const std::vector<std::string>& names, int lists) {
     for (int list = 0; list < lists; ++list) {
       this->now += Milliseconds(1);
-      this->TakeList(names, this->now);
+      this->DeliverList(names, this->now);
       this->Look();
     }
   }
@@ -213,7 +214,7 @@
 // lacked it; the next list, 0.9 s later, had 50 rows.
 TEST_F(MaintenancePlannerTest, AnInstanceThatAppearedAfterTheListIsMaintained) {
   this->AddInstance("m2", 500);
-  this->TakeList({"m2"}, this->now);
+  this->DeliverList({"m2"}, this->now);
   this->StartWave({InstanceName("m1"), InstanceName("m2")}, 2);
   this->Look();
   EXPECT_EQ(this->StateOf("m1"), MaintenanceState::kWaiting);
@@ -228,9 +229,9 @@
   const SteadyTime before = this->now;
   this->StartWave({InstanceName("m1")}, 1);
   this->Look();
-  this->TakeList({}, before);
+  this->DeliverList({}, before);
   this->Look();
-  this->TakeList({}, before);
+  this->DeliverList({}, before);
   this->Look();
   EXPECT_EQ(this->StateOf("m1"), MaintenanceState::kWaiting);
 }
@@ -286,7 +287,7 @@
   }
   this->AddInstance("a");
   this->AddInstance("b");
-  this->listing.Take(list, this->now);
+  this->listing.RecordList(list, this->now);
   this->StartWave(names, 3, Milliseconds(60'000));
   std::set<InstanceName> ordered;
   for (int look = 0; look < 5; ++look) {
