--- a/libraries/maintenance/capacity_planner.cc
+++ b/libraries/maintenance/capacity_planner.cc
@@ -238,7 +238,7 @@
     pool.want_with_late = this->InstancesFor(
         pool, service, service.short_millicores + service.late_millicores);
     for (const auto& [label, labelled] : service.by_label) {
-      needs.Need(name, label, this->LabelledInstancesFor(pool, labelled));
+      needs.SetNeed(name, label, this->LabelledInstancesFor(pool, labelled));
     }
   }
 }
@@ -251,7 +251,7 @@
     const std::map<InstanceName, InstanceFacts>& facts,
     LabelNeeds& needs,
     SteadyTime now) {
-  for (const auto& [to, label] : needs.Lacking()) {
+  for (const auto& [to, label] : needs.FindShortages()) {
     for (const bool takes_headroom : {true, false}) {
       for (const auto& [from, pool] : pools) {
         if (from != to && IsHeadroom(state, from) == takes_headroom) {
