--- a/libraries/maintenance/capacity_planner.cc
+++ b/libraries/maintenance/capacity_planner.cc
@@ -28,17 +28,17 @@
 
 void CapacityPlanner::UpdateListing(const InstanceListing& listing) {
   const SteadyTime requested_at = listing.requested_at().value_or(SteadyTime{});
-  std::map<InstanceName, Place> listed;
+  std::map<InstanceName, KnownPool> listed;
   std::erase_if(this->labels, [&listing](const auto& known) {
     return !listing.rows().contains(known.first);
   });
   for (const auto& [name, instance] : listing.rows()) {
     this->labels[name] = instance.labels;
-    const auto known = this->idle.find(name);
+    const auto known = this->known_pools.find(name);
     // NOTE: A list that was requested before the platform accepted a move shows
     // the instance in its previous pool. With that row the instance would count
     // in no pool until the next list.
-    const bool is_known_better = known != this->idle.end() &&
+    const bool is_known_better = known != this->known_pools.end() &&
                                  (instance.state == InstanceState::kMoving ||
                                   instance.state == InstanceState::kUnknown ||
                                   (instance.state == InstanceState::kUp &&
@@ -46,13 +46,13 @@
     if (is_known_better) {
       listed.insert(*known);
     } else if (instance.state == InstanceState::kUp) {
-      listed[name] = Place{instance.service, requested_at};
+      listed[name] = KnownPool{instance.service, requested_at};
     }
   }
-  this->idle = std::move(listed);
+  this->known_pools = std::move(listed);
 }
 
-std::set<InstanceName> CapacityPlanner::Moving() const {
+std::set<InstanceName> CapacityPlanner::MovingInstances() const {
   std::set<InstanceName> names;
   for (const auto& [name, move] : this->moves) {
     names.insert(name);
@@ -72,15 +72,15 @@
   if (!this->settings.is_on || this->has_been_fenced) {
     return output;
   }
-  this->LearnLabels(facts);
+  this->UpdateLabels(facts);
   LabelNeeds needs(this->labels, demand);
   std::map<ServiceName, Pool> pools =
       this->CountPools(state, facts, busy, needs, wall_now, now);
-  this->SetWants(state, demand, pools, needs);
-  this->GrowLabels(state, pools, facts, needs, now);
+  this->SetWantedCounts(state, demand, pools, needs);
+  this->GrowPoolsByLabel(state, pools, facts, needs, now);
   this->GrowPools(state, pools, facts, needs, now);
   this->ShrinkPools(state, pools, facts, needs, now);
-  this->FollowMoves(state, facts, now, output);
+  this->AdvanceMoves(state, facts, now, output);
   return output;
 }
 
@@ -155,8 +155,8 @@
                                 name);
     }
   }
-  for (const auto& [name, place] : this->idle) {
-    const ServiceName& service = place.service;
+  for (const auto& [name, known_pool] : this->known_pools) {
+    const ServiceName& service = known_pool.service;
     const bool is_free = !facts.contains(name) && !busy.contains(name) &&
                          !this->moves.contains(name) &&
                          IsHeadroom(state, service);
@@ -176,7 +176,7 @@
   return pools;
 }
 
-void CapacityPlanner::LearnLabels(
+void CapacityPlanner::UpdateLabels(
     const std::map<InstanceName, InstanceFacts>& facts) {
   for (const auto& [name, instance] : facts) {
     if (!instance.labels.empty()) {
@@ -188,21 +188,21 @@
 // Returns the demand without the part that more instances could not serve:
 // tasks that require a label, beyond the capacity of all instances with that
 // label.
-jobs::ServiceDemand CapacityPlanner::LeaveOutHopeless(
+jobs::ServiceDemand CapacityPlanner::ExcludeUnservableDemand(
     const jobs::ServiceDemand& demand,
     const Pool& pool,
     const LabelNeeds& needs) const {
   jobs::ServiceDemand served = demand;
   for (const auto& [label, labelled] : demand.by_label) {
     const std::int64_t most = needs.CountAll(label) * pool.instance_millicores;
-    const std::int64_t hopeless =
+    const std::int64_t unservable =
         std::max<std::int64_t>(0, labelled.millicores - most);
-    const std::int64_t hopeless_late =
+    const std::int64_t unservable_late =
         std::max<std::int64_t>(
             0, labelled.millicores + labelled.late_millicores - most) -
-        hopeless;
-    served.short_millicores -= std::min(hopeless, served.short_millicores);
-    served.late_millicores -= hopeless_late;
+        unservable;
+    served.short_millicores -= std::min(unservable, served.short_millicores);
+    served.late_millicores -= unservable_late;
   }
   return served;
 }
@@ -219,7 +219,7 @@
                                        pool.instance_millicores);
 }
 
-void CapacityPlanner::SetWants(
+void CapacityPlanner::SetWantedCounts(
     const jobs::JobsState& state,
     const std::map<ServiceName, jobs::ServiceDemand>& demand,
     std::map<ServiceName, Pool>& pools,
@@ -233,7 +233,7 @@
       continue;
     }
     const jobs::ServiceDemand service =
-        this->LeaveOutHopeless(needed->second, pool, needs);
+        this->ExcludeUnservableDemand(needed->second, pool, needs);
     pool.want = this->InstancesFor(pool, service, service.short_millicores);
     pool.want_with_late = this->InstancesFor(
         pool, service, service.short_millicores + service.late_millicores);
@@ -245,7 +245,7 @@
 
 // Moves instances to pools whose tasks require their labels. Instances that are
 // switched off are moved first.
-void CapacityPlanner::GrowLabels(
+void CapacityPlanner::GrowPoolsByLabel(
     const jobs::JobsState& state,
     std::map<ServiceName, Pool>& pools,
     const std::map<InstanceName, InstanceFacts>& facts,
@@ -255,7 +255,7 @@
     for (const bool takes_headroom : {true, false}) {
       for (const auto& [from, pool] : pools) {
         if (from != to && IsHeadroom(state, from) == takes_headroom) {
-          this->TakeLabelled(pools, from, to, label, facts, needs, now);
+          this->MoveLabelled(pools, from, to, label, facts, needs, now);
         }
       }
     }
@@ -264,7 +264,7 @@
 
 // Moves instances with a label from one pool to another that has too few of
 // them.
-void CapacityPlanner::TakeLabelled(
+void CapacityPlanner::MoveLabelled(
     std::map<ServiceName, Pool>& pools,
     const ServiceName& from,
     const ServiceName& to,
@@ -272,16 +272,16 @@
     const std::map<InstanceName, InstanceFacts>& facts,
     LabelNeeds& needs,
     SteadyTime now) {
-  Pool& giver = pools[from];
-  Pool& taker = pools[to];
-  std::erase_if(giver.movable, [&](const auto& movable) {
+  Pool& source = pools[from];
+  Pool& destination = pools[to];
+  std::erase_if(source.movable, [&](const auto& movable) {
     const InstanceName& name = movable.second;
     if (!needs.Has(name, label) ||
-        !MayTakeLabelled(giver, taker, from, to, name, label, needs)) {
+        !MayMoveLabelled(source, destination, from, to, name, label, needs)) {
       return false;
     }
-    --giver.have;
-    ++taker.have;
+    --source.have;
+    ++destination.have;
     needs.Move(from, to, name);
     this->BeginMove(name, from, to, facts, now);
     return true;
@@ -294,8 +294,8 @@
 // instances whose labels it has enough of, and gives up an instance that it
 // needs only if the other pool can give one in exchange or has none with the
 // label.
-bool CapacityPlanner::MayTakeLabelled(const Pool& giver,
-                                      const Pool& taker,
+bool CapacityPlanner::MayMoveLabelled(const Pool& source,
+                                      const Pool& destination,
                                       const ServiceName& from,
                                       const ServiceName& to,
                                       const InstanceName& name,
@@ -308,8 +308,8 @@
   if (has == 0 && needs.CountIn(from, label) > 1) {
     return true;
   }
-  const bool can_do_without =
-      has == 0 || giver.have > giver.want || taker.have >= taker.want;
+  const bool can_do_without = has == 0 || source.have > source.want ||
+                              destination.have >= destination.want;
   return can_do_without && needs.CanSpare(from, name);
 }
 
@@ -330,7 +330,7 @@
 
 // Moves instances from a pool that has more than it needs to pool `to`, until
 // none is missing there. Instances with the fewest runs are moved first.
-void CapacityPlanner::TakeFrom(
+void CapacityPlanner::MoveSurplus(
     const ServiceName& from,
     Pool& pool,
     const ServiceName& to,
@@ -375,7 +375,7 @@
     for (const bool takes_headroom : {true, false}) {
       for (auto& [from, pool] : pools) {
         if (from != to && IsHeadroom(state, from) == takes_headroom) {
-          this->TakeFrom(from, pool, to, missing, facts, needs, now);
+          this->MoveSurplus(from, pool, to, missing, facts, needs, now);
         }
       }
     }
@@ -385,7 +385,7 @@
         needy.want_with_late - std::max(needy.have, needy.want);
     for (auto& [from, pool] : pools) {
       if (IsHeadroom(state, from) && !IsHeadroom(state, to)) {
-        this->TakeFrom(from, pool, to, missing, facts, needs, now);
+        this->MoveSurplus(from, pool, to, missing, facts, needs, now);
       }
     }
   }
@@ -464,13 +464,13 @@
     return true;
   }
   const jobs::MoveRecord& record = state.record().moves.at(name);
-  if (!std::exchange(move.is_followed, true)) {
+  if (!std::exchange(move.has_checked_record, true)) {
     move.earlier_record = record;
   }
   return move.earlier_record && move.earlier_record->at == record.at;
 }
 
-void CapacityPlanner::FollowMoves(
+void CapacityPlanner::AdvanceMoves(
     const jobs::JobsState& state,
     const std::map<InstanceName, InstanceFacts>& facts,
     SteadyTime now,
@@ -485,9 +485,10 @@
         (known != facts.end() && !known->second.is_only_announced &&
          known->second.worker != move.worker) ||
         (IsHeadroom(state, move.to) &&
-         now - move.taken_at >= this->settings.move_time);
+         now - move.accepted_at >= this->settings.move_time);
     const bool is_overdue = now - move.since > this->settings.longest_move;
-    if ((move.is_taken && has_arrived) || (is_overdue && !move.is_under_way)) {
+    if ((move.is_accepted && has_arrived) ||
+        (is_overdue && !move.is_under_way)) {
       item = this->moves.erase(item);
       continue;
     }
@@ -496,7 +497,7 @@
         known == facts.end() ||
         (known->second.budgeted_runs == 0 && known->second.other_runs == 0);
     const bool is_due =
-        !move.is_taken && !move.is_under_way && is_empty && now >= move.due;
+        !move.is_accepted && !move.is_under_way && is_empty && now >= move.due;
     const bool is_record_wanted =
         is_due && this->IsRecordOld(state, name, move);
     if (is_record_wanted && now >= move.record_due) {
@@ -538,9 +539,9 @@
   move.due = now + this->settings.retry;
   switch (result) {
     case InstanceResult::kDone:
-      move.is_taken = true;
-      move.taken_at = now;
-      this->idle[order.instance] = Place{move.to, now};
+      move.is_accepted = true;
+      move.accepted_at = now;
+      this->known_pools[order.instance] = KnownPool{move.to, now};
       if (!move.worker.value().empty()) {
         commands.emplace_back(jobs::ForgetWorker{move.worker, true});
       }
--- a/libraries/maintenance/capacity_planner.h
+++ b/libraries/maintenance/capacity_planner.h
@@ -81,7 +81,7 @@
                                                SteadyTime now);
 
   // Returns the instances that are being moved to another pool.
-  std::set<InstanceName> Moving() const;
+  std::set<InstanceName> MovingInstances() const;
 
  private:
   // A move, from its decision until the instance is seen in its new pool.
@@ -92,15 +92,15 @@
     WorkerId worker;
     SteadyTime since{};
     bool is_under_way = false;
-    bool is_taken = false;
-    SteadyTime taken_at{};
+    bool is_accepted = false;
+    SteadyTime accepted_at{};
     SteadyTime due{};
     // The time at which the move's record may be proposed, or proposed again.
     SteadyTime record_due{};
     // The record of an earlier move of the instance, as it was when the record
     // of this move was first checked.
     std::optional<jobs::MoveRecord> earlier_record;
-    bool is_followed = false;
+    bool has_checked_record = false;
   };
   // The data about one pool in one planning pass.
   struct Pool {
@@ -121,11 +121,11 @@
   bool IsRecordOld(const jobs::JobsState& state,
                    const InstanceName& name,
                    Move& move) const;
-  void FollowMoves(const jobs::JobsState& state,
-                   const std::map<InstanceName, InstanceFacts>& facts,
-                   SteadyTime now,
-                   CapacityOutput& output);
-  void LearnLabels(const std::map<InstanceName, InstanceFacts>& facts);
+  void AdvanceMoves(const jobs::JobsState& state,
+                    const std::map<InstanceName, InstanceFacts>& facts,
+                    SteadyTime now,
+                    CapacityOutput& output);
+  void UpdateLabels(const std::map<InstanceName, InstanceFacts>& facts);
   std::map<ServiceName, Pool> CountPools(
       const jobs::JobsState& state,
       const std::map<InstanceName, InstanceFacts>& facts,
@@ -133,29 +133,29 @@
       LabelNeeds& needs,
       WallTime wall_now,
       SteadyTime now) const;
-  void SetWants(const jobs::JobsState& state,
-                const std::map<ServiceName, jobs::ServiceDemand>& demand,
-                std::map<ServiceName, Pool>& pools,
-                LabelNeeds& needs) const;
-  jobs::ServiceDemand LeaveOutHopeless(const jobs::ServiceDemand& demand,
-                                       const Pool& pool,
-                                       const LabelNeeds& needs) const;
+  void SetWantedCounts(const jobs::JobsState& state,
+                       const std::map<ServiceName, jobs::ServiceDemand>& demand,
+                       std::map<ServiceName, Pool>& pools,
+                       LabelNeeds& needs) const;
+  jobs::ServiceDemand ExcludeUnservableDemand(const jobs::ServiceDemand& demand,
+                                              const Pool& pool,
+                                              const LabelNeeds& needs) const;
   std::int64_t LabelledInstancesFor(const Pool& pool,
                                     const jobs::LabelDemand& labelled) const;
-  void GrowLabels(const jobs::JobsState& state,
-                  std::map<ServiceName, Pool>& pools,
-                  const std::map<InstanceName, InstanceFacts>& facts,
-                  LabelNeeds& needs,
-                  SteadyTime now);
-  void TakeLabelled(std::map<ServiceName, Pool>& pools,
+  void GrowPoolsByLabel(const jobs::JobsState& state,
+                        std::map<ServiceName, Pool>& pools,
+                        const std::map<InstanceName, InstanceFacts>& facts,
+                        LabelNeeds& needs,
+                        SteadyTime now);
+  void MoveLabelled(std::map<ServiceName, Pool>& pools,
                     const ServiceName& from,
                     const ServiceName& to,
                     const std::string& label,
                     const std::map<InstanceName, InstanceFacts>& facts,
                     LabelNeeds& needs,
                     SteadyTime now);
-  static bool MayTakeLabelled(const Pool& giver,
-                              const Pool& taker,
+  static bool MayMoveLabelled(const Pool& source,
+                              const Pool& destination,
                               const ServiceName& from,
                               const ServiceName& to,
                               const InstanceName& name,
@@ -181,13 +181,13 @@
   std::int64_t InstancesFor(const Pool& pool,
                             const jobs::ServiceDemand& service,
                             std::int64_t short_millicores) const;
-  void TakeFrom(const ServiceName& from,
-                Pool& pool,
-                const ServiceName& to,
-                std::int64_t& missing,
-                const std::map<InstanceName, InstanceFacts>& facts,
-                LabelNeeds& needs,
-                SteadyTime now);
+  void MoveSurplus(const ServiceName& from,
+                   Pool& pool,
+                   const ServiceName& to,
+                   std::int64_t& missing,
+                   const std::map<InstanceName, InstanceFacts>& facts,
+                   LabelNeeds& needs,
+                   SteadyTime now);
   void ShrinkPools(const jobs::JobsState& state,
                    std::map<ServiceName, Pool>& pools,
                    const std::map<InstanceName, InstanceFacts>& facts,
@@ -209,13 +209,13 @@
   // change when it moves.
   LabelNeeds::Labels labels;
   // The pool of an instance, and the time at which that was last known.
-  struct Place {
+  struct KnownPool {
     ServiceName service;
     SteadyTime known_at{};
   };
   // The last known pools of instances, as listed or as moved since. Instances
   // in pools that are switched off have no worker and are known only from here.
-  std::map<InstanceName, Place> idle;
+  std::map<InstanceName, KnownPool> known_pools;
   std::map<ServiceName, SteadyTime> surplus_since;
 };
 
--- a/services/sumacd/instance_keeper.cc
+++ b/services/sumacd/instance_keeper.cc
@@ -121,7 +121,7 @@
   this->RefreshList(now);
   std::map<InstanceName, maintenance::InstanceFacts> facts =
       GatherInstanceFacts(this->scheduler);
-  for (const InstanceName& name : this->capacity.Moving()) {
+  for (const InstanceName& name : this->capacity.MovingInstances()) {
     facts[name].is_moving = true;
   }
   maintenance::MaintenanceOutput output =
--- a/tests/libraries/maintenance/capacity_planner_test.cc
+++ b/tests/libraries/maintenance/capacity_planner_test.cc
@@ -331,7 +331,7 @@
   for (const std::string& pool : PoolsOf(this->Plan())) {
     EXPECT_EQ(pool, "quiet");
   }
-  EXPECT_FALSE(this->planner.Moving().empty());
+  EXPECT_FALSE(this->planner.MovingInstances().empty());
 }
 
 // Guards against a pool that grows by its demand for cores alone. A third of
