--- a/libraries/maintenance/maintenance_planner.cc
+++ b/libraries/maintenance/maintenance_planner.cc
@@ -33,7 +33,7 @@
   MaintenanceOutput output;
   for (const auto& [id, wave] : state.waves()) {
     if (wave.is_done()) {
-      this->first_looks.erase(id);
+      this->first_passes.erase(id);
     } else {
       this->PlanWave(wave, {facts, listing}, wall_now, now, output);
     }
@@ -46,8 +46,8 @@
 
 // Returns how many instances should be in progress at once so that the wave
 // ends somewhat before its time is up.
-std::uint32_t MaintenancePlanner::WantedAtOnce(const jobs::Wave& wave,
-                                               WallTime wall_now) const {
+std::uint32_t MaintenancePlanner::WantedInProgress(const jobs::Wave& wave,
+                                                   WallTime wall_now) const {
   std::int64_t left = 0;
   for (const auto& [name, instance] : wave.instances) {
     left +=
@@ -67,16 +67,16 @@
 }
 
 void MaintenancePlanner::PlanWave(const jobs::Wave& wave,
-                                  const Sight& sight,
+                                  const PlanInputs& inputs,
                                   WallTime wall_now,
                                   SteadyTime now,
                                   MaintenanceOutput& output) {
-  const auto& facts = sight.facts;
-  const SteadyTime first_look =
-      this->first_looks.try_emplace(wave.id, now).first->second;
+  const auto& facts = inputs.facts;
+  const SteadyTime first_pass =
+      this->first_passes.try_emplace(wave.id, now).first->second;
   const bool may_order = !this->has_been_fenced &&
                          now - this->began_at > this->settings.holder_pause;
-  std::uint32_t on_their_way = wave.CountDown();
+  std::uint32_t in_progress = wave.CountDown();
   std::vector<std::pair<std::int64_t, InstanceName>> candidates;
   for (const auto& [name, instance] : wave.instances) {
     if (instance.state == MaintenanceState::kOrdered) {
@@ -86,11 +86,12 @@
       // order would then end.
       this->cordons.try_emplace(name, Cordon{now});
       if (may_order) {
-        this->FollowOrdered(wave, name, facts, now, output);
+        this->AdvanceOrdered(wave, name, facts, now, output);
       }
     } else if (instance.state == MaintenanceState::kBegun) {
-      if (auto reason = this->WhyOver(name, instance, sight, now)) {
-        RecordOver(wave, name, *std::move(reason), output);
+      if (auto reason =
+              this->FindCompletionReason(name, instance, inputs, now)) {
+        RecordCompletion(wave, name, *std::move(reason), output);
       }
     } else if (instance.state == MaintenanceState::kWaiting) {
       const auto known = facts.find(name);
@@ -98,17 +99,17 @@
       // instance may be so new that its worker has not announced itself and
       // that a list requested before the wave lacks it. Without this check it
       // would be left out, and the wave would be reported as complete.
-      if (known == facts.end() && sight.listing.IsGone(name, first_look)) {
-        RecordOver(wave, name, "it is gone: no list shows it", output);
+      if (known == facts.end() && inputs.listing.IsGone(name, first_pass)) {
+        RecordCompletion(wave, name, "it is gone: no list shows it", output);
         this->cordons.erase(name);
         continue;
       }
-      if (known == facts.end() && !sight.listing.rows().contains(name)) {
+      if (known == facts.end() && !inputs.listing.rows().contains(name)) {
         // The next list will show whether the instance exists.
         continue;
       }
       if (this->cordons.contains(name)) {
-        ++on_their_way;
+        ++in_progress;
       } else if (known != facts.end() && known->second.is_moving) {
         continue;
       }
@@ -124,7 +125,7 @@
     return;
   }
   std::sort(candidates.begin(), candidates.end());
-  const std::uint32_t wanted = this->WantedAtOnce(wave, wall_now);
+  const std::uint32_t wanted = this->WantedInProgress(wave, wall_now);
   for (const auto& [load, name] : candidates) {
     const auto cordon = this->cordons.find(name);
     if (cordon == this->cordons.end()) {
@@ -135,8 +136,8 @@
       // wave's own limit applies to it.
       const std::uint32_t most =
           facts.contains(name) ? wanted : wave.most_at_once;
-      if (on_their_way < most && !is_early) {
-        ++on_their_way;
+      if (in_progress < most && !is_early) {
+        ++in_progress;
         this->cordons.emplace(name, Cordon{now});
       }
       continue;
@@ -175,7 +176,7 @@
 
 // Gives the order for an instance, and repeats it until there is a definite
 // answer.
-void MaintenancePlanner::FollowOrdered(
+void MaintenancePlanner::AdvanceOrdered(
     const jobs::Wave& wave,
     const InstanceName& name,
     const std::map<InstanceName, InstanceFacts>& facts,
@@ -201,10 +202,10 @@
 // An instance is back once a worker other than the previous one answers on it
 // or, if no worker ran on it, once the platform lists it as no longer in
 // maintenance.
-std::optional<std::string> MaintenancePlanner::WhyOver(
+std::optional<std::string> MaintenancePlanner::FindCompletionReason(
     const InstanceName& name,
     const jobs::InstanceMaintenance& maintenance,
-    const Sight& sight,
+    const PlanInputs& inputs,
     SteadyTime now) const {
   // A worker that started just before the maintenance may announce itself late,
   // so that no instance counts as back before the maintenance time has passed.
@@ -214,34 +215,34 @@
   if (now - begun_at < this->settings.maintenance_time) {
     return std::nullopt;
   }
-  const auto known = sight.facts.find(name);
-  if (known != sight.facts.end() && !known->second.is_only_announced &&
+  const auto known = inputs.facts.find(name);
+  if (known != inputs.facts.end() && !known->second.is_only_announced &&
       known->second.worker != maintenance.worker) {
     return StrCat("worker ", known->second.worker.value(), " answers there");
   }
   // The platform may list the effect of an order only a moment after it.
   const SteadyTime since = is_own ? order->second.due : this->began_at;
-  if (sight.listing.IsGone(name, since)) {
+  if (inputs.listing.IsGone(name, since)) {
     return "it is gone: no list shows it";
   }
-  const ListedInstance* row = sight.listing.Find(name);
+  const ListedInstance* row = inputs.listing.Find(name);
   const bool is_listed_as_back = row != nullptr &&
                                  row->state != InstanceState::kInMaintenance &&
                                  row->state != InstanceState::kUnknown &&
-                                 sight.listing.requested_at() > since;
+                                 inputs.listing.requested_at() > since;
   if (!maintenance.worker.value().empty() || !is_listed_as_back) {
     return std::nullopt;
   }
   return StrCat("it is listed as ", NameOf(row->state));
 }
 
-void MaintenancePlanner::RecordOver(const jobs::Wave& wave,
-                                    const InstanceName& name,
-                                    std::string reason,
-                                    MaintenanceOutput& output) {
+void MaintenancePlanner::RecordCompletion(const jobs::Wave& wave,
+                                          const InstanceName& name,
+                                          std::string reason,
+                                          MaintenanceOutput& output) {
   output.commands.emplace_back(
       jobs::RecordMaintenance{wave.id, name, MaintenanceState::kOver, {}});
-  output.notes.push_back({wave.id, name, std::move(reason)});
+  output.completions.push_back({wave.id, name, std::move(reason)});
 }
 
 std::vector<jobs::Command> MaintenancePlanner::HandleOrderResult(
--- a/libraries/maintenance/maintenance_planner.h
+++ b/libraries/maintenance/maintenance_planner.h
@@ -63,7 +63,7 @@
 
 // The reason for which the maintenance of an instance counts as over, for the
 // log.
-struct InstanceNote {
+struct InstanceCompletion {
   WaveId wave;
   InstanceName instance;
   std::string reason;
@@ -74,7 +74,7 @@
   std::set<InstanceName> cordoned;
   std::vector<jobs::Command> commands;
   std::vector<InstanceOrder> orders;
-  std::vector<InstanceNote> notes;
+  std::vector<InstanceCompletion> completions;
 };
 
 // Decides, for the leader, which instances of a maintenance wave are maintained
@@ -124,36 +124,37 @@
   };
 
   // The data about instances in one planning pass.
-  struct Sight {
+  struct PlanInputs {
     const std::map<InstanceName, InstanceFacts>& facts;
     const InstanceListing& listing;
   };
 
   void PlanWave(const jobs::Wave& wave,
-                const Sight& sight,
+                const PlanInputs& inputs,
                 WallTime wall_now,
                 SteadyTime now,
                 MaintenanceOutput& output);
   bool IsReady(const InstanceName& name,
                const std::map<InstanceName, InstanceFacts>& facts,
                SteadyTime now) const;
-  void FollowOrdered(const jobs::Wave& wave,
-                     const InstanceName& name,
-                     const std::map<InstanceName, InstanceFacts>& facts,
-                     SteadyTime now,
-                     MaintenanceOutput& output);
+  void AdvanceOrdered(const jobs::Wave& wave,
+                      const InstanceName& name,
+                      const std::map<InstanceName, InstanceFacts>& facts,
+                      SteadyTime now,
+                      MaintenanceOutput& output);
   // Returns the reason for which a maintenance that has begun counts as over,
   // or nothing if it is not over.
-  std::optional<std::string> WhyOver(
+  std::optional<std::string> FindCompletionReason(
       const InstanceName& name,
       const jobs::InstanceMaintenance& maintenance,
-      const Sight& sight,
+      const PlanInputs& inputs,
       SteadyTime now) const;
-  static void RecordOver(const jobs::Wave& wave,
-                         const InstanceName& name,
-                         std::string reason,
-                         MaintenanceOutput& output);
-  std::uint32_t WantedAtOnce(const jobs::Wave& wave, WallTime wall_now) const;
+  static void RecordCompletion(const jobs::Wave& wave,
+                               const InstanceName& name,
+                               std::string reason,
+                               MaintenanceOutput& output);
+  std::uint32_t WantedInProgress(const jobs::Wave& wave,
+                                 WallTime wall_now) const;
 
   MaintenanceSettings settings;
   ProcessName holder;
@@ -165,7 +166,7 @@
   // Instances for which this leader is the first to give the order.
   std::set<InstanceName> own_orders;
   // The time at which this leader first planned each wave that is under way.
-  std::map<WaveId, SteadyTime> first_looks;
+  std::map<WaveId, SteadyTime> first_passes;
 };
 
 }  // namespace sumac::maintenance
--- a/services/sumacd/instance_keeper.cc
+++ b/services/sumacd/instance_keeper.cc
@@ -126,7 +126,7 @@
   }
   maintenance::MaintenanceOutput output =
       this->waves.Plan(this->state, facts, this->listing, wall_now, now);
-  for (const maintenance::InstanceNote& note : output.notes) {
+  for (const maintenance::InstanceCompletion& note : output.completions) {
     LogEvent(LogLevel::kInfo, "maintenance-over",
              {{"instance", note.instance.value()},
               {"wave", note.wave.value()},
