--- a/libraries/maintenance/capacity_planner.cc
+++ b/libraries/maintenance/capacity_planner.cc
@@ -226,7 +226,8 @@
     LabelNeeds& needs) const {
   for (auto& [name, pool] : pools) {
     const auto needed = demand.find(name);
-    pool.want = IsHeadroom(state, name) ? 0 : this->settings.fewest_per_pool;
+    pool.want =
+        IsHeadroom(state, name) ? 0 : this->settings.min_instances_per_pool;
     pool.want_with_late = pool.want;
     if (IsHeadroom(state, name) || needed == demand.end() ||
         pool.instance_millicores == 0) {
@@ -324,7 +325,7 @@
       short_millicores * (kPermille + this->settings.reserve_permille) /
           kPermille;
   return std::max(
-      {this->settings.fewest_per_pool, service.min_instances,
+      {this->settings.min_instances_per_pool, service.min_instances,
        (millicores + pool.instance_millicores - 1) / pool.instance_millicores});
 }
 
@@ -486,7 +487,7 @@
          known->second.worker != move.worker) ||
         (IsHeadroom(state, move.to) &&
          now - move.accepted_at >= this->settings.move_time);
-    const bool is_overdue = now - move.since > this->settings.longest_move;
+    const bool is_overdue = now - move.since > this->settings.max_move_duration;
     if ((move.is_accepted && has_arrived) ||
         (is_overdue && !move.is_under_way)) {
       item = this->moves.erase(item);
--- a/libraries/maintenance/capacity_planner.h
+++ b/libraries/maintenance/capacity_planner.h
@@ -37,11 +37,11 @@
   Milliseconds move_time{1'500};
   // The maximum time to wait for an instance to appear in its new pool. After
   // that it counts as in the pool in which the platform lists it.
-  Milliseconds longest_move{4'000};
+  Milliseconds max_move_duration{4'000};
   // The time after which an order that was not answered is given again.
   Milliseconds retry{400};
   // The minimum number of instances of a pool, whatever its demand.
-  std::int64_t fewest_per_pool = 2;
+  std::int64_t min_instances_per_pool = 2;
 };
 
 struct CapacityOutput {
--- a/libraries/maintenance/maintenance_planner.cc
+++ b/libraries/maintenance/maintenance_planner.cc
@@ -171,7 +171,7 @@
   // If this leader gave the order, the instance was ready then. Its worker may
   // have ended with the order since, while its runs are still counted.
   return known->second.other_runs == 0 || this->own_orders.contains(name) ||
-         now - this->cordons.at(name).since > this->settings.longest_wait;
+         now - this->cordons.at(name).since > this->settings.max_drain_time;
 }
 
 // Gives the order for an instance, and repeats it until there is a definite
@@ -279,7 +279,7 @@
       // as down then.
       const bool may_be_down =
           open.unanswered_at &&
-          now - *open.unanswered_at < this->settings.longest_delay;
+          now - *open.unanswered_at < this->settings.max_order_delay;
       if (!may_be_down) {
         open.unanswered_at.reset();
         this->cordons.erase(order.instance);
--- a/libraries/maintenance/maintenance_planner.h
+++ b/libraries/maintenance/maintenance_planner.h
@@ -30,9 +30,9 @@
   Milliseconds overhead{2'500};
   // The maximum time to wait for the runs on an instance to end by themselves.
   // Runs that are left are ended with their instance.
-  Milliseconds longest_wait{6'000};
+  Milliseconds max_drain_time{6'000};
   // The maximum time after which an unanswered order may still be carried out.
-  Milliseconds longest_delay{12'000};
+  Milliseconds max_order_delay{12'000};
   // The time after which an order that was not answered, or not accepted, is
   // given again.
   Milliseconds retry{400};
@@ -116,7 +116,7 @@
     bool is_under_way = false;
     SteadyTime due{};
     // The time of an order, by this leader or the previous one, whose answer is
-    // unknown. The order may still be carried out until `longest_delay` after
+    // unknown. The order may still be carried out until `max_order_delay` after
     // this time.
     std::optional<SteadyTime> unanswered_at;
     // The time at which the platform last accepted an order.
