--- a/tests/libraries/maintenance/capacity_planner_test.cc
+++ b/tests/libraries/maintenance/capacity_planner_test.cc
@@ -81,13 +81,13 @@
   // the first, with the orders of the second, which follow once the commands
   // are committed.
   CapacityOutput Plan() {
-    CapacityOutput first = this->Look();
-    CapacityOutput second = this->Look();
+    CapacityOutput first = this->PlanOnce();
+    CapacityOutput second = this->PlanOnce();
     std::move(second.orders.begin(), second.orders.end(),
               std::back_inserter(first.orders));
     return first;
   }
-  CapacityOutput Look() {
+  CapacityOutput PlanOnce() {
     this->now += Milliseconds(100);
     CapacityOutput output =
         this->planner.Plan(this->state, this->facts, this->demand, this->busy,
@@ -163,10 +163,10 @@
   this->AddInstances(kBusy, 2);
   this->AddIdle(1);
   this->demand[kBusy].short_millicores = 2 * kCores;
-  const CapacityOutput first = this->Look();
+  const CapacityOutput first = this->PlanOnce();
   EXPECT_TRUE(first.orders.empty());
   EXPECT_EQ(first.commands.size(), 1U);
-  EXPECT_EQ(this->Look().orders.size(), 1U);
+  EXPECT_EQ(this->PlanOnce().orders.size(), 1U);
 }
 
 // The previous leader was about to move the instance, and may just have sent
@@ -284,8 +284,8 @@
   this->now += CapacitySettings().move_time;
   const WallTime second_at = this->wall();
   std::vector<InstanceOrder> orders;
-  for (int look = 0; look < 5 && orders.empty(); ++look) {
-    orders = this->Look().orders;
+  for (int pass = 0; pass < 5 && orders.empty(); ++pass) {
+    orders = this->PlanOnce().orders;
   }
   ASSERT_EQ(orders.size(), 1U);
   EXPECT_GT(this->state.record().moves.at(moved).at, second_at);
--- a/tests/libraries/maintenance/maintenance_planner_test.cc
+++ b/tests/libraries/maintenance/maintenance_planner_test.cc
@@ -31,7 +31,7 @@
   WallTime wall() const { return WallTime(this->now.time_since_epoch()); }
 
   // Runs one planning pass, commits its commands and returns its orders.
-  std::vector<InstanceOrder> Look() {
+  std::vector<InstanceOrder> PlanOnce() {
     this->now += Milliseconds(100);
     MaintenanceOutput output = this->planner.Plan(
         this->state, this->facts, this->listing, this->wall(), this->now);
@@ -42,9 +42,9 @@
     return output.orders;
   }
   // Runs up to five planning passes until there are orders.
-  std::vector<InstanceOrder> LookForOrders() {
-    for (int look = 0; look < 5; ++look) {
-      std::vector<InstanceOrder> orders = this->Look();
+  std::vector<InstanceOrder> PlanUntilOrders() {
+    for (int pass = 0; pass < 5; ++pass) {
+      std::vector<InstanceOrder> orders = this->PlanOnce();
       if (!orders.empty()) {
         return orders;
       }
@@ -72,11 +72,11 @@
   }
   // Delivers lists that are requested from now on and answered at once, with a
   // planning pass after each.
-  void LookWithLists(const std::vector<std::string>& names, int lists) {
+  void PlanWithLists(const std::vector<std::string>& names, int lists) {
     for (int list = 0; list < lists; ++list) {
       this->now += Milliseconds(1);
       this->DeliverList(names, this->now);
-      this->Look();
+      this->PlanOnce();
     }
   }
   void LetTheInstanceComeBack(const std::string& name) {
@@ -98,14 +98,14 @@
   this->AddInstance("m2", 500);
   this->StartWave({InstanceName("m1"), InstanceName("m2")}, 1);
   for (const char* name : {"m1", "m2"}) {
-    const auto orders = this->LookForOrders();
+    const auto orders = this->PlanUntilOrders();
     ASSERT_EQ(orders.size(), 1U);
     EXPECT_EQ(orders[0].instance.value(), name);
     this->Answer(orders[0], InstanceResult::kDone);
     EXPECT_EQ(this->StateOf(name), MaintenanceState::kBegun);
     this->now += Milliseconds(2'000);
     this->LetTheInstanceComeBack(name);
-    this->Look();
+    this->PlanOnce();
     EXPECT_EQ(this->StateOf(name), MaintenanceState::kOver);
   }
   EXPECT_TRUE(this->state.waves().at(kWave).is_done());
@@ -118,35 +118,35 @@
   this->StartWave({InstanceName("m1"), InstanceName("m2"), InstanceName("m3"),
                    InstanceName("m4")},
                   2);
-  const auto orders = this->LookForOrders();
+  const auto orders = this->PlanUntilOrders();
   EXPECT_EQ(orders.size(), 2U);
   for (const InstanceOrder& order : orders) {
     this->Answer(order, InstanceResult::kDone);
   }
-  EXPECT_TRUE(this->LookForOrders().empty());
+  EXPECT_TRUE(this->PlanUntilOrders().empty());
 }
 
 TEST_F(MaintenancePlannerTest, AnInstanceIsEmptiedFirst) {
   this->AddInstance("m1");
   this->facts[InstanceName("m1")].budgeted_runs = 1;
   this->StartWave({InstanceName("m1")}, 1);
-  EXPECT_TRUE(this->LookForOrders().empty());
+  EXPECT_TRUE(this->PlanUntilOrders().empty());
   EXPECT_TRUE(this->cordoned.contains(InstanceName("m1")));
   this->facts[InstanceName("m1")].budgeted_runs = 0;
-  EXPECT_EQ(this->LookForOrders().size(), 1U);
+  EXPECT_EQ(this->PlanUntilOrders().size(), 1U);
 }
 
 TEST_F(MaintenancePlannerTest, ALateAnnouncementIsNoReturn) {
   this->AddInstance("m1");
   this->AddInstance("m2");
   this->StartWave({InstanceName("m1"), InstanceName("m2")}, 1);
-  const auto orders = this->LookForOrders();
+  const auto orders = this->PlanUntilOrders();
   ASSERT_EQ(orders.size(), 1U);
   this->Answer(orders[0], InstanceResult::kDone);
   // An incarnation that started just before the order announces itself only
   // now.
   this->LetTheInstanceComeBack("m1");
-  EXPECT_TRUE(this->LookForOrders().empty());
+  EXPECT_TRUE(this->PlanUntilOrders().empty());
   EXPECT_EQ(this->StateOf("m1"), MaintenanceState::kBegun);
 }
 
@@ -158,16 +158,16 @@
   this->AddInstance("m1");
   this->AddInstance("m2");
   this->StartWave({InstanceName("m1"), InstanceName("m2")}, 1);
-  const auto orders = this->LookForOrders();
+  const auto orders = this->PlanUntilOrders();
   ASSERT_EQ(orders.size(), 1U);
   this->Answer(orders[0], InstanceResult::kDone);
   this->now += Milliseconds(10'000);
   this->facts[InstanceName("m1")] =
       InstanceFacts{.worker = WorkerId("before-m1"), .is_only_announced = true};
-  EXPECT_TRUE(this->LookForOrders().empty());
+  EXPECT_TRUE(this->PlanUntilOrders().empty());
   EXPECT_EQ(this->StateOf("m1"), MaintenanceState::kBegun);
   this->LetTheInstanceComeBack("m1");
-  EXPECT_EQ(this->LookForOrders().size(), 1U);
+  EXPECT_EQ(this->PlanUntilOrders().size(), 1U);
   EXPECT_EQ(this->StateOf("m1"), MaintenanceState::kOver);
 }
 
@@ -175,17 +175,17 @@
   this->AddInstance("m1");
   this->AddInstance("m2");
   this->StartWave({InstanceName("m1"), InstanceName("m2")}, 1);
-  const auto first = this->LookForOrders();
+  const auto first = this->PlanUntilOrders();
   ASSERT_EQ(first.size(), 1U);
   this->Answer(first[0], InstanceResult::kUnknown);
   this->now += Milliseconds(500);
-  const auto again = this->LookForOrders();
+  const auto again = this->PlanUntilOrders();
   ASSERT_EQ(again.size(), 1U);
   EXPECT_EQ(again[0].instance, first[0].instance);
   this->Answer(again[0], InstanceResult::kBusy);
   EXPECT_EQ(this->StateOf("m1"), MaintenanceState::kOrdered);
   this->now += Milliseconds(500);
-  for (const InstanceOrder& order : this->LookForOrders()) {
+  for (const InstanceOrder& order : this->PlanUntilOrders()) {
     EXPECT_EQ(order.instance, first[0].instance);
   }
 }
@@ -193,18 +193,18 @@
 TEST_F(MaintenancePlannerTest, ABusyInstanceIsTriedAgainLater) {
   this->AddInstance("m1");
   this->StartWave({InstanceName("m1")}, 1);
-  const auto orders = this->LookForOrders();
+  const auto orders = this->PlanUntilOrders();
   ASSERT_EQ(orders.size(), 1U);
   this->Answer(orders[0], InstanceResult::kBusy);
   EXPECT_EQ(this->StateOf("m1"), MaintenanceState::kWaiting);
   this->now += Milliseconds(1'000);
-  EXPECT_EQ(this->LookForOrders().size(), 1U);
+  EXPECT_EQ(this->PlanUntilOrders().size(), 1U);
 }
 
 TEST_F(MaintenancePlannerTest, AnInstanceThatIsGoneIsDone) {
   this->StartWave({InstanceName("m1")}, 1);
-  this->Look();
-  this->LookWithLists({}, 2);
+  this->PlanOnce();
+  this->PlanWithLists({}, 2);
   EXPECT_EQ(this->StateOf("m1"), MaintenanceState::kOver);
 }
 
@@ -216,10 +216,10 @@
   this->AddInstance("m2", 500);
   this->DeliverList({"m2"}, this->now);
   this->StartWave({InstanceName("m1"), InstanceName("m2")}, 2);
-  this->Look();
+  this->PlanOnce();
   EXPECT_EQ(this->StateOf("m1"), MaintenanceState::kWaiting);
-  this->LookWithLists({"m1", "m2"}, 2);
-  const auto orders = this->LookForOrders();
+  this->PlanWithLists({"m1", "m2"}, 2);
+  const auto orders = this->PlanUntilOrders();
   ASSERT_FALSE(orders.empty());
   EXPECT_EQ(orders[0].instance.value(), "m1");
 }
@@ -228,11 +228,11 @@
        AListRequestedBeforeTheWaveShowsNoInstanceAsGone) {
   const SteadyTime before = this->now;
   this->StartWave({InstanceName("m1")}, 1);
-  this->Look();
+  this->PlanOnce();
   this->DeliverList({}, before);
-  this->Look();
+  this->PlanOnce();
   this->DeliverList({}, before);
-  this->Look();
+  this->PlanOnce();
   EXPECT_EQ(this->StateOf("m1"), MaintenanceState::kWaiting);
 }
 
@@ -242,10 +242,10 @@
   // The leader has just begun and gives no orders yet.
   this->now = SteadyTime(Milliseconds(1'500));
   this->StartWave({InstanceName("m1")}, 1);
-  this->Look();
+  this->PlanOnce();
   for (int round = 0; round < 2; ++round) {
-    this->LookWithLists({"m1"}, 1);
-    this->LookWithLists({}, 1);
+    this->PlanWithLists({"m1"}, 1);
+    this->PlanWithLists({}, 1);
     EXPECT_NE(this->StateOf("m1"), MaintenanceState::kOver);
   }
 }
@@ -254,15 +254,15 @@
        AnInstanceInMaintenanceThatOneListLacksIsNotOver) {
   this->AddInstance("m1");
   this->StartWave({InstanceName("m1")}, 1);
-  const auto orders = this->LookForOrders();
+  const auto orders = this->PlanUntilOrders();
   ASSERT_EQ(orders.size(), 1U);
   this->Answer(orders[0], InstanceResult::kDone);
   this->facts.clear();
   this->now += Milliseconds(3'000);
-  this->LookWithLists({"m1"}, 1);
-  this->LookWithLists({}, 1);
+  this->PlanWithLists({"m1"}, 1);
+  this->PlanWithLists({}, 1);
   EXPECT_EQ(this->StateOf("m1"), MaintenanceState::kBegun);
-  this->LookWithLists({}, 1);
+  this->PlanWithLists({}, 1);
   EXPECT_EQ(this->StateOf("m1"), MaintenanceState::kOver);
 }
 
@@ -273,7 +273,7 @@
     this->AddInstance(names.back().value());
   }
   this->StartWave(names, 9, Milliseconds(60'000));
-  EXPECT_LE(this->LookForOrders().size(), 3U);
+  EXPECT_LE(this->PlanUntilOrders().size(), 3U);
 }
 
 // An instance that is switched off costs no capacity, so only the wave's limit
@@ -290,8 +290,8 @@
   this->listing.RecordList(list, this->now);
   this->StartWave(names, 3, Milliseconds(60'000));
   std::set<InstanceName> ordered;
-  for (int look = 0; look < 5; ++look) {
-    for (const InstanceOrder& order : this->Look()) {
+  for (int pass = 0; pass < 5; ++pass) {
+    for (const InstanceOrder& order : this->PlanOnce()) {
       ordered.insert(order.instance);
     }
   }
@@ -304,7 +304,7 @@
   this->AddInstance("m1");
   this->StartWave({InstanceName("m1")}, 1);
   this->now = SteadyTime(Milliseconds(1'500));
-  EXPECT_TRUE(this->LookForOrders().empty());
+  EXPECT_TRUE(this->PlanUntilOrders().empty());
 }
 
 }  // namespace
