--- a/libraries/jobs/task_crashes.h
+++ b/libraries/jobs/task_crashes.h
@@ -58,12 +58,13 @@
   // The number of crashes after which a task is not started again, if at least
   // two of the workers were certainly running it.
   static constexpr std::size_t kCrashLimit = 3;
-  // The same number, however many workers were certainly running the task. A
-  // start without an answer may never have arrived, and a run may have ended
-  // without a report, but not every time.
+  // The number of crashes after which a task is not started again, however many
+  // of the workers were certainly running it. A start without an answer may
+  // never have arrived, and a run may have ended without a report, but not
+  // every time.
   static constexpr std::size_t kUnconfirmedCrashLimit = 4;
-  // The same number if this task is the only suspect of the last crash and
-  // every worker was certainly running it.
+  // The number of crashes after which a task is not started again, if it is the
+  // only suspect of the last crash and every worker was certainly running it.
   static constexpr std::size_t kOnlySuspectCrashLimit = 2;
   // A task whose worker still sent messages this long after the start is not a
   // suspect after one crash: a task that crashes its worker does so as it
--- a/libraries/maintenance/capacity_planner.cc
+++ b/libraries/maintenance/capacity_planner.cc
@@ -445,8 +445,8 @@
            .since = now};
 }
 
-// True if a move of the instance by this leader is committed, so that the order
-// may be sent.
+// True if a record of a move of the instance by this leader is committed, so
+// that the order may be sent.
 bool CapacityPlanner::HasRecord(const jobs::JobsState& state,
                                 const InstanceName& name) const {
   const auto record = state.record().moves.find(name);
--- a/libraries/maintenance/capacity_planner.h
+++ b/libraries/maintenance/capacity_planner.h
@@ -121,11 +121,15 @@
   bool IsRecordOld(const jobs::JobsState& state,
                    const InstanceName& name,
                    Move& move) const;
+  // Has each pending move recorded, gives its order, and removes the move once
+  // the instance has arrived or the move is overdue.
   void AdvanceMoves(const jobs::JobsState& state,
                     const std::map<InstanceName, InstanceFacts>& facts,
                     SteadyTime now,
                     CapacityOutput& output);
+  // Updates the known labels of the instances that have a worker.
   void UpdateLabels(const std::map<InstanceName, InstanceFacts>& facts);
+  // Returns the instances that each pool has, and those that it could give up.
   std::map<ServiceName, Pool> CountPools(
       const jobs::JobsState& state,
       const std::map<InstanceName, InstanceFacts>& facts,
@@ -133,6 +137,7 @@
       LabelNeeds& needs,
       WallTime wall_now,
       SteadyTime now) const;
+  // Sets how many instances, and how many with each label, each pool needs.
   void SetWantedCounts(const jobs::JobsState& state,
                        const std::map<ServiceName, jobs::ServiceDemand>& demand,
                        std::map<ServiceName, Pool>& pools,
--- a/libraries/maintenance/instance_messages.h
+++ b/libraries/maintenance/instance_messages.h
@@ -59,7 +59,7 @@
   LeaderEpoch epoch;
 };
 
-// The platform's answer to an order about an instance.
+// The result of an order about an instance.
 enum class InstanceResult {
   // The order was carried out, now or before.
   kDone,
--- a/libraries/maintenance/maintenance_planner.cc
+++ b/libraries/maintenance/maintenance_planner.cc
@@ -97,8 +97,8 @@
       const auto known = facts.find(name);
       // NOTE: A wave names instances that exist when it is declared. An
       // instance may be so new that its worker has not announced itself and
-      // that a list requested before the wave lacks it. Without this check it
-      // would be left out, and the wave would be reported as complete.
+      // that a list requested before the wave lacks it. Without this check the
+      // instance would be omitted, and the wave would be reported as complete.
       if (known == facts.end() && inputs.listing.IsGone(name, first_pass)) {
         RecordCompletion(wave, name, "it is gone: no list shows it", output);
         this->cordons.erase(name);
--- a/libraries/maintenance/maintenance_planner.h
+++ b/libraries/maintenance/maintenance_planner.h
@@ -31,7 +31,7 @@
   // The maximum time to wait for the runs on an instance to end by themselves.
   // Runs that are left are ended with their instance.
   Milliseconds max_drain_time{6'000};
-  // The maximum time after which an unanswered order may still be carried out.
+  // The maximum time for which an unanswered order may still be carried out.
   Milliseconds max_order_delay{12'000};
   // The time after which an order that was not answered, or not accepted, is
   // given again.
