--- a/libraries/maintenance/capacity_planner.cc
+++ b/libraries/maintenance/capacity_planner.cc
@@ -194,12 +194,13 @@
     const LabelNeeds& needs) const {
   jobs::ServiceDemand served = demand;
   for (const auto& [label, labelled] : demand.by_label) {
-    const std::int64_t most = needs.CountAll(label) * pool.instance_millicores;
+    const std::int64_t servable =
+        needs.CountAll(label) * pool.instance_millicores;
     const std::int64_t unservable =
-        std::max<std::int64_t>(0, labelled.millicores - most);
+        std::max<std::int64_t>(0, labelled.millicores - servable);
     const std::int64_t unservable_late =
         std::max<std::int64_t>(
-            0, labelled.millicores + labelled.late_millicores - most) -
+            0, labelled.millicores + labelled.late_millicores - servable) -
         unservable;
     served.short_millicores -= std::min(unservable, served.short_millicores);
     served.late_millicores -= unservable_late;
@@ -371,8 +372,8 @@
     }
   }
   std::sort(order.begin(), order.end());
-  for (const auto& [lack, to] : order) {
-    std::int64_t missing = -lack;
+  for (const auto& [negative_shortage, to] : order) {
+    std::int64_t missing = -negative_shortage;
     for (const bool takes_headroom : {true, false}) {
       for (auto& [from, pool] : pools) {
         if (from != to && IsHeadroom(state, from) == takes_headroom) {
--- a/libraries/maintenance/label_needs.cc
+++ b/libraries/maintenance/label_needs.cc
@@ -104,7 +104,7 @@
   std::sort(order.begin(), order.end());
   std::vector<Key> shortages;
   shortages.reserve(order.size());
-  for (const auto& [has_some, lack, key] : order) {
+  for (const auto& [has_some, negative_shortage, key] : order) {
     shortages.push_back(key);
   }
   return shortages;
--- a/libraries/maintenance/maintenance_planner.cc
+++ b/libraries/maintenance/maintenance_planner.cc
@@ -48,20 +48,21 @@
 // ends somewhat before its time is up.
 std::uint32_t MaintenancePlanner::WantedInProgress(const jobs::Wave& wave,
                                                    WallTime wall_now) const {
-  std::int64_t left = 0;
+  std::int64_t remaining = 0;
   for (const auto& [name, instance] : wave.instances) {
-    left +=
+    remaining +=
         static_cast<std::int64_t>(instance.state != MaintenanceState::kOver);
   }
-  const Milliseconds each =
+  const Milliseconds time_per_instance =
       this->settings.maintenance_time + this->settings.overhead;
   // A fifth of the ramp is kept as reserve.
   const Milliseconds time_left = wave.started_at + wave.ramp * 4 / 5 - wall_now;
-  if (time_left <= each) {
+  if (time_left <= time_per_instance) {
     return wave.most_at_once;
   }
   const std::int64_t needed =
-      (left * each.count() + time_left.count() - 1) / time_left.count();
+      (remaining * time_per_instance.count() + time_left.count() - 1) /
+      time_left.count();
   return static_cast<std::uint32_t>(std::clamp<std::int64_t>(
       needed + 1, 1, static_cast<std::int64_t>(wave.most_at_once)));
 }
@@ -134,9 +135,9 @@
           open != this->open_orders.end() && now < open->second.due;
       // An instance that is switched off costs no capacity, so that only the
       // wave's own limit applies to it.
-      const std::uint32_t most =
+      const std::uint32_t limit =
           facts.contains(name) ? wanted : wave.most_at_once;
-      if (in_progress < most && !is_early) {
+      if (in_progress < limit && !is_early) {
         ++in_progress;
         this->cordons.emplace(name, Cordon{now});
       }
