--- a/libraries/maintenance/capacity_planner.cc
+++ b/libraries/maintenance/capacity_planner.cc
@@ -101,9 +101,9 @@
                                     SteadyTime now) const {
   // NOTE: The clocks of two leaders may differ by seconds, so the limit is
   // twice the pause.
-  return now - this->began_at <= this->settings.holder_pause &&
+  return now - this->began_at <= this->settings.takeover_pause &&
          record.epoch != this->epoch &&
-         wall_now - record.at <= 2 * this->settings.holder_pause;
+         wall_now - record.at <= 2 * this->settings.takeover_pause;
 }
 
 // Cordons the instances that the previous leader may just have ordered to move,
--- a/libraries/maintenance/capacity_planner.h
+++ b/libraries/maintenance/capacity_planner.h
@@ -24,7 +24,7 @@
   bool is_on = true;
   // The time for which a new leader gives no orders about instances that the
   // previous leader was about to move, so that their orders never interleave.
-  Milliseconds holder_pause{3'000};
+  Milliseconds takeover_pause{3'000};
   // The reserve of a pool over its current demand for short tasks, in
   // thousandths.
   std::int64_t reserve_permille = 150;
--- a/libraries/maintenance/maintenance_planner.cc
+++ b/libraries/maintenance/maintenance_planner.cc
@@ -76,7 +76,7 @@
   const SteadyTime first_pass =
       this->first_passes.try_emplace(wave.id, now).first->second;
   const bool may_order = !this->has_been_fenced &&
-                         now - this->began_at > this->settings.holder_pause;
+                         now - this->began_at > this->settings.takeover_pause;
   std::uint32_t in_progress = wave.CountDown();
   std::vector<std::pair<std::int64_t, InstanceName>> candidates;
   for (const auto& [name, instance] : wave.instances) {
--- a/libraries/maintenance/maintenance_planner.h
+++ b/libraries/maintenance/maintenance_planner.h
@@ -22,7 +22,7 @@
 struct MaintenanceSettings {
   // The time for which a new leader gives no orders about instances, so that
   // its orders never interleave with those of the previous leader.
-  Milliseconds holder_pause{3'000};
+  Milliseconds takeover_pause{3'000};
   // The time for which an instance is down for its maintenance.
   Milliseconds maintenance_time{2'000};
   // The additional time that it takes to drain an instance and to detect that
--- a/services/sumacd/job_controller.cc
+++ b/services/sumacd/job_controller.cc
@@ -253,7 +253,7 @@
   chosen.longest_stop = times.longest_stop;
   this->scheduler.emplace(this->jobs_state, chosen, now);
   const maintenance::MaintenanceSettings maintenance{
-      .holder_pause = times.instance_lease,
+      .takeover_pause = times.instance_lease,
       .maintenance_time = times.maintenance_time()};
   this->keeper = std::make_unique<InstanceKeeper>(
       this->jobs_state, *this->scheduler, this->instance_calls,
@@ -266,7 +266,7 @@
           .count_order = [this] { this->load.CountPiece(Piece::kMove); }},
       maintenance,
       maintenance::CapacitySettings{.is_on = policy.moves,
-                                    .holder_pause = times.instance_lease,
+                                    .takeover_pause = times.instance_lease,
                                     .reserve_permille = policy.reserve_permille,
                                     .surplus_time = policy.surplus_time,
                                     .move_time = times.move_time()},
--- a/tests/libraries/maintenance/capacity_planner_test.cc
+++ b/tests/libraries/maintenance/capacity_planner_test.cc
@@ -182,7 +182,7 @@
                                   this->state.epoch(), this->now);
   this->AddIdle(1);
   EXPECT_TRUE(this->Plan().orders.empty());
-  this->now += CapacitySettings().holder_pause;
+  this->now += CapacitySettings().takeover_pause;
   EXPECT_EQ(this->Plan().orders.size(), 1U);
 }
 
