--- a/libraries/fleet/answer.h
+++ b/libraries/fleet/answer.h
@@ -15,7 +15,7 @@
 
 namespace sumac::fleet {
 
-// The answer to one command or question.
+// The answer to one command or query.
 struct Answer {
   ResultCode code = ResultCode::kOk;
   std::string message;
@@ -24,23 +24,25 @@
 
   bool is_ok() const { return this->code == ResultCode::kOk; }
 
-  // An answer that carries an error.
+  // Returns an answer that carries the error `status`.
   static Answer FromStatus(const absl::Status& status) {
     return Answer{CodeOf(status), std::string(status.message()), {}, {}};
   }
 
-  // An answer that carries an error, or a success with one sentence.
+  // Returns an error answer if `status` is an error, and otherwise a success
+  // whose message is the sentence `message`.
   static Answer FromOutcome(const absl::Status& status, std::string message) {
     return status.ok() ? Success(std::move(message)) : FromStatus(status);
   }
 
-  // A success with one sentence.
+  // Returns a success whose message is one sentence.
   static Answer Success(std::string message) {
     return Answer{.message = std::move(message)};
   }
 };
 
-// An answer as it is kept for resends.
+// The stored answer to an operator's command, which resends of the command
+// receive again.
 struct KeptOperatorAnswer {
   std::string command_digest;
   std::uint16_t code = 0;
--- a/libraries/fleet/charts.h
+++ b/libraries/fleet/charts.h
@@ -9,8 +9,8 @@
 
 namespace sumac::fleet {
 
-// The state charts that the fleet's state machine interprets, checked against
-// the states that the program knows.
+// The state charts that the fleet's state machine interprets. They are checked
+// against the states that the program defines.
 struct Charts {
   Chart instance;
   Chart job;
--- a/libraries/fleet/claim.h
+++ b/libraries/fleet/claim.h
@@ -12,19 +12,19 @@
 
 namespace sumac::fleet {
 
-// How far the one run of a claimed request has come (charts/request.json).
+// The progress of the single run of a claimed request (charts/request.json).
 enum class ClaimState {
-  // An entry holds the right to send it, and may have.
+  // An entry holds the right to send the request and may have sent it.
   kClaimed,
-  // It ran, and the answer is kept.
+  // The request ran, and its answer is stored.
   kAnswered,
-  // It did not run; the key may be claimed again.
+  // The request did not run; the key may be claimed again.
   kNotRun,
-  // It may have run; nobody sends it again.
+  // The request may have run; no entry sends it again.
   kUnknown,
 };
 
-// A minion's answer as it is kept for resends.
+// A minion's answer, stored so that resends of the request receive it again.
 struct KeptAnswer {
   std::uint16_t http_status = 0;
   std::string content_type;
@@ -41,17 +41,17 @@
 // The claim of one non-repeatable request.
 struct Claim {
   IdempotencyKey key;
-  // Of method, service, path and body; another digest under the same key is an
-  // error.
+  // The digest of method, service, path and body; another digest under the same
+  // key is an error.
   std::string digest;
-  // The entry that may send the request, and which of its tries holds the
-  // claim. A try's number is never used again, not even after a restart of the
-  // entry.
+  // The entry that may send the request, and the number of its attempt that
+  // holds the claim. An attempt number is never used again, not even after a
+  // restart of the entry.
   ProcessName entry;
   std::uint64_t attempt = 0;
   WallTime claimed_at;
-  // After this the entry has given up; a claim still open then has an unknown
-  // outcome.
+  // The time by which the entry has given up; a claim that is still open then
+  // has an unknown outcome.
   WallTime runs_until;
   ClaimState state = ClaimState::kClaimed;
   KeptAnswer answer;
--- a/libraries/fleet/commands.h
+++ b/libraries/fleet/commands.h
@@ -23,8 +23,8 @@
 // the leader proposes it, and every controller applies it in the same order
 // with the same outcome.
 
-// Who sent a command, and the id under which a resend gets the first answer
-// again.
+// The operator who sent a command, and the request id under which a resend
+// receives the first answer again.
 struct OperatorIdentity {
   std::string operator_name;
   OperatorRequestId request_id;
@@ -36,7 +36,7 @@
   }
 };
 
-// Puts a declaration in force if `expected` is the present revision.
+// Puts a declaration in force if `expected` is the current revision.
 struct ApplyDeclaration {
   static constexpr std::string_view kTypeName = "apply_declaration";
   OperatorIdentity identity;
@@ -51,7 +51,7 @@
   }
 };
 
-// What an operator asks to be done with an instance.
+// The operations on an instance that an operator can request.
 enum class InstanceRequest { kDrain, kUndrain, kReboot, kMove };
 
 struct OperateInstance {
@@ -95,7 +95,7 @@
   }
 };
 
-// Targets that are new, started again, changed, or are heard again after a
+// Records targets that are new, restarted, changed, or renew again after a
 // silence.
 struct RecordTargets {
   static constexpr std::string_view kTypeName = "record_targets";
@@ -107,13 +107,13 @@
   }
 };
 
-// What a leader noticed about instances.
+// Records events that the leader detected on instances.
 struct RecordInstanceEvents {
   static constexpr std::string_view kTypeName = "record_instance_events";
 
   struct Item {
     InstanceName instance;
-    // Which start of the instance it was noticed about.
+    // The incarnation of the instance on which the event was detected.
     Incarnation incarnation;
     InstanceEvent event = InstanceEvent::kSettled;
 
@@ -133,7 +133,7 @@
   }
 };
 
-// What the platform said about an operation.
+// Records the platform's report on an operation.
 struct RecordPlatformReport {
   static constexpr std::string_view kTypeName = "record_platform_report";
   InstanceName instance;
@@ -150,7 +150,8 @@
   }
 };
 
-// One job put on one worker, with what speaks against the others.
+// The placement of one job on one worker, with the reasons against the workers
+// passed over.
 struct Placement {
   JobId job;
   InstanceName worker;
@@ -188,7 +189,7 @@
   }
 };
 
-// Leases whose time, margin included, has passed without a renewal.
+// Ends leases that have expired, margin included, without a renewal.
 struct ExpireLeases {
   static constexpr std::string_view kTypeName = "expire_leases";
 
@@ -211,14 +212,14 @@
   }
 };
 
-// An entry asks for the right to send one non-repeatable request.
+// Claims the right of an entry to send one non-repeatable request.
 struct ClaimRequest {
   static constexpr std::string_view kTypeName = "claim_request";
   IdempotencyKey key;
   std::string digest;
   ProcessName entry;
   std::uint64_t attempt = 0;
-  // How long the entry will wait for the minion's answer at most.
+  // The maximum time for which the entry waits for the minion's answer.
   Milliseconds run_time{0};
 
   template <typename Self, typename Visitor>
@@ -231,7 +232,7 @@
   }
 };
 
-// How a claimed request ended.
+// Records how a claimed request ended.
 struct FinishClaim {
   static constexpr std::string_view kTypeName = "finish_claim";
   IdempotencyKey key;
@@ -250,8 +251,8 @@
   }
 };
 
-// Forgets claims whose keys lie before `before`; such keys are refused from
-// then on.
+// Removes the claims whose keys carry a time before `before`; such keys are
+// refused from then on.
 struct ExpireClaims {
   static constexpr std::string_view kTypeName = "expire_claims";
   WallTime before;
@@ -276,8 +277,7 @@
                              FinishClaim,
                              ExpireClaims>;
 
-// A command with the leader's time, which is the only time that applying it
-// uses.
+// A command with the leader's time, which is the only time used to apply it.
 struct StampedCommand {
   WallTime at;
   Command command;
--- a/libraries/fleet/decision.h
+++ b/libraries/fleet/decision.h
@@ -12,7 +12,7 @@
 
 namespace sumac::fleet {
 
-// What a decision is about.
+// The kinds of things that a decision can be about.
 enum class SubjectKind {
   kInstance,
   kPool,
@@ -22,7 +22,7 @@
   kWave
 };
 
-// Something that mattered for a decision, and how old it was.
+// One input of a decision, and its age at that time.
 struct DecisionInput {
   std::string name;
   std::string value;
@@ -36,7 +36,7 @@
   }
 };
 
-// What could have been decided instead, and why it was not.
+// An alternative that was not chosen, and the reason.
 struct Alternative {
   std::string name;
   std::string why_not;
@@ -48,22 +48,24 @@
   }
 };
 
-// The record of one decision: enough to tell an operator what was done, by
-// which rule and why nothing else was.
+// The record of one decision. It tells an operator what was done, by which
+// rule, and why each alternative was not chosen.
 struct Decision {
   DecisionId id;
   WallTime at;
   SubjectKind subject_kind = SubjectKind::kInstance;
   std::string subject;
-  // The pool it concerns, for asking by pool; may be empty.
+  // The pool that the decision concerns, for queries by pool; may be empty.
   PoolName pool;
-  // placed, granted, refused, moved, taken-back, quarantined and so on.
+  // The outcome, such as placed, granted, refused, moved, taken-back or
+  // quarantined.
   std::string outcome;
-  // The rule that fired, in kebab-case.
+  // The rule that was applied, in kebab-case.
   std::string rule;
   std::vector<DecisionInput> inputs;
   std::vector<Alternative> alternatives;
-  // All of it in a sentence that an on-call operator can act on.
+  // A sentence that summarizes the decision and that an on-call operator can
+  // act on.
   std::string sentence;
 
   template <typename Self, typename Visitor>
--- a/libraries/fleet/declaration.cc
+++ b/libraries/fleet/declaration.cc
@@ -15,7 +15,7 @@
 constexpr ReaderCodes kDeclarationCodes{ResultCode::kInvalidDeclaration,
                                         ResultCode::kInvalidDeclaration};
 
-// The item called `name` in a list of declared items.
+// Returns the item called `name` in a list of declared items, or null.
 template <typename Item, typename Name>
 const Item* FindByName(const std::vector<Item>& items, const Name& name) {
   const auto found =
@@ -24,7 +24,7 @@
   return found == items.end() ? nullptr : &*found;
 }
 
-// Checks that the names of `items` are not empty and not used twice.
+// Checks that the names of `items` are not empty and are unique.
 template <typename Item>
 absl::Status CheckNames(const std::vector<Item>& items, std::string_view kind) {
   std::set<std::string> seen;
--- a/libraries/fleet/declaration.h
+++ b/libraries/fleet/declaration.h
@@ -16,19 +16,20 @@
 
 namespace sumac::fleet {
 
-// The failure domain whose sudden loss a pool's buffer must survive during
-// planned work.
+// The failure domain whose sudden loss a pool must survive during planned work
+// without breaking its budget.
 enum class FailureDomain { kNone, kInstance, kRack, kDataCentre };
 
-// What of a pool must stay available whatever is planned. All parts hold at
-// once.
+// The minimum part of a pool that must stay available during planned work. All
+// constraints apply together.
 struct Budget {
-  // A number of instances.
+  // The minimum number of available instances.
   std::uint32_t smallest_available = 0;
-  // A share of the pool's capacity, 0 to 1, rounded up to whole instances.
+  // The minimum available share of the pool's capacity, 0 to 1, rounded up to
+  // whole instances.
   double smallest_share = 0;
-  // The same shares within each data centre and rack, of the instances that the
-  // pool has there.
+  // The minimum available shares, 0 to 1, within each data centre and each
+  // rack, of the instances that the pool has there.
   double smallest_share_per_data_centre = 0;
   double smallest_share_per_rack = 0;
 
@@ -44,18 +45,19 @@
   }
 };
 
-// A set of instances with a promise.
+// A set of instances with an availability budget.
 struct Pool {
   PoolName name;
-  // How many instances the pool is meant to have.
+  // The number of instances that the pool is meant to have.
   std::uint32_t capacity = 0;
   Budget budget;
-  // The domain whose loss during planned work must not break the budget.
+  // The failure domain whose loss during planned work must not break the
+  // budget.
   FailureDomain survives = FailureDomain::kNone;
-  // How long an instance must be well after it came or came back before it
-  // counts.
+  // How long an instance must be healthy after it joined or returned before it
+  // counts as available.
   Milliseconds settle_time{10'000};
-  // How long an instance may be silent before it counts as gone.
+  // How long an instance may be silent before it counts as down.
   Milliseconds silence_time{3'000};
 
   template <typename Self, typename Visitor>
@@ -69,28 +71,29 @@
   }
 };
 
-// How urgent a request is when there is not room for all.
+// The urgency of a request when there is no capacity for all requests.
 enum class RequestClass { kInteractive, kBackground };
 
-// What an entry does for the requests of one service.
+// The declaration of one service: how entries handle its requests.
 struct Service {
   ServiceName name;
   PoolName pool;
-  // False where running a request twice does harm; such requests need an
+  // False if running a request twice does harm; such requests need an
   // idempotency key.
   bool repeatable = true;
   RequestClass request_class = RequestClass::kInteractive;
-  // How long a request may take when it does not say.
+  // The deadline of a request that doesn't specify one.
   Milliseconds deadline{2'000};
-  // Requests of one caller open at one entry at once.
+  // The maximum number of requests of one caller open at one entry at the same
+  // time.
   std::uint32_t most_open_per_caller = 64;
-  // Requests that may wait for a slot at one entry.
+  // The maximum number of requests that wait for a slot at one entry.
   std::uint32_t most_queued = 256;
-  // Tries after the first, for requests that may be tried again.
+  // The maximum number of retries of a request that may be retried.
   std::uint32_t most_retries = 2;
-  // Retries are at most this share of first tries.
+  // The maximum ratio of retries to first attempts.
   double retry_budget = 0.2;
-  // Bytes of a request or an answer.
+  // The maximum size of the body of a request or an answer, in bytes.
   std::uint32_t most_body_bytes = 1U << 20;
 
   template <typename Self, typename Visitor>
@@ -109,7 +112,8 @@
   }
 };
 
-// A team and what its jobs may hold at once; 0 means no limit.
+// A team and the maximum resources that its jobs may hold at once; 0 means no
+// limit.
 struct Team {
   TeamName name;
   std::uint64_t most_millicores = 0;
@@ -123,7 +127,7 @@
   }
 };
 
-// How much the fleet's owner minds each cost of planned work.
+// The weight that the fleet's owner gives to each cost of planned work.
 struct Weights {
   double buffer_cost = 1;
   double roll_out_time = 1;
@@ -137,18 +141,18 @@
   }
 };
 
-// All that operators declare; it is replaced as a whole.
+// The complete declaration of the operators. It is always replaced as a whole.
 struct Declaration {
   std::vector<Pool> pools;
   std::vector<Service> services;
   std::vector<Team> teams;
   Weights weights;
-  // How long an idempotency key is remembered, from the time that it carries.
+  // How long an idempotency key is kept, counted from the time that it carries.
   Milliseconds key_window{900'000};
-  // How long a worker may run a task without hearing from a controller.
+  // How long a worker may run a task without an answer from a controller.
   Milliseconds job_lease{10'000};
 
-  // The pool or service with this name, or nothing.
+  // Returns the pool, service or team with this name, or null.
   const Pool* FindPool(const PoolName& name) const;
   const Service* FindService(const ServiceName& name) const;
   const Team* FindTeam(const TeamName& name) const;
@@ -164,13 +168,13 @@
   }
 };
 
-// Reads a declaration as an operator wrote it; the error names `source`, the
-// key, what was found and what is allowed.
+// Parses a declaration as an operator wrote it. The error names `source`, the
+// key, the value found and the values allowed.
 absl::StatusOr<Declaration> ParseDeclaration(std::string_view text,
                                              std::string_view source);
 
-// Checks what no single field can: names are unique, services name pools,
-// budgets fit.
+// Checks the constraints between fields: names are unique, services refer to
+// declared pools, and budgets fit the capacity of their pools.
 absl::Status ValidateDeclaration(const Declaration& declaration);
 
 }  // namespace sumac::fleet
--- a/libraries/fleet/fleet_machine.cc
+++ b/libraries/fleet/fleet_machine.cc
@@ -11,27 +11,28 @@
 namespace sumac::fleet {
 namespace {
 
-// Commands that an operator sends carry an identity; the first answer is kept
-// under its id.
+// Commands that an operator sends carry an identity; the first answer is stored
+// under its request id.
 template <typename Command>
 concept OperatorCommand = requires(const Command& command) {
   { command.identity } -> std::convertible_to<const OperatorIdentity&>;
 };
 
-// What tells two commands under one request id apart.
+// Returns a digest that distinguishes two commands sent under one request id.
 template <OperatorCommand Command>
 std::string DigestOf(const Command& command) {
   Command without_name = command;
   without_name.identity = OperatorIdentity{};
-  // NOTE: By way of a tree, which sorts the keys: digests are kept in snapshots
-  // and compared by replicas of other versions.
+  // NOTE: The JSON tree sorts the keys, as the digest must not depend on the
+  // order of the fields: digests are stored in snapshots and compared by
+  // replicas of other versions.
   std::string digest;
   nlohmann::json::to_cbor(ToJson(without_name), digest);
   return digest;
 }
 
-// The kept answer for a resend, or the error for an id that another command
-// used.
+// Returns the stored answer for a resend, or an error if another command used
+// the id.
 std::optional<Answer> FindKeptAnswer(const FleetState& state,
                                      const OperatorRequestId& request_id,
                                      const std::string& digest) {
@@ -73,7 +74,8 @@
 
 Answer FleetMachine::Apply(const StampedCommand& stamped) {
   FleetRecord& record = this->fleet.mutable_record();
-  // A new leader's clock may lie behind the last one's; time only goes on.
+  // The clock of a new leader may be behind that of the previous one; the time
+  // of the state never goes back.
   record.now = std::max(record.now, stamped.at);
   return std::visit(
       [this]<typename Command>(const Command& command) {
--- a/libraries/fleet/fleet_machine.h
+++ b/libraries/fleet/fleet_machine.h
@@ -10,9 +10,9 @@
 
 namespace sumac::fleet {
 
-// The replicated state machine: applies commands to the state. Every guard that
-// a promise rests on is checked here, on the committed state, whatever the
-// leader believed when it proposed.
+// The replicated state machine, which applies commands to the state. Every
+// condition that a guarantee depends on is checked here, on the committed
+// state, whatever the leader assumed when it proposed the command.
 class FleetMachine {
  public:
   explicit FleetMachine(const Charts& charts) : fleet(charts) {}
@@ -22,7 +22,7 @@
   // Applies one committed command.
   Answer Apply(const StampedCommand& stamped);
 
-  // Replaces the state by a snapshot's.
+  // Replaces the state with that of a snapshot.
   absl::Status LoadSnapshot(std::string_view bytes) {
     return this->fleet.LoadSnapshot(bytes);
   }
@@ -31,8 +31,8 @@
   FleetState fleet;
 };
 
-// Appliers of one command each; they change nothing when they answer with an
-// error, but may keep the decision that refused.
+// Each overload applies one command. On an error it changes nothing, except
+// that it may record the decision to refuse the command.
 Answer Apply(FleetState& state, const ApplyDeclaration& command);
 Answer Apply(FleetState& state, const OperateInstance& command);
 Answer Apply(FleetState& state, const SubmitJob& command);
@@ -47,7 +47,8 @@
 Answer Apply(FleetState& state, const FinishClaim& command);
 Answer Apply(FleetState& state, const ExpireClaims& command);
 
-// Refuses queued jobs of a pool that no worker could ever run any more.
+// Refuses the queued jobs of a pool that none of its workers could ever run any
+// more.
 void RefuseImpossibleJobs(FleetState& state, const PoolName& pool);
 
 }  // namespace sumac::fleet
--- a/libraries/fleet/fleet_state.cc
+++ b/libraries/fleet/fleet_state.cc
@@ -16,8 +16,8 @@
 constexpr std::string_view kLeasedTag = "leased";
 constexpr std::string_view kWaitingTag = "waiting";
 
-// When the list is longer than it may be, this share of it goes at once, the
-// oldest first.
+// The divisor for the part of a full list of decisions that is removed at once,
+// the oldest decisions first.
 constexpr std::size_t kForgetDivisor = 4;
 
 }  // namespace
--- a/libraries/fleet/fleet_state.h
+++ b/libraries/fleet/fleet_state.h
@@ -27,27 +27,28 @@
 
 namespace sumac::fleet {
 
-// The part of the state that is kept in snapshots.
+// The part of the state that is stored in snapshots.
 struct FleetRecord {
   // The time of the last command; it never goes back.
   WallTime now;
   Revision revision;
-  // Who put the present revision in force.
+  // The operator and request that put the current revision in force.
   std::string revision_winner;
   Declaration declaration;
   std::map<InstanceName, Instance> instances;
   std::map<JobId, Job> jobs;
   std::map<IdempotencyKey, Claim> claims;
-  // Keys that carry an earlier time are refused.
+  // Idempotency keys that carry an earlier time are refused.
   WallTime claims_floor;
-  // The first answers to operators' commands, and the order in which to forget
+  // The first answers to operators' commands, and the order in which to remove
   // them.
   std::map<OperatorRequestId, KeptOperatorAnswer> operator_answers;
   std::vector<OperatorRequestId> operator_answer_order;
   std::vector<Decision> decisions;
   std::uint64_t next_operation = 1;
   std::uint64_t next_decision = 1;
-  // Changes whenever something changed that entries route by.
+  // The version of the entries' view; incremented on each change that affects
+  // routing.
   std::uint64_t view_version = 0;
 
   template <typename Self, typename Visitor>
@@ -69,27 +70,28 @@
   }
 };
 
-// The replicated state with the indexes that follow from it. All changes of
-// instances and jobs go through it, so that the indexes always fit.
+// The replicated state with the indexes derived from it. All changes to
+// instances and jobs go through this class, so that the indexes are always
+// consistent with the record.
 class FleetState {
  public:
-  // An empty state under these charts.
+  // Creates an empty state that uses `charts`.
   explicit FleetState(const Charts& charts) : state_charts(&charts) {}
 
-  // Reads a snapshot that ToSnapshot made.
+  // Loads a snapshot that ToSnapshot returned.
   absl::Status LoadSnapshot(std::string_view bytes);
   std::string ToSnapshot() const;
 
   const FleetRecord& record() const { return this->data; }
   const Charts& charts() const { return *this->state_charts; }
 
-  // Fields that no index follows.
+  // Gives write access to the fields that no index is derived from.
   FleetRecord& mutable_record() { return this->data; }
 
   const Instance* FindInstance(const InstanceName& name) const;
   const Job* FindJob(const JobId& id) const;
 
-  // The error kUnknownName, or the thing itself.
+  // Returns the instance or job, or the error kUnknownName.
   absl::StatusOr<const Instance*> GetInstance(const InstanceName& name) const;
   absl::StatusOr<const Job*> GetJob(const JobId& id) const;
 
@@ -97,37 +99,38 @@
   void PutInstance(Instance instance);
   void PutJob(Job job);
 
-  // Moves an instance or job on by its chart; the error is kWrongState.
+  // Changes the state of an instance or job as its chart defines for the event;
+  // the error is kWrongState.
   absl::Status FireInstance(Instance& instance, InstanceEvent event) const;
   absl::Status FireJob(Job& job, JobEvent event) const;
 
-  // True if the chart gives the instance's state this tag.
+  // Returns true if the chart gives the state of the instance or job this tag.
   bool InstanceHasTag(const Instance& instance, std::string_view tag) const;
   bool JobHasTag(const Job& job, std::string_view tag) const;
 
-  // Keeps a decision and gives it its id.
+  // Records a decision under a new id and returns the id.
   DecisionId AddDecision(Decision decision);
 
-  // Tells that entries must route by something new.
+  // Increments the version of the view after a change that affects routing.
   void TouchView() { ++this->data.view_version; }
 
-  // Indexes.
+  // The indexes derived from the record.
   const PoolCounts& CountsOf(const PoolName& pool) const;
   const WorkerIndex& WorkersOf(const PoolName& pool) const;
   const std::set<InstanceName>& instances_not_available() const {
     return this->unsettled;
   }
-  // Queued jobs in the order in which they are placed.
+  // Returns the queued jobs in the order in which they are placed.
   const std::set<std::pair<std::pair<JobPriority, WallTime>, JobId>>&
   queued_jobs() const {
     return this->queued;
   }
   const std::set<JobId>& leased_jobs() const { return this->leased; }
   const std::set<JobId>& JobsOn(const InstanceName& worker) const;
-  // What the team's placed and running jobs hold.
+  // Returns the resources that the placed and running jobs of the team hold.
   Resources HeldBy(const TeamName& team) const;
 
-  // How many decisions and operator answers are kept.
+  // The maximum numbers of decisions and of operator answers that are kept.
   static constexpr std::size_t kMostDecisions = 4'000;
   static constexpr std::size_t kMostOperatorAnswers = 4'000;
 
--- a/libraries/fleet/idempotency.cc
+++ b/libraries/fleet/idempotency.cc
@@ -13,7 +13,8 @@
 namespace {
 
 constexpr std::size_t kShortestToken = 8;
-// Any time later than this is no time in milliseconds but in something finer.
+// The latest valid time of a key, in milliseconds since the epoch. A larger
+// number is a time in a finer unit.
 constexpr std::int64_t kLatestMilliseconds = 10'000'000'000'000;
 
 }  // namespace
--- a/libraries/fleet/idempotency.h
+++ b/libraries/fleet/idempotency.h
@@ -10,13 +10,13 @@
 
 namespace sumac::fleet {
 
-// A key may carry a time this far ahead of the leader's clock.
+// How far ahead of the leader's clock the time of a key may be.
 inline constexpr Milliseconds kMostKeySkew{60'000};
 inline constexpr std::size_t kLongestKey = 128;
 
-// The time that a key carries. A key is MILLISECONDS-TOKEN: the caller's wall
-// clock when it made the key and 8 or more letters, digits, dots or underscores
-// of its own. The error is kBadIdempotencyKey.
+// Returns the time that a key carries. A key is MILLISECONDS-TOKEN: the
+// caller's wall clock when it made the key, and 8 or more letters, digits, dots
+// or underscores that the caller chooses. The error is kBadIdempotencyKey.
 absl::StatusOr<WallTime> TimeOfKey(const IdempotencyKey& key);
 
 }  // namespace sumac::fleet
--- a/libraries/fleet/instance.h
+++ b/libraries/fleet/instance.h
@@ -15,7 +15,7 @@
 
 namespace sumac::fleet {
 
-// Minions answer requests, workers run jobs.
+// Minions answer requests; workers run jobs.
 enum class TargetKind { kMinion, kWorker };
 
 // The states of charts/instance.json.
@@ -49,28 +49,29 @@
   kLeave,
 };
 
-// What is done to an instance by plan.
+// The kinds of planned operations on an instance.
 enum class OperationKind { kDrain, kReboot, kMove };
 
-// How far the platform has come with an operation, as it reported.
+// The progress of an operation, as reported by the platform.
 enum class PlatformProgress { kNotTold, kAccepted, kDone, kFailed };
 
-// One granted operation on one instance. Its id goes to the platform with every
-// message about it, so that a message sent again does nothing twice.
+// One granted operation on one instance. Every message about it to the platform
+// carries its id, so that a resent message has no further effect.
 struct Operation {
   OperationId id;
   OperationKind kind = OperationKind::kDrain;
-  // Where the instance goes; only for a move.
+  // The pool that the instance moves to; only for a move.
   PoolName target_pool;
   std::string granted_by;
   WallTime granted_at;
   PlatformProgress progress = PlatformProgress::kNotTold;
-  // The instance's start when this was granted; a reboot is over once there is
-  // a later one.
+  // The incarnation of the instance when the operation was granted; a reboot is
+  // over once there is a later one.
   Incarnation incarnation_before;
-  // True if the instance counted for the budget when this was granted.
+  // True if the instance counted for the budget when the operation was granted.
   bool counted_before = false;
-  // The wave that this belongs to; empty for an operator's own.
+  // The wave that the operation belongs to; empty for one that an operator
+  // requested.
   std::string wave;
 
   template <typename Self, typename Visitor>
@@ -87,28 +88,30 @@
   }
 };
 
-// What a target says of itself when it announces itself.
+// The description of a target in its announcements.
 struct TargetDescription {
   InstanceName name;
   TargetKind kind = TargetKind::kMinion;
-  // Starts anew with each start of the target and always grows; milliseconds
-  // since the epoch do.
+  // The number of the target's present incarnation. It differs for each start
+  // of the target and always increases, as the start time in milliseconds since
+  // the epoch does.
   Incarnation incarnation;
-  // Where it takes requests, as IP:PORT.
+  // The address at which the target accepts requests, as IP:PORT.
   std::string address;
   DataCentre data_centre;
   Rack rack;
-  // The pool it belongs to when the system has never seen it before.
+  // The pool that the target joins if it is not known yet.
   PoolName pool;
-  // Minions: the services it answers for and what it takes at once.
+  // For minions: the services that the target serves, and how many requests and
+  // connections it accepts at once.
   std::set<ServiceName> services;
   std::uint32_t slots = 0;
   std::uint32_t connections = 0;
-  // Workers: what jobs can use.
+  // For workers: the resources that jobs can use.
   std::uint32_t millicores = 0;
   std::uint32_t memory_mb = 0;
   std::uint32_t accelerators = 0;
-  // The version that maintenance has brought it to.
+  // The version to which maintenance has updated the target.
   std::string version;
 
   bool operator==(const TargetDescription&) const = default;
@@ -132,17 +135,19 @@
   }
 };
 
-// One instance as the controllers know it.
+// The committed state of one instance.
 struct Instance {
   TargetDescription target;
-  // The one pool that it belongs to.
+  // The one pool that the instance belongs to.
   PoolName pool;
   InstanceState state = InstanceState::kSettling;
   WallTime state_since;
   std::optional<Operation> operation;
-  // True if it fell silent while planned work had it out of its pool already.
+  // True if the instance became silent while it was already out of its pool for
+  // planned work.
   bool is_silent_while_planned = false;
-  // Different jobs that failed here since the last one that succeeded.
+  // The different jobs that failed on the instance since the last one that
+  // succeeded there.
   std::set<JobId> failed_jobs;
 
   template <typename Self, typename Visitor>
--- a/libraries/fleet/job.h
+++ b/libraries/fleet/job.h
@@ -14,7 +14,8 @@
 
 namespace sumac::fleet {
 
-// Which jobs go first; a lower value goes before a higher one.
+// The priority of a job; jobs with a lower value are placed before jobs with a
+// higher one.
 enum class JobPriority { kUrgent, kInteractive, kBackground };
 
 // The states of charts/job.json.
@@ -45,23 +46,23 @@
   kRetry,
 };
 
-// What an operator asks to have run.
+// The specification of a job that an operator submits.
 struct JobSpec {
-  // Chosen by the operator; unique.
+  // The id of the job, chosen by the operator; it must be unique.
   JobId id;
   PoolName pool;
   TeamName team;
-  // Jobs of one class have like sizes and times.
+  // The class of the job. Jobs of one class have similar sizes and run times.
   std::string job_class;
   JobPriority priority = JobPriority::kBackground;
   std::uint32_t millicores = 1'000;
   std::uint32_t memory_mb = 256;
   std::uint32_t accelerators = 0;
-  // False where running it twice does harm.
+  // False if running the job twice does harm.
   bool repeatable = true;
-  // How long the operator thinks it runs.
+  // The run time that the operator expects.
   Milliseconds run_time{60'000};
-  // What the worker is to run; opaque to the system.
+  // The command that the worker runs; opaque to the system.
   std::string command;
 
   template <typename Self, typename Visitor>
@@ -80,19 +81,21 @@
   }
 };
 
-// One job as the controllers know it.
+// The committed state of one job.
 struct Job {
   JobSpec spec;
   JobState state = JobState::kQueued;
   WallTime state_since;
   WallTime submitted_at;
-  // Where it was placed last; empty before the first time.
+  // The worker on which the job was last placed; empty before the first
+  // placement.
   InstanceName worker;
-  // Of the last placement; the first is 1.
+  // The fencing token of the last placement; that of the first placement is 1.
   FencingToken token;
-  // Workers it failed on, not counting ones found to be bad themselves.
+  // The workers that the job failed on, except workers that proved to be faulty
+  // themselves.
   std::set<InstanceName> failed_on;
-  // What the worker or the system said last.
+  // The latest message of the worker or the system about the job.
   std::string detail;
 
   template <typename Self, typename Visitor>
@@ -108,10 +111,10 @@
   }
 };
 
-// What a worker reports of one task.
+// The states of a task that a worker reports.
 enum class TaskState { kRunning, kFinished, kFailed, kStopped };
 
-// A worker's report of one task.
+// A worker's report on one task.
 struct TaskReport {
   JobId job;
   FencingToken token;
--- a/libraries/fleet/soft_state.cc
+++ b/libraries/fleet/soft_state.cc
@@ -63,7 +63,7 @@
       (announcement.is_leaving && known == nullptr)) {
     return {};
   }
-  // A leaving target that already left is not called back.
+  // A leaving target that has already left is not recorded again.
   if (announcement.is_leaving && known->state == InstanceState::kLeft) {
     return {};
   }
--- a/libraries/fleet/soft_state.h
+++ b/libraries/fleet/soft_state.h
@@ -17,13 +17,13 @@
 
 namespace sumac::fleet {
 
-// One target's renewal: what it is, what it does now and what became of its
+// A target's renewal: its description, its current load and the state of its
 // tasks.
 struct Announcement {
   TargetDescription target;
-  // Requests or tasks that it has in hand.
+  // The number of requests or tasks that the target is processing.
   std::uint32_t in_flight = 0;
-  // True if it is about to go and takes nothing new.
+  // True if the target is about to leave and accepts no new work.
   bool is_leaving = false;
   std::vector<TaskReport> tasks;
 
@@ -36,7 +36,7 @@
   }
 };
 
-// A task that a worker is to run.
+// A task that the worker is ordered to run.
 struct TaskOrder {
   JobId job;
   FencingToken token;
@@ -52,20 +52,20 @@
   }
 };
 
-// The answer to a renewal.
+// The answer to a target's renewal.
 struct TargetOrders {
-  // False while no controller vouches for the rest; the target then keeps to
-  // what it has until its leases run out.
+  // False while no controller vouches for the other fields; the target then
+  // keeps its present orders until its leases run out.
   bool is_confirmed = false;
-  // True if the target is to take no new work.
+  // True if the target must accept no new work.
   bool is_draining = false;
-  // How long, from when it sent the renewal, the target may run the tasks named
-  // here.
+  // How long the target may run the tasks listed here, counted from when it
+  // sent the renewal.
   Milliseconds lease{0};
-  // All tasks that it may run; it starts those it does not have and stops any
-  // other.
+  // All tasks that the target may run. It starts the tasks that it is not
+  // running yet and stops all others.
   std::vector<TaskOrder> tasks;
-  // When to renew next.
+  // How long to wait before the next renewal.
   Milliseconds renew_after{1'000};
 
   template <typename Self, typename Visitor>
@@ -78,39 +78,44 @@
   }
 };
 
-// What a leader knows by renewals alone and no log holds: who was heard when,
-// and until when which lease was renewed. A new leader knows none of it and
-// assumes the worse case of each promise: every target counts as just heard,
-// since silence can't have been seen yet, and every lease as just renewed by
-// the leader before.
+// What a leader learns from renewals alone and no log contains: when each
+// target last renewed, and until when each lease was renewed. A new leader has
+// none of this and assumes the worse case for each guarantee: every target
+// counts as having just renewed, since the leader can't have observed any
+// silence yet, and every lease as just renewed by the previous leader.
 class SoftState {
  public:
-  // Starts a term of leadership at `now`.
+  // Discards everything and starts a term of leadership at `now`.
   void Reset(SteadyTime now);
 
-  // Takes in a renewal. Leases are counted from here: the target counts from
-  // when it sent.
+  // Records a renewal that arrived at `now`.
   void Hear(const Announcement& announcement, SteadyTime now);
 
-  // When the instance was last heard, at the earliest when this leader began.
+  // Returns when the last renewal of the instance arrived, but no earlier than
+  // the start of this leader's term.
   SteadyTime LastHeard(const InstanceName& name) const;
 
-  // True if the instance said, after `since`, that it has nothing in hand.
+  // Returns true if the last renewal of the instance arrived at `since` or
+  // later and reported no work in progress.
   bool IsIdleSince(const InstanceName& name, SteadyTime since) const;
 
-  // True if the instance says that it is leaving.
+  // Returns true if the last renewal of the instance reported that it is
+  // leaving.
   bool IsLeaving(const InstanceName& name) const;
 
-  // When the worker last got orders that renewed its leases, at the earliest
-  // when this leader began.
+  // Returns when the worker last received orders that renewed its leases, but
+  // no earlier than the start of this leader's term.
   SteadyTime LastRenewed(const InstanceName& worker) const;
+  // Records that the worker's leases were renewed at `now`. The leader counts
+  // the leases from then; the worker counts them from when it sent the renewal.
   void NoteRenewed(const InstanceName& worker, SteadyTime now);
 
-  // How far the planner has come on its way round the fleet.
+  // The last instance that the planner has checked in its scan of the fleet.
   const InstanceName& scanned_up_to() const { return this->last_scanned; }
   void NoteScanned(const InstanceName& name) { this->last_scanned = name; }
 
-  // Notes when this leader first saw an instance draining, and tells that time.
+  // Records when this leader first saw the instance draining, unless it has
+  // done so before, and returns that time.
   SteadyTime DrainingSince(const InstanceName& name, SteadyTime now);
   void ForgetDraining(const InstanceName& name);
 
@@ -128,17 +133,17 @@
   std::map<InstanceName, SteadyTime> draining_since;
 };
 
-// The commands that a renewal makes necessary; empty for one that tells nothing
+// Returns the commands that a renewal requires; empty if it contains nothing
 // new.
 std::vector<struct RecordTargets> CommandsForTarget(
     const FleetState& state,
     const Announcement& announcement);
 
-// The reports in a renewal that would change something.
+// Returns the task reports of a renewal that would change the state.
 std::vector<TaskReport> NewTaskReports(const FleetState& state,
                                        const Announcement& announcement);
 
-// What a target is to do now, from the committed state.
+// Returns the orders for a target according to the committed state.
 TargetOrders OrdersFor(const FleetState& state, const InstanceName& name);
 
 }  // namespace sumac::fleet
