--- a/libraries/fleet/apply_claims.cc
+++ b/libraries/fleet/apply_claims.cc
@@ -10,7 +10,8 @@
 namespace sumac::fleet {
 namespace {
 
-// Refuses a key that the system may have forgotten, or could never forget.
+// Returns an error for a key whose claim may have been removed already, or
+// whose time is so far ahead that its claim would not be removed for too long.
 absl::Status CheckKeyAge(const FleetState& state, const IdempotencyKey& key) {
   const WallTime made_at = TRY(TimeOfKey(key));
   const FleetRecord& record = state.record();
@@ -56,8 +57,8 @@
   return answer;
 }
 
-// An entry's answer about how a claim ended may be this much later than its own
-// deadline.
+// How long after its own deadline an entry's report about the end of a claim
+// may arrive.
 constexpr Milliseconds kFinishMargin{2'000};
 
 WallTime RunsUntil(const FleetRecord& record, const ClaimRequest& command) {
@@ -120,8 +121,8 @@
     claim.runs_until = RunsUntil(record, command);
     return Answer::Success("claimed");
   }
-  // The same try asking again is its own proposal told twice, after a lost
-  // answer: it holds the right and has not sent yet.
+  // A repeated claim by the same attempt is its own proposal sent again after a
+  // lost answer: the attempt holds the claim and has not sent the request yet.
   if (claim.state == ClaimState::kClaimed && is_same_attempt) {
     return Answer::Success("claimed");
   }
--- a/libraries/fleet/apply_declaration.cc
+++ b/libraries/fleet/apply_declaration.cc
@@ -6,8 +6,8 @@
 namespace sumac::fleet {
 namespace {
 
-// Instances stay in the pool they are in, so a pool with members may not vanish
-// under them.
+// Returns an error if `next` drops a pool that has instances, since instances
+// stay in their pool.
 absl::Status CheckPoolsInUse(const FleetState& state, const Declaration& next) {
   for (const Pool& pool : state.record().declaration.pools) {
     const std::uint32_t members = state.CountsOf(pool.name).total().members;
--- a/libraries/fleet/apply_instances.cc
+++ b/libraries/fleet/apply_instances.cc
@@ -15,7 +15,7 @@
 
 constexpr std::string_view kCountsTag = "counts";
 
-// True if entries route by this instance.
+// Returns true if entries route requests to this instance.
 bool IsRouted(const Instance& instance) {
   return instance.target.kind == TargetKind::kMinion;
 }
@@ -44,15 +44,17 @@
   return decision;
 }
 
-// True if the instance would count at once if its planned work were taken back.
+// Returns true if the instance would count for the budget at once if its
+// planned work were taken back.
 bool CanCountAgain(const FleetState& state, const Instance& instance) {
   return state.InstanceHasTag(instance, "can_be_taken_back") &&
          instance.operation && instance.operation->counted_before &&
          !instance.is_silent_while_planned;
 }
 
-// Takes planned work back while a pool's budget is broken: the latest grant
-// first, and only where the instance still has its work.
+// Takes back planned work while the budget of a pool is broken, the latest
+// grant first, and only from instances that have not drained yet and would
+// count again at once.
 void RestoreMargin(FleetState& state, const PoolName& pool_name) {
   const Pool* pool = state.record().declaration.FindPool(pool_name);
   if (pool == nullptr) {
@@ -89,8 +91,8 @@
   }
 }
 
-// The lines of the budget that a grant would break, for an instance that counts
-// now.
+// Returns the first budget line that a grant for an available instance would
+// break, if any.
 std::optional<BudgetLine> FindBrokenLine(const std::vector<BudgetLine>& lines) {
   const auto broken =
       std::find_if(lines.begin(), lines.end(),
@@ -111,7 +113,7 @@
   return OperationKind::kDrain;
 }
 
-// Gives the instance back its work.
+// Takes back the planned work of an instance and returns it to its pool.
 Answer Undrain(FleetState& state,
                Instance instance,
                const OperateInstance& command) {
@@ -137,7 +139,8 @@
   return AcceptWith(state, std::move(decision));
 }
 
-// Gives a drained, waiting instance its next operation without another drain.
+// Grants the next operation to an instance that is drained and waiting, without
+// another drain.
 Answer ContinueWith(FleetState& state,
                     Instance instance,
                     Operation operation,
@@ -229,8 +232,8 @@
   return absl::OkStatus();
 }
 
-// Puts the instance into the pool that its move names; one entry of the log, so
-// that it is in one pool before and in one pool after.
+// Moves the instance to the target pool of its operation. This is one log
+// entry, so the instance is in exactly one pool before and after it.
 void FinishMove(FleetState& state, Instance instance) {
   Decision decision = DecisionAbout(instance, "move-after-drain");
   const PoolName from = instance.pool;
@@ -268,9 +271,9 @@
   state.AddDecision(std::move(decision));
 }
 
-// Ends a reboot once the platform says that it is done and the instance has
-// started anew. An earlier start may be a crash before the reboot, which is
-// still to come.
+// Ends a reboot once the platform reports that it is done and the instance has
+// a later incarnation. A later incarnation alone may come from a crash before
+// the reboot, which is still to come.
 void MaybeFinishReboot(const FleetState& state, Instance& instance) {
   const Operation& operation = *instance.operation;
   const bool is_over =
@@ -282,8 +285,8 @@
   }
 }
 
-// Takes in a known target's announcement: a new start, a change, or the end of
-// a silence.
+// Applies the announcement of a known target: a new incarnation, a change, or
+// the end of a silence.
 void UpdateInstance(FleetState& state,
                     const Instance& known,
                     const TargetDescription& target) {
@@ -291,8 +294,8 @@
   const bool is_new_start = target.incarnation > instance.target.incarnation;
   const bool counted = state.InstanceHasTag(instance, kCountsTag);
   instance.is_silent_while_planned = false;
-  // NOTE: The pool that a target names counts only the first time; after that
-  // it is ours.
+  // NOTE: The pool that a target names is used only in its first announcement;
+  // after that the controllers alone determine its pool.
   instance.target = target;
   if (instance.state == InstanceState::kRebooting) {
     MaybeFinishReboot(state, instance);
@@ -418,7 +421,8 @@
                                     " is not the present one of ",
                                     command.instance.value())};
   }
-  // The platform may report late and out of order; progress only goes on.
+  // The platform's reports may arrive late and out of order; the progress never
+  // goes back.
   if (command.progress <= instance.operation->progress) {
     return Answer::Success("known already");
   }
--- a/libraries/fleet/apply_jobs.cc
+++ b/libraries/fleet/apply_jobs.cc
@@ -12,10 +12,10 @@
 namespace sumac::fleet {
 namespace {
 
-// A job that failed on this many good workers is at fault itself.
+// A job that failed on this many healthy workers is considered faulty itself.
 constexpr std::size_t kFailuresThatEndAJob = 3;
-// A worker on which this many different jobs failed in a row is at fault
-// itself.
+// A worker on which this many different jobs failed in a row is considered
+// faulty itself.
 constexpr std::size_t kFailuresThatQuarantine = 3;
 
 Decision DecisionAbout(const Job& job, std::string rule) {
@@ -65,10 +65,10 @@
   return absl::OkStatus();
 }
 
-// Ends a job's hold on its worker because the lease ran out.
+// Ends the placement of a job whose lease expired.
 void LoseLease(FleetState& state, Job job) {
-  // NOTE: A non-repeatable job that may have started is never placed again by
-  // itself.
+  // NOTE: A non-repeatable job that may have started is never placed again
+  // automatically.
   const bool is_safe = job.spec.repeatable;
   Decision decision =
       DecisionAbout(job, is_safe ? "lease-ran-out" : "may-have-run");
@@ -93,8 +93,8 @@
   state.AddDecision(std::move(decision));
 }
 
-// Sets a worker aside on which different jobs failed one after the other, if
-// the budget allows, and takes its failures off the jobs' accounts.
+// Quarantines a worker on which different jobs failed in a row, if the budget
+// allows it, and no longer counts its failures against the jobs.
 void MaybeQuarantine(FleetState& state, const InstanceName& worker_name) {
   const Instance* worker = state.FindInstance(worker_name);
   if (worker == nullptr ||
@@ -161,7 +161,7 @@
   }
 }
 
-// The step that a worker's report of a failed task means for the job.
+// Returns the job event for a worker's report of a failed task.
 JobEvent EventForFailure(const Job& job) {
   const bool has_tries = job.failed_on.size() < kFailuresThatEndAJob;
   return job.spec.repeatable && has_tries ? JobEvent::kFail : JobEvent::kGiveUp;
@@ -215,8 +215,8 @@
   }
 }
 
-// Why a placement that the leader proposed does not hold on the committed
-// state; empty if it does.
+// Returns why a placement that the leader proposed is invalid in the committed
+// state; empty if it is valid.
 std::string CheckPlacement(const FleetState& state,
                            const Job& job,
                            const Instance& worker) {
--- a/libraries/fleet/budget.cc
+++ b/libraries/fleet/budget.cc
@@ -9,15 +9,15 @@
 namespace sumac::fleet {
 namespace {
 
-// A share of `whole` in whole instances, rounded up. The small term keeps 0.8
-// of 10 from becoming 9 by binary rounding.
+// Returns a share of `whole` in instances, rounded up. The slack keeps binary
+// rounding from turning 0.8 of 10 into 9.
 std::uint32_t RoundUp(double share, std::uint32_t whole) {
   constexpr double kRoundingSlack = 1e-9;
   return static_cast<std::uint32_t>(std::ceil(share * whole - kRoundingSlack));
 }
 
-// How many available instances the loss of the largest declared domain would
-// take.
+// Returns how many available instances the loss of the largest failure domain
+// of the declared kind would take down.
 std::uint32_t ReserveOf(const Pool& pool, const PoolCounts& counts) {
   switch (pool.survives) {
     case FailureDomain::kNone:
--- a/libraries/fleet/budget.h
+++ b/libraries/fleet/budget.h
@@ -13,36 +13,37 @@
 
 namespace sumac::fleet {
 
-// One part of a budget, held against what is available.
+// One constraint of a budget, compared with what is available.
 struct BudgetLine {
-  // Where: "pool", "data centre X" or "rack X/Y".
+  // The scope of the constraint: "pool", "data centre X" or "rack X/Y".
   std::string where;
   std::uint32_t available = 0;
   std::uint32_t needed = 0;
-  // Set for the line that must survive the loss of a declared failure domain:
-  // how many that is.
+  // How many instances the loss of a declared failure domain would take down.
+  // Set only on the line that must still hold after that loss.
   std::uint32_t reserve = 0;
 
-  // How many more may be taken out.
+  // Returns how many more instances may be taken out.
   std::int64_t spare() const {
     return std::int64_t{this->available} - this->needed - this->reserve;
   }
-  // True if the promise itself, without the reserve, does not hold now.
+  // Returns true if the budget itself, without the reserve, is violated now.
   bool is_broken() const { return this->available < this->needed; }
 };
 
-// The budget lines that taking `instance` out would count against.
+// Returns the budget lines that taking `instance` out would count against.
 std::vector<BudgetLine> BudgetLinesFor(const FleetState& state,
                                        const Pool& pool,
                                        const Instance& instance);
 
-// The line of the whole pool.
+// Returns the budget line of the whole pool.
 BudgetLine WholePoolLine(const FleetState& state, const Pool& pool);
 
-// The lines as a decision's inputs.
+// Converts budget lines to the inputs of a decision.
 std::vector<DecisionInput> ToInputs(const std::vector<BudgetLine>& lines);
 
-// A sentence part like "pool: 3 available, 3 needed".
+// Describes a budget line as part of a sentence, such as "3 available, 3
+// needed".
 std::string ToString(const BudgetLine& line);
 
 }  // namespace sumac::fleet
--- a/libraries/fleet/placement.cc
+++ b/libraries/fleet/placement.cc
@@ -8,13 +8,14 @@
 namespace sumac::fleet {
 namespace {
 
-// A decision names this many of the workers that were passed over.
+// The maximum number of passed-over workers that a decision names.
 constexpr std::size_t kMostRejectedNamed = 5;
-// Queued jobs that are looked at in one go, for those that find no room.
+// The maximum number of queued jobs examined in one planning pass. It bounds
+// the cost of jobs that fit on no worker.
 constexpr std::size_t kMostJobsScanned = 512;
 
-// True if the job would take its team past its quota; `granted` is what this go
-// gives it already.
+// Returns true if the job would take its team over its quota. `granted` is what
+// this planning pass has already given to the team.
 bool ExceedsQuota(const FleetState& state,
                   const Job& job,
                   const Resources& granted) {
@@ -39,8 +40,8 @@
 std::vector<Placement> ChoosePlacements(const FleetState& state,
                                         std::size_t most) {
   std::vector<Placement> placements;
-  // A worker gets one job a go, since the index does not know of this go's
-  // placements yet.
+  // A worker gets at most one job per planning pass, since the index does not
+  // contain the placements of this pass yet.
   std::set<InstanceName> taken;
   std::map<TeamName, Resources> granted;
   std::size_t scanned = 0;
--- a/libraries/fleet/placement.h
+++ b/libraries/fleet/placement.h
@@ -9,10 +9,10 @@
 
 namespace sumac::fleet {
 
-// Chooses workers for queued jobs, urgent before interactive before background
-// and within each the oldest first; at most `most` in one go. A job goes to the
-// worker with the least free room that fits (best fit), which keeps large gaps
-// for large jobs.
+// Chooses workers for queued jobs: urgent before interactive before background
+// jobs and, within each priority, the oldest first; `most` is the maximum
+// number of placements. A job goes to the worker with the least free capacity
+// that fits (best fit), which keeps large gaps for large jobs.
 std::vector<Placement> ChoosePlacements(const FleetState& state,
                                         std::size_t most);
 
--- a/libraries/fleet/planner.cc
+++ b/libraries/fleet/planner.cc
@@ -11,8 +11,8 @@
 namespace sumac::fleet {
 namespace {
 
-// Claims are forgotten in steps of this, so that not every turn proposes
-// something.
+// Expired claims are removed in steps of this length, so that not every
+// planning pass proposes a command.
 constexpr Milliseconds kClaimExpiryStep{60'000};
 
 Milliseconds SilenceTimeOf(const FleetState& state, const Instance& instance) {
@@ -25,20 +25,20 @@
   return pool == nullptr ? Pool().settle_time : pool->settle_time;
 }
 
-// What all parts of one plan look at.
+// The inputs shared by all parts of one planning pass.
 struct PlanContext {
   const FleetState& state;
   SoftState& soft;
   const PlannerSettings& settings;
-  // NOTE: The state's own time stands still while nothing is committed, so
-  // waits are measured against the clock, but never against one that lies
-  // behind the state.
+  // NOTE: The time of the state does not advance while nothing is committed, so
+  // waits are measured against the wall clock, but never against a time before
+  // that of the state.
   WallTime wall_now;
   SteadyTime now;
 };
 
-// True if a draining instance has nothing left to do that a reboot would cut
-// off.
+// Returns true if a draining instance has no work left that a reboot would
+// interrupt.
 bool IsDrained(const PlanContext& context, const Instance& instance) {
   const InstanceName& name = instance.target.name;
   const SteadyTime quiet_from = context.soft.DrainingSince(name, context.now) +
@@ -47,14 +47,15 @@
          context.soft.IsIdleSince(name, quiet_from);
 }
 
-// True if planned work has the instance out already and goes on by itself.
+// Returns true if the instance is already out of its pool for planned work,
+// which continues without further events.
 bool IsUnderPlannedWork(const Instance& instance) {
   return instance.state == InstanceState::kDraining ||
          instance.state == InstanceState::kDrained ||
          instance.state == InstanceState::kRebooting;
 }
 
-// The event that one instance is due for, if any.
+// Returns the event that is due for the instance, if any.
 std::optional<InstanceEvent> FindDueEvent(const PlanContext& context,
                                           const Instance& instance) {
   const InstanceName& name = instance.target.name;
@@ -81,8 +82,9 @@
   return std::nullopt;
 }
 
-// Looks at the next part of the fleet, so that a turn costs the same however
-// large it is. A fleet within one part is looked at whole each turn.
+// Checks the next part of the fleet, so that the cost of a planning pass does
+// not grow with the size of the fleet. A fleet that fits in one part is checked
+// completely in each pass.
 RecordInstanceEvents PlanInstanceEvents(const PlanContext& context) {
   RecordInstanceEvents command;
   const auto& instances = context.state.record().instances;
@@ -114,7 +116,7 @@
     const Job& job = *context.state.FindJob(id);
     const bool is_renewed =
         context.now - context.soft.LastRenewed(job.worker) <= lease;
-    // A fresh placement has its own lease from the moment it was placed.
+    // A new placement has a lease of its own, which begins when it is placed.
     const bool is_fresh = context.wall_now - job.state_since <= lease;
     if (!is_renewed && !is_fresh) {
       command.items.push_back(ExpireLeases::Item{id, job.token});
--- a/libraries/fleet/planner.h
+++ b/libraries/fleet/planner.h
@@ -11,29 +11,32 @@
 
 namespace sumac::fleet {
 
-// How patient the planner is.
+// The time limits and batch sizes of the planner.
 struct PlannerSettings {
-  // A draining instance counts as drained no earlier than this after the grant:
-  // by then every entry, one cut off included, has stopped sending it new work.
+  // The minimum time from the grant until a draining instance counts as
+  // drained. By then every entry, even one that is cut off, has stopped sending
+  // it new work.
   Milliseconds drain_grace{3'000};
-  // How much longer than its lease a task is taken to run, for clocks that
-  // drift apart.
+  // How long after the end of its lease a task is assumed to be running, which
+  // allows for clock drift.
   Milliseconds lease_margin{1'000};
   std::size_t most_placements_per_turn = 256;
-  // Instances looked at in one turn; with ten turns a second a fleet of 6,400
-  // is gone round in 0.7 s.
+  // The maximum number of instances checked in one planning pass. At ten passes
+  // per second, a full scan of 6,400 instances takes 0.7 s.
   std::size_t most_instances_per_turn = 1'000;
 };
 
-// One step that the platform must be told, again and again until it reports it.
+// One step to request from the platform, repeatedly until the platform reports
+// its outcome.
 struct PlatformStep {
   InstanceName instance;
   OperationId operation;
   OperationKind kind = OperationKind::kReboot;
 };
 
-// Says what the leader should propose now. It reads the committed state and
-// what the leader heard; it changes nothing, and the machine checks each
+// Returns the commands that the leader should propose now, based on the
+// committed state and the renewals that the leader received. Changes only the
+// scan position and the drain times in `soft`; the state machine checks each
 // proposal again.
 std::vector<Command> Plan(const FleetState& state,
                           SoftState& soft,
@@ -41,7 +44,7 @@
                           WallTime wall_now,
                           SteadyTime now);
 
-// The operations that the platform has to carry out now.
+// Returns the operations that the platform has to carry out now.
 std::vector<PlatformStep> PlatformSteps(const FleetState& state);
 
 }  // namespace sumac::fleet
--- a/libraries/fleet/pool_counts.h
+++ b/libraries/fleet/pool_counts.h
@@ -10,26 +10,27 @@
 
 namespace sumac::fleet {
 
-// How many instances there are somewhere, and how many of them count for the
-// budget.
+// The number of instances in a pool, data centre or rack, and how many of them
+// are available, that is, count for the budget.
 struct Availability {
   std::uint32_t members = 0;
   std::uint32_t available = 0;
 };
 
-// The counts of one pool, kept up to date with each change of an instance, so
-// that no decision goes over the fleet.
+// The counts of one pool, updated on each change of an instance, so that no
+// decision needs a full scan of the fleet.
 class PoolCounts {
  public:
-  // Adds (`step` 1) or takes away (-1) one instance; `counts` tells if it is
-  // available.
+  // Adds (`step` 1) or subtracts (`step` -1) one instance; `counts` is true if
+  // it is available.
   void Change(const Instance& instance, bool counts, int step);
 
   const Availability& total() const { return this->whole; }
   Availability InDataCentre(const DataCentre& data_centre) const;
   Availability InRack(const DataCentre& data_centre, const Rack& rack) const;
 
-  // The most available instances that any one data centre or rack has.
+  // Returns the number of available instances in the data centre or rack that
+  // has the most of them.
   std::uint32_t LargestDataCentre() const;
   std::uint32_t LargestRack() const;
 
--- a/libraries/fleet/view.h
+++ b/libraries/fleet/view.h
@@ -14,7 +14,7 @@
 
 namespace sumac::fleet {
 
-// One minion as entries see it.
+// The properties of one minion that entries use for routing.
 struct RoutedMinion {
   InstanceName name;
   std::string address;
@@ -24,7 +24,8 @@
   std::set<ServiceName> services;
   std::uint32_t slots = 0;
   std::uint32_t connections = 0;
-  // False while it is leaving, silent or set aside: it gets no new requests.
+  // False while the minion gets no new requests because it is leaving, silent,
+  // failed, quarantined or out for planned work.
   bool can_take_work = false;
 
   bool operator==(const RoutedMinion&) const = default;
@@ -43,16 +44,16 @@
   }
 };
 
-// All that entries route by. Versions only grow; an entry never takes an older
-// one.
+// The state that entries use for routing. Versions only increase; an entry
+// never replaces its view with an older one.
 struct View {
   std::uint64_t version = 0;
   Revision revision;
   std::vector<Service> services;
   Milliseconds key_window{0};
   std::vector<RoutedMinion> minions;
-  // Only in a delta: minions that are gone, and whether `services` and
-  // `key_window` are meant.
+  // Used only in a delta: the minions that were removed, and whether `services`
+  // and `key_window` are set.
   std::set<InstanceName> removed;
   bool has_services = true;
 
@@ -68,11 +69,11 @@
   }
 };
 
-// The view after a delta: its minions replace or join those of `before`, which
-// stay in order of name.
+// Returns `before` with a delta applied: the delta's minions replace or are
+// added to those of `before`, and all stay in order of name.
 View ApplyDelta(const View& before, const View& delta);
 
-// The view that the state gives now.
+// Returns the view of the current state.
 View MakeView(const FleetState& state);
 
 }  // namespace sumac::fleet
--- a/libraries/fleet/view_history.cc
+++ b/libraries/fleet/view_history.cc
@@ -10,7 +10,7 @@
 
 void ViewHistory::Take(View next) {
   if (this->present.version == 0) {
-    // What happened before this controller started is not known.
+    // Changes before this controller's first view are unknown.
     this->remembered_from = next.version;
   }
   this->NoteServices(next);
--- a/libraries/fleet/view_history.h
+++ b/libraries/fleet/view_history.h
@@ -11,22 +11,22 @@
 
 namespace sumac::fleet {
 
-// The latest view and, per minion, the version in which it last changed, so
-// that a follower gets what it missed and no more: a change of one minion costs
-// the same whatever the size of the fleet.
+// Holds the latest view and, per minion, the version in which it last changed,
+// so that a follower receives only the changes it missed: the cost of changing
+// one minion does not depend on the size of the fleet.
 class ViewHistory {
  public:
-  // Takes in the next view.
+  // Records `view` as the latest one.
   void Take(View view);
 
   const View& latest() const { return this->present; }
 
-  // What changed after version `have`; nothing when that lies before what is
-  // remembered, and the follower needs the whole view.
+  // Returns the changes after version `have`, or nothing if `have` is older
+  // than the recorded history and the follower needs the whole view.
   std::optional<View> DeltaSince(std::uint64_t have) const;
 
-  // Removed minions are remembered up to this many; with more, older followers
-  // get the whole view.
+  // The maximum number of removed minions that are recorded. Beyond it,
+  // followers with older views receive the whole view.
   static constexpr std::size_t kMostRemoved = 1'024;
 
  private:
--- a/libraries/fleet/worker_index.cc
+++ b/libraries/fleet/worker_index.cc
@@ -71,8 +71,8 @@
     const auto& [free, worker] = *position;
     ++scanned;
     if (!free.Covers(need)) {
-      // Everything with this many accelerators and fewer cores can be passed
-      // over at once.
+      // All workers with this many accelerators and fewer cores can be skipped
+      // at once.
       if (free.millicores < need.millicores) {
         position = this->by_free.lower_bound(
             {Resources{free.accelerators, need.millicores, 0}, InstanceName()});
@@ -99,7 +99,8 @@
   if (this->capacities.empty()) {
     return "the pool has no workers";
   }
-  // The kind of worker that misses the fewest parts, and of those the largest.
+  // The kind of worker that lacks the fewest of the needed resources, and among
+  // those the largest.
   const auto count_missing = [&](const Resources& kind) {
     return (kind.accelerators < need.accelerators ? 1 : 0) +
            (kind.millicores < need.millicores ? 1 : 0) +
--- a/libraries/fleet/worker_index.h
+++ b/libraries/fleet/worker_index.h
@@ -15,8 +15,8 @@
 
 namespace sumac::fleet {
 
-// What a job takes of a worker, or a worker has. Ordered by the scarcest part
-// first.
+// The resources that a job needs or a worker has. Ordered by the scarcest
+// resource first.
 struct Resources {
   std::int64_t accelerators = 0;
   std::int64_t millicores = 0;
@@ -24,7 +24,7 @@
 
   auto operator<=>(const Resources&) const = default;
 
-  // True if `need` fits in all parts.
+  // Returns true if every part of `need` fits.
   bool Covers(const Resources& need) const {
     return need.accelerators <= this->accelerators &&
            need.millicores <= this->millicores &&
@@ -34,45 +34,47 @@
   Resources& operator+=(const Resources& other);
   Resources& operator-=(const Resources& other);
 
-  // What a job needs.
+  // Returns the resources that a job needs.
   static Resources Of(const JobSpec& spec);
-  // What a worker has in all.
+  // Returns the total resources of a worker.
   static Resources Of(const struct TargetDescription& target);
 
-  // A short text for people.
+  // Returns a short text for people, as in "0 accelerators, 4000 millicores,
+  // 256 MB".
   std::string ToString() const;
 };
 
-// The workers of one pool by what they have free, so that placement looks at a
-// few and not at all.
+// An index of the workers of one pool by their free resources, so that
+// placement examines only a few workers.
 class WorkerIndex {
  public:
-  // Puts a worker in with what it has free, or changes that; `can_take_work`
-  // keeps one that may not get jobs now out of the choice.
+  // Adds or updates a worker with its total and free resources. A worker that
+  // may not get jobs now (`can_take_work` is false) is never chosen.
   void Set(const InstanceName& worker,
            const Resources& capacity,
            const Resources& free,
            bool can_take_work);
 
-  // Takes a worker out.
+  // Removes a worker from the index.
   void Remove(const InstanceName& worker);
 
-  // The worker with the least free room in which `need` fits, passing over
-  // `excluded`; at most kMostScanned are looked at. Those looked at and not
-  // taken are added to `rejected`.
+  // Returns the worker with the least free resources in which `need` fits,
+  // skipping `excluded`. At most kMostScanned workers are examined; those
+  // examined and not chosen are added to `rejected`.
   std::optional<InstanceName> FindTightest(
       const Resources& need,
       const std::set<InstanceName>& excluded,
       std::vector<std::string>& rejected) const;
 
-  // True if some worker of the pool, however busy now, could ever hold `need`.
+  // Returns true if `need` fits the total resources of some worker of the pool,
+  // however busy that worker is now.
   bool CouldEverFit(const Resources& need) const;
 
-  // Why `need` fits nowhere: the part of it that exceeds what the nearest
-  // worker has.
+  // Returns why `need` fits no worker: the parts of it that exceed the total
+  // resources of the nearest worker.
   std::string DescribeNearestMiss(const Resources& need) const;
 
-  // How many workers are in.
+  // Returns the number of workers in the index.
   std::size_t size() const { return this->workers.size(); }
 
   static constexpr std::size_t kMostScanned = 64;
@@ -86,7 +88,7 @@
 
   std::map<InstanceName, Entry> workers;
   std::set<std::pair<Resources, InstanceName>> by_free;
-  // How many workers have each capacity; there are few kinds of workers.
+  // The number of workers per capacity; there are only a few kinds of workers.
   std::map<Resources, std::size_t> capacities;
 };
 
