--- a/tests/libraries/fleet/claims_test.cc
+++ b/tests/libraries/fleet/claims_test.cc
@@ -37,8 +37,8 @@
 TEST_F(ClaimsTest, OnlyOneTryHoldsTheRightToSend) {
   const IdempotencyKey key = this->KeyMadeAt(this->clock.Now());
   EXPECT_TRUE(this->Claim(key, 1).document.is_null());
-  // The same try told twice still holds it; any other does not, through
-  // whichever entry.
+  // A repeated claim by the same attempt still holds the claim; any other
+  // attempt does not, through whichever entry.
   EXPECT_TRUE(this->Claim(key, 1).is_ok());
   EXPECT_EQ(this->Claim(key, 2).code, ResultCode::kStillRunning);
   EXPECT_EQ(this->Claim(key, 1, "d", "e2").code, ResultCode::kStillRunning);
@@ -52,7 +52,7 @@
   const Answer again = this->Claim(key, 7, "d", "e3");
   ASSERT_TRUE(again.is_ok());
   EXPECT_EQ(again.document["answer"]["body"], "first");
-  // A late word of an earlier try changes nothing.
+  // A late report by an earlier attempt changes nothing.
   EXPECT_FALSE(this->Finish(key, 1, ClaimState::kUnknown).is_ok());
 }
 
@@ -62,7 +62,8 @@
   EXPECT_EQ(this->Claim(key, 2).code, ResultCode::kStillRunning);
   this->clock.Advance(Milliseconds(4'000));
   EXPECT_EQ(this->Claim(key, 3).code, ResultCode::kOutcomeUnknown);
-  // Its late answer is still taken, for it is the truth.
+  // The late answer of the first attempt is still accepted, since it shows the
+  // real outcome.
   EXPECT_TRUE(this->Finish(key, 1, ClaimState::kAnswered).is_ok());
   EXPECT_TRUE(this->Claim(key, 4).is_ok());
 }
@@ -92,7 +93,7 @@
   this->PassTime(Milliseconds(200));
   EXPECT_TRUE(this->state().record().claims.empty());
   EXPECT_EQ(this->Claim(key, 2).code, ResultCode::kKeyTooOld);
-  // Not even when a longer window is declared afterwards.
+  // The key stays refused even if a longer window is declared afterwards.
   this->Declare({.key_window = Milliseconds(86'000'000)});
   EXPECT_EQ(this->Claim(key, 3).code, ResultCode::kKeyTooOld);
 }
--- a/tests/libraries/fleet/fleet_harness.cc
+++ b/tests/libraries/fleet/fleet_harness.cc
@@ -27,7 +27,7 @@
 }
 
 Answer FleetHarness::Apply(Command command) {
-  // Through bytes, as the log does it.
+  // Encodes and decodes the command, as the log does.
   const auto stamped = FromCbor<StampedCommand>(
       ToCbor(StampedCommand{this->clock.Now(), std::move(command)}), "test");
   VERIFY(stamped.ok());
@@ -197,16 +197,18 @@
     const Availability kept = this->state().CountsOf(pool.name).total();
     const Availability fresh = rebuilt.CountsOf(pool.name).total();
     if (kept.members != fresh.members || kept.available != fresh.available) {
-      return StrCat("counts of ", pool.name.value(), " don't fit");
+      return StrCat("counts of ", pool.name.value(),
+                    " differ from the rebuilt ones");
     }
     if (this->state().WorkersOf(pool.name).size() !=
         rebuilt.WorkersOf(pool.name).size()) {
-      return StrCat("workers of ", pool.name.value(), " don't fit");
+      return StrCat("workers of ", pool.name.value(),
+                    " differ from the rebuilt ones");
     }
   }
   if (this->state().queued_jobs() != rebuilt.queued_jobs() ||
       this->state().leased_jobs() != rebuilt.leased_jobs()) {
-    return "jobs don't fit";
+    return "indexes of jobs differ from the rebuilt ones";
   }
   return "";
 }
--- a/tests/libraries/fleet/fleet_harness.h
+++ b/tests/libraries/fleet/fleet_harness.h
@@ -18,17 +18,17 @@
  public:
   FleetHarness();
 
-  // Applies a command now.
+  // Applies a command at the present time of the clock.
   Answer Apply(Command command);
-  // Applies a declaration over the present one; must be accepted.
+  // Applies a declaration based on the current revision; it must be accepted.
   void Declare(Declaration declaration);
-  // One pool of `capacity` whose budget is `smallest_available`, with short
-  // times.
+  // Returns a pool of `capacity` whose budget is `smallest_available`, with
+  // short settle and silence times.
   static Pool MakePool(const std::string& name,
                        std::uint32_t capacity,
                        std::uint32_t smallest_available);
 
-  // Announces targets that keep renewing until silenced.
+  // Adds targets that announce themselves and renew until they are silenced.
   void AddMinion(const std::string& name,
                  const std::string& pool,
                  const std::string& rack = "r1",
@@ -39,16 +39,17 @@
                  std::uint32_t accelerators = 0);
   void Silence(const std::string& name);
   void Wake(const std::string& name);
-  // Starts the target anew.
+  // Restarts the target with a new incarnation and without its tasks.
   void StartAnew(const std::string& name);
   void SetInFlight(const std::string& name, std::uint32_t in_flight);
-  // A worker's answers to the tasks it was ordered: by default it says nothing
-  // of them.
+  // Sets the worker's report on a task that it was ordered to run. Without it
+  // the worker reports nothing about its tasks.
   void ReportTask(const std::string& worker,
                   const std::string& job,
                   TaskState state);
 
-  // Lets time pass: renewals, plans and their commands, in steps of `step`.
+  // Advances the clock by `time` in steps of `step`. In each step all targets
+  // renew and the planner's commands are applied.
   void PassTime(Milliseconds time, Milliseconds step = Milliseconds(100));
 
   Answer Operate(InstanceRequest request,
@@ -62,12 +63,14 @@
   const Job& JobOf(const std::string& id) const;
   std::uint32_t AvailableIn(const std::string& pool) const;
 
-  // Replaces the leader: what only the old one heard is forgotten.
+  // Replaces the leader, so that everything that only the old leader received
+  // is lost.
   void ChangeLeader();
-  // Replaces the state by its own snapshot.
+  // Replaces the state with its own snapshot.
   void RestartFromSnapshot();
 
-  // Checks the indexes against the state; empty when they fit.
+  // Compares the indexes with indexes rebuilt from the state. Returns an empty
+  // string if they agree.
   std::string CheckIndexes() const;
 
   ManualClock clock;
--- a/tests/libraries/fleet/instances_test.cc
+++ b/tests/libraries/fleet/instances_test.cc
@@ -11,7 +11,8 @@
 
 class InstancesTest : public testing::Test, protected FleetHarness {
  protected:
-  // Five minions, of which three must stay, and an empty pool.
+  // Declares a pool of five minions, of which three must stay available, and an
+  // empty pool.
   void SetUp() override {
     this->Declare({.pools = {MakePool("p", 5, 3), MakePool("q", 1, 0)}});
     for (const char* name : {"m1", "m2", "m3", "m4", "m5"}) {
@@ -68,7 +69,8 @@
             ResultCode::kBudgetWouldBreak);
   this->Wake("m4");
   this->PassTime(Milliseconds(200));
-  // Heard again, it must settle first: a second one is often lost right then.
+  // After its silence the instance must settle before it counts again, since a
+  // second instance is often lost at that moment.
   EXPECT_EQ(this->Operate(InstanceRequest::kDrain, "m1").code,
             ResultCode::kBudgetWouldBreak);
   this->PassTime(Milliseconds(600));
@@ -122,8 +124,8 @@
   ASSERT_TRUE(this->Operate(InstanceRequest::kReboot, "m1").is_ok());
   this->PassTime(Milliseconds(2'800));
   EXPECT_EQ(this->StateOf("m1"), InstanceState::kDraining);
-  // A new leader has not seen how long it drained, so it waits the whole grace
-  // again.
+  // A new leader has not seen how long the instance has been draining, so it
+  // waits for the whole grace period again.
   this->ChangeLeader();
   this->PassTime(Milliseconds(2'800));
   EXPECT_EQ(this->StateOf("m1"), InstanceState::kDraining);
@@ -138,7 +140,8 @@
   ASSERT_EQ(PlatformSteps(this->state()).size(), 1U);
   this->Report("m1", PlatformProgress::kAccepted);
   EXPECT_EQ(this->StateOf("m1"), InstanceState::kRebooting);
-  // It crashed and came back before the reboot, which is still to come.
+  // The instance crashed and returned before the reboot, which is still to
+  // come.
   this->StartAnew("m1");
   this->PassTime(Milliseconds(2'000));
   EXPECT_EQ(this->StateOf("m1"), InstanceState::kRebooting);
@@ -155,8 +158,8 @@
   this->PassTime(Milliseconds(4'000));
   const OperationId id =
       this->state().FindInstance(InstanceName("m1"))->operation->id;
-  // The first answer was lost, the instance is back, and only then the platform
-  // is heard.
+  // The platform's first answer was lost, and its next report arrives only
+  // after the instance has returned.
   this->StartAnew("m1");
   this->PassTime(Milliseconds(500));
   this->Apply(
@@ -185,14 +188,15 @@
             PoolName("q"));
   EXPECT_EQ(this->state().CountsOf(PoolName("p")).total().members, 4U);
   EXPECT_EQ(this->state().CountsOf(PoolName("q")).total().members, 1U);
-  // Its own wish counts only the first time.
+  // The pool that the instance announces is used only the first time.
   this->StartAnew("m1");
   this->PassTime(Milliseconds(500));
   EXPECT_EQ(this->state().FindInstance(InstanceName("m1"))->pool,
             PoolName("q"));
 }
 
-// A resend may come to a replica of another version, or after an update.
+// A resend may reach a replica of another version, or arrive after an update,
+// so the digest must not depend on the order of fields in the program.
 TEST_F(InstancesTest, TheDigestOfACommandIsThatOfItsTreeWithSortedKeys) {
   ASSERT_TRUE(this->Operate(InstanceRequest::kDrain, "m1", "", "id").is_ok());
   std::string digest;
@@ -259,7 +263,8 @@
   harness.PassTime(Milliseconds(1'000));
   EXPECT_TRUE(harness.Operate(InstanceRequest::kDrain, "m0").is_ok());
   EXPECT_TRUE(harness.Operate(InstanceRequest::kDrain, "m1").is_ok());
-  // The rack is at its half, the pool has room.
+  // The rack is down to half of its instances, while the pool still has spare
+  // ones.
   EXPECT_EQ(harness.Operate(InstanceRequest::kDrain, "m2").code,
             ResultCode::kBudgetWouldBreak);
   EXPECT_TRUE(harness.Operate(InstanceRequest::kDrain, "m4").is_ok());
@@ -289,7 +294,7 @@
   EXPECT_NE(loser.message.find("ana"), std::string::npos);
   EXPECT_EQ(harness.state().record().declaration.pools[0].capacity, 2U);
   harness.RestartFromSnapshot();
-  // Resends get their first answers, whatever has happened since.
+  // Resends receive their first answers, whatever has happened since.
   EXPECT_TRUE(apply("ana", "a", 2).is_ok());
   EXPECT_EQ(apply("ben", "b", 3).code, ResultCode::kRevisionConflict);
   EXPECT_EQ(harness.state().record().revision, Revision(2));
--- a/tests/libraries/fleet/jobs_test.cc
+++ b/tests/libraries/fleet/jobs_test.cc
@@ -25,7 +25,7 @@
     this->PassTime(Milliseconds(1'000));
   }
 
-  // Submits a job and lets it be placed; the worker's name.
+  // Submits a job, waits until it is placed and returns the name of its worker.
   std::string Place(const JobSpec& spec) {
     EXPECT_TRUE(this->Submit(spec).is_ok());
     this->PassTime(Milliseconds(200));
@@ -148,7 +148,7 @@
 
 TEST_F(JobsTest,
        AWorkerThatFailsEverythingIsQuarantinedAndItsJobsAreNotBlamed) {
-  // All the jobs fit only the worker with accelerators.
+  // The jobs fit only on the worker with accelerators.
   for (int number = 0; number < 3; ++number) {
     JobSpec spec = MakeJob("j" + std::to_string(number));
     spec.accelerators = 1;
--- a/tests/libraries/fleet/view_history_test.cc
+++ b/tests/libraries/fleet/view_history_test.cc
@@ -26,7 +26,7 @@
   return view;
 }
 
-// Order of minions in a view does not matter.
+// Serializes a view with its minions sorted, since their order does not matter.
 std::string Canonical(View view) {
   std::sort(view.minions.begin(), view.minions.end(),
             [](const auto& left, const auto& right) {
@@ -86,7 +86,7 @@
   EXPECT_FALSE(history.DeltaSince(0));
   EXPECT_FALSE(history.DeltaSince(4));
   EXPECT_TRUE(history.DeltaSince(5));
-  // A follower that claims to be ahead is not believed.
+  // A follower that claims a later version than the latest gets the whole view.
   EXPECT_FALSE(history.DeltaSince(6));
   std::map<int, bool> minions;
   for (std::uint64_t version = 6;
