--- a/libraries/fleet/planner.cc
+++ b/libraries/fleet/planner.cc
@@ -41,8 +41,9 @@
 // interrupt.
 bool IsDrained(const PlanContext& context, const Instance& instance) {
   const InstanceName& name = instance.target.name;
-  const SteadyTime quiet_from = context.soft.DrainingSince(name, context.now) +
-                                context.settings.drain_grace;
+  const SteadyTime quiet_from =
+      context.soft.GetOrRecordDrainStart(name, context.now) +
+      context.settings.drain_grace;
   return context.now >= quiet_from && context.state.JobsOn(name).empty() &&
          context.soft.IsIdleSince(name, quiet_from);
 }
@@ -62,7 +63,7 @@
   if (context.soft.IsLeaving(name) && !IsUnderPlannedWork(instance)) {
     return InstanceEvent::kLeave;
   }
-  const bool is_silent = context.now - context.soft.LastHeard(name) >
+  const bool is_silent = context.now - context.soft.LastAnnouncementTime(name) >
                          SilenceTimeOf(context.state, instance);
   if (is_silent) {
     const bool is_news = context.state.InstanceHasTag(instance, "alive") &&
@@ -76,7 +77,7 @@
   }
   if (instance.state == InstanceState::kDraining &&
       IsDrained(context, instance)) {
-    context.soft.ForgetDraining(name);
+    context.soft.RemoveDrainStart(name);
     return InstanceEvent::kDrained;
   }
   return std::nullopt;
@@ -90,13 +91,13 @@
   const auto& instances = context.state.record().instances;
   const std::size_t part =
       std::min(instances.size(), context.settings.most_instances_per_turn);
-  auto position = instances.upper_bound(context.soft.scanned_up_to());
+  auto position = instances.upper_bound(context.soft.scan_position());
   for (std::size_t looked_at = 0; looked_at < part; ++looked_at, ++position) {
     if (position == instances.end()) {
       position = instances.begin();
     }
     const auto& [name, instance] = *position;
-    context.soft.NoteScanned(name);
+    context.soft.SetScanPosition(name);
     const auto event = instance.state == InstanceState::kLeft
                            ? std::nullopt
                            : FindDueEvent(context, instance);
@@ -115,7 +116,7 @@
   for (const JobId& id : context.state.leased_jobs()) {
     const Job& job = *context.state.FindJob(id);
     const bool is_renewed =
-        context.now - context.soft.LastRenewed(job.worker) <= lease;
+        context.now - context.soft.LastLeaseRenewalTime(job.worker) <= lease;
     // A new placement has a lease of its own, which begins when it is placed.
     const bool is_fresh = context.wall_now - job.state_since <= lease;
     if (!is_renewed && !is_fresh) {
--- a/libraries/fleet/soft_state.h
+++ b/libraries/fleet/soft_state.h
@@ -89,11 +89,11 @@
   void Reset(SteadyTime now);
 
   // Records a renewal that arrived at `now`.
-  void Hear(const Announcement& announcement, SteadyTime now);
+  void RecordAnnouncement(const Announcement& announcement, SteadyTime now);
 
   // Returns when the last renewal of the instance arrived, but no earlier than
   // the start of this leader's term.
-  SteadyTime LastHeard(const InstanceName& name) const;
+  SteadyTime LastAnnouncementTime(const InstanceName& name) const;
 
   // Returns true if the last renewal of the instance arrived at `since` or
   // later and reported no work in progress.
@@ -105,22 +105,22 @@
 
   // Returns when the worker last received orders that renewed its leases, but
   // no earlier than the start of this leader's term.
-  SteadyTime LastRenewed(const InstanceName& worker) const;
+  SteadyTime LastLeaseRenewalTime(const InstanceName& worker) const;
   // Records that the worker's leases were renewed at `now`. The leader counts
   // the leases from then; the worker counts them from when it sent the renewal.
-  void NoteRenewed(const InstanceName& worker, SteadyTime now);
+  void RecordLeaseRenewal(const InstanceName& worker, SteadyTime now);
 
   // The last instance that the planner has checked in its scan of the fleet.
-  const InstanceName& scanned_up_to() const { return this->last_scanned; }
-  void NoteScanned(const InstanceName& name) { this->last_scanned = name; }
+  const InstanceName& scan_position() const { return this->last_scanned; }
+  void SetScanPosition(const InstanceName& name) { this->last_scanned = name; }
 
   // Records when this leader first saw the instance draining, unless it has
   // done so before, and returns that time.
-  SteadyTime DrainingSince(const InstanceName& name, SteadyTime now);
-  void ForgetDraining(const InstanceName& name);
+  SteadyTime GetOrRecordDrainStart(const InstanceName& name, SteadyTime now);
+  void RemoveDrainStart(const InstanceName& name);
 
  private:
-  struct Heard {
+  struct LastAnnouncement {
     SteadyTime at;
     std::uint32_t in_flight = 0;
     bool is_leaving = false;
@@ -128,9 +128,9 @@
 
   SteadyTime started_at{};
   InstanceName last_scanned;
-  std::map<InstanceName, Heard> heard;
-  std::map<InstanceName, SteadyTime> renewed;
-  std::map<InstanceName, SteadyTime> draining_since;
+  std::map<InstanceName, LastAnnouncement> last_announcements;
+  std::map<InstanceName, SteadyTime> lease_renewals;
+  std::map<InstanceName, SteadyTime> drain_starts;
 };
 
 // Returns the commands that a renewal requires; empty if it contains nothing
