--- a/libraries/fleet/apply_claims.cc
+++ b/libraries/fleet/apply_claims.cc
@@ -23,11 +23,11 @@
                             " ms ago; keys are kept for ",
                             record.declaration.key_window.count(), " ms"));
   }
-  if (made_at > record.now + kMostKeySkew) {
+  if (made_at > record.now + kMaxKeySkew) {
     return MakeError(
         ResultCode::kBadIdempotencyKey,
         StrCat("the key's time lies ", (made_at - record.now).count(),
-               " ms ahead; at most ", kMostKeySkew.count(), " ms are allowed"));
+               " ms ahead; at most ", kMaxKeySkew.count(), " ms are allowed"));
   }
   return absl::OkStatus();
 }
--- a/libraries/fleet/fleet_machine.cc
+++ b/libraries/fleet/fleet_machine.cc
@@ -56,7 +56,7 @@
                 const Answer& answer) {
   FleetRecord& record = state.mutable_record();
   std::vector<OperatorRequestId>& order = record.operator_answer_order;
-  if (order.size() >= FleetState::kMostOperatorAnswers) {
+  if (order.size() >= FleetState::kMaxOperatorAnswers) {
     const auto cut =
         order.begin() + static_cast<std::ptrdiff_t>(order.size() / 4);
     std::for_each(order.begin(), cut, [&](const OperatorRequestId& old) {
--- a/libraries/fleet/fleet_state.cc
+++ b/libraries/fleet/fleet_state.cc
@@ -18,7 +18,7 @@
 
 // The divisor for the part of a full list of decisions that is removed at once,
 // the oldest decisions first.
-constexpr std::size_t kForgetDivisor = 4;
+constexpr std::size_t kDecisionRemovalDivisor = 4;
 
 }  // namespace
 
@@ -178,8 +178,9 @@
   decision.id = DecisionId(StrCat("fleet-", this->data.next_decision++));
   decision.at = this->data.now;
   std::vector<Decision>& kept = this->data.decisions;
-  if (kept.size() >= kMostDecisions) {
-    kept.erase(kept.begin(), kept.begin() + kMostDecisions / kForgetDivisor);
+  if (kept.size() >= kMaxDecisions) {
+    kept.erase(kept.begin(),
+               kept.begin() + kMaxDecisions / kDecisionRemovalDivisor);
   }
   kept.push_back(std::move(decision));
   return kept.back().id;
--- a/libraries/fleet/fleet_state.h
+++ b/libraries/fleet/fleet_state.h
@@ -131,8 +131,8 @@
   Resources HeldBy(const TeamName& team) const;
 
   // The maximum numbers of decisions and of operator answers that are kept.
-  static constexpr std::size_t kMostDecisions = 4'000;
-  static constexpr std::size_t kMostOperatorAnswers = 4'000;
+  static constexpr std::size_t kMaxDecisions = 4'000;
+  static constexpr std::size_t kMaxOperatorAnswers = 4'000;
 
  private:
   void IndexInstance(const Instance& instance, int step);
--- a/libraries/fleet/idempotency.cc
+++ b/libraries/fleet/idempotency.cc
@@ -12,7 +12,7 @@
 namespace sumac::fleet {
 namespace {
 
-constexpr std::size_t kShortestToken = 8;
+constexpr std::size_t kMinTokenLength = 8;
 // The latest valid time of a key, in milliseconds since the epoch. A larger
 // number is a time in a finer unit.
 constexpr std::int64_t kLatestMilliseconds = 10'000'000'000'000;
@@ -29,7 +29,7 @@
                character == '.' || character == '_';
       });
   std::int64_t milliseconds = 0;
-  if (text.size() > kLongestKey || token.size() < kShortestToken ||
+  if (text.size() > kMaxKeyLength || token.size() < kMinTokenLength ||
       !is_token_plain || !ParseNumber(text.substr(0, dash), &milliseconds) ||
       milliseconds <= 0 || milliseconds > kLatestMilliseconds) {
     return MakeError(
--- a/libraries/fleet/placement.cc
+++ b/libraries/fleet/placement.cc
@@ -9,10 +9,10 @@
 namespace {
 
 // The maximum number of passed-over workers that a decision names.
-constexpr std::size_t kMostRejectedNamed = 5;
+constexpr std::size_t kMaxNamedRejections = 5;
 // The maximum number of queued jobs examined in one planning pass. It bounds
 // the cost of jobs that fit on no worker.
-constexpr std::size_t kMostJobsScanned = 512;
+constexpr std::size_t kMaxScannedJobs = 512;
 
 // Returns true if the job would take its team over its quota. `granted` is what
 // this planning pass has already given to the team.
@@ -38,7 +38,7 @@
 }  // namespace
 
 std::vector<Placement> ChoosePlacements(const FleetState& state,
-                                        std::size_t most) {
+                                        std::size_t max_placements) {
   std::vector<Placement> placements;
   // A worker gets at most one job per planning pass, since the index does not
   // contain the placements of this pass yet.
@@ -46,7 +46,7 @@
   std::map<TeamName, Resources> granted;
   std::size_t scanned = 0;
   for (const auto& [key, id] : state.queued_jobs()) {
-    if (placements.size() >= most || ++scanned > kMostJobsScanned) {
+    if (placements.size() >= max_placements || ++scanned > kMaxScannedJobs) {
       break;
     }
     const Job& job = *state.FindJob(id);
@@ -62,8 +62,8 @@
     if (!worker) {
       continue;
     }
-    if (placement.rejected.size() > kMostRejectedNamed) {
-      placement.rejected.resize(kMostRejectedNamed);
+    if (placement.rejected.size() > kMaxNamedRejections) {
+      placement.rejected.resize(kMaxNamedRejections);
     }
     placement.worker = *worker;
     taken.insert(*worker);
--- a/libraries/fleet/placement.h
+++ b/libraries/fleet/placement.h
@@ -10,11 +10,11 @@
 namespace sumac::fleet {
 
 // Chooses workers for queued jobs: urgent before interactive before background
-// jobs and, within each priority, the oldest first; `most` is the maximum
-// number of placements. A job goes to the worker with the least free capacity
-// that fits (best fit), which keeps large gaps for large jobs.
+// jobs and, within each priority, the oldest first; `max_placements` is the
+// maximum number of placements. A job goes to the worker with the least free
+// capacity that fits (best fit), which keeps large gaps for large jobs.
 std::vector<Placement> ChoosePlacements(const FleetState& state,
-                                        std::size_t most);
+                                        std::size_t max_placements);
 
 }  // namespace sumac::fleet
 
--- a/libraries/fleet/planner.cc
+++ b/libraries/fleet/planner.cc
@@ -90,7 +90,7 @@
   RecordInstanceEvents command;
   const auto& instances = context.state.record().instances;
   const std::size_t part =
-      std::min(instances.size(), context.settings.most_instances_per_turn);
+      std::min(instances.size(), context.settings.max_instances_per_pass);
   auto position = instances.upper_bound(context.soft.scan_position());
   for (std::size_t looked_at = 0; looked_at < part; ++looked_at, ++position) {
     if (position == instances.end()) {
@@ -144,12 +144,12 @@
   if (!leases.items.empty()) {
     commands.emplace_back(std::move(leases));
   }
-  PlaceJobs places{ChoosePlacements(state, settings.most_placements_per_turn)};
+  PlaceJobs places{ChoosePlacements(state, settings.max_placements_per_pass)};
   if (!places.placements.empty()) {
     commands.emplace_back(std::move(places));
   }
   const WallTime forget_before =
-      wall_now - state.record().declaration.key_window - kMostKeySkew;
+      wall_now - state.record().declaration.key_window - kMaxKeySkew;
   if (!state.record().claims.empty() &&
       forget_before > state.record().claims_floor + kClaimExpiryStep) {
     commands.emplace_back(ExpireClaims{forget_before});
--- a/libraries/fleet/planner.h
+++ b/libraries/fleet/planner.h
@@ -20,10 +20,10 @@
   // How long after the end of its lease a task is assumed to be running, which
   // allows for clock drift.
   Milliseconds lease_margin{1'000};
-  std::size_t most_placements_per_turn = 256;
+  std::size_t max_placements_per_pass = 256;
   // The maximum number of instances checked in one planning pass. At ten passes
   // per second, a full scan of 6,400 instances takes 0.7 s.
-  std::size_t most_instances_per_turn = 1'000;
+  std::size_t max_instances_per_pass = 1'000;
 };
 
 // One step to request from the platform, repeatedly until the platform reports
--- a/libraries/fleet/view_history.cc
+++ b/libraries/fleet/view_history.cc
@@ -46,7 +46,7 @@
 }
 
 void ViewHistory::ForgetOldRemovals() {
-  while (this->removed_at.size() > kMostRemoved) {
+  while (this->removed_at.size() > kMaxRemovedMinions) {
     const auto oldest =
         std::min_element(this->removed_at.begin(), this->removed_at.end(),
                          [](const auto& left, const auto& right) {
--- a/libraries/fleet/view_history.h
+++ b/libraries/fleet/view_history.h
@@ -27,7 +27,7 @@
 
   // The maximum number of removed minions that are recorded. Beyond it,
   // followers with older views receive the whole view.
-  static constexpr std::size_t kMostRemoved = 1'024;
+  static constexpr std::size_t kMaxRemovedMinions = 1'024;
 
  private:
   void NoteServices(const View& next);
--- a/libraries/fleet/worker_index.h
+++ b/libraries/fleet/worker_index.h
@@ -59,7 +59,7 @@
   void Remove(const InstanceName& worker);
 
   // Returns the worker with the least free resources in which `need` fits,
-  // skipping `excluded`. At most kMostScanned workers are examined; those
+  // skipping `excluded`. At most kMaxScannedWorkers workers are examined; those
   // examined and not chosen are added to `rejected`.
   std::optional<InstanceName> FindTightest(
       const Resources& need,
@@ -77,7 +77,7 @@
   // Returns the number of workers in the index.
   std::size_t size() const { return this->workers.size(); }
 
-  static constexpr std::size_t kMostScanned = 64;
+  static constexpr std::size_t kMaxScannedWorkers = 64;
 
  private:
   struct Entry {
--- a/tests/libraries/fleet/claims_test.cc
+++ b/tests/libraries/fleet/claims_test.cc
@@ -100,7 +100,7 @@
 
 TEST_F(ClaimsTest, KeysFromTheFutureAreRefused) {
   const IdempotencyKey key =
-      this->KeyMadeAt(this->clock.Now() + kMostKeySkew + Milliseconds(1'000));
+      this->KeyMadeAt(this->clock.Now() + kMaxKeySkew + Milliseconds(1'000));
   EXPECT_EQ(this->Claim(key, 1).code, ResultCode::kBadIdempotencyKey);
 }
 
--- a/tests/libraries/fleet/instances_test.cc
+++ b/tests/libraries/fleet/instances_test.cc
@@ -39,7 +39,7 @@
 }
 
 TEST_F(InstancesTest, AFleetLargerThanOneTurnIsGoneRoundInParts) {
-  this->planner.most_instances_per_turn = 2;
+  this->planner.max_instances_per_pass = 2;
   for (const char* name : {"m1", "m3", "m5"}) {
     this->Silence(name);
   }
--- a/tests/libraries/fleet/view_history_test.cc
+++ b/tests/libraries/fleet/view_history_test.cc
@@ -90,7 +90,7 @@
   EXPECT_FALSE(history.DeltaSince(6));
   std::map<int, bool> minions;
   for (std::uint64_t version = 6;
-       version < 6 + 2 * ViewHistory::kMostRemoved + 10; ++version) {
+       version < 6 + 2 * ViewHistory::kMaxRemovedMinions + 10; ++version) {
     minions = {{static_cast<int>(version), true}};
     history.Take(MakeView(version, minions));
   }
