--- a/libraries/fleet/apply_claims.cc
+++ b/libraries/fleet/apply_claims.cc
@@ -65,9 +65,9 @@
   return record.now + command.run_time + kFinishMargin;
 }
 
-absl::Status Fire(const FleetState& state,
-                  Claim& claim,
-                  std::string_view event) {
+absl::Status FireClaimEvent(const FleetState& state,
+                            Claim& claim,
+                            std::string_view event) {
   const std::string next =
       TRY(state.charts().request.Next(NameOf(claim.state), event));
   claim.state = *ParseEnum<ClaimState>(next);
@@ -111,7 +111,7 @@
   const bool is_same_attempt =
       claim.entry == command.entry && claim.attempt == command.attempt;
   if (claim.state == ClaimState::kNotRun) {
-    if (const absl::Status status = Fire(state, claim, "claim_again");
+    if (const absl::Status status = FireClaimEvent(state, claim, "claim_again");
         !status.ok()) {
       return Answer::FromStatus(status);
     }
@@ -141,7 +141,8 @@
     return Answer{.code = ResultCode::kStaleReport,
                   .message = "another try holds the claim"};
   }
-  if (const absl::Status status = Fire(state, claim, EventFor(command.state));
+  if (const absl::Status status =
+          FireClaimEvent(state, claim, EventFor(command.state));
       !status.ok()) {
     return Answer::FromStatus(status);
   }
--- a/libraries/fleet/fleet_machine.cc
+++ b/libraries/fleet/fleet_machine.cc
@@ -21,13 +21,13 @@
 // Returns a digest that distinguishes two commands sent under one request id.
 template <OperatorCommand Command>
 std::string DigestOf(const Command& command) {
-  Command without_name = command;
-  without_name.identity = OperatorIdentity{};
+  Command without_identity = command;
+  without_identity.identity = OperatorIdentity{};
   // NOTE: The JSON tree sorts the keys, as the digest must not depend on the
   // order of the fields: digests are stored in snapshots and compared by
   // replicas of other versions.
   std::string digest;
-  nlohmann::json::to_cbor(ToJson(without_name), digest);
+  nlohmann::json::to_cbor(ToJson(without_identity), digest);
   return digest;
 }
 
--- a/libraries/fleet/fleet_state.cc
+++ b/libraries/fleet/fleet_state.cc
@@ -99,9 +99,9 @@
     this->counts[instance.pool].Change(instance, counts_now, step);
   }
   if (step > 0 && is_member && !counts_now) {
-    this->unsettled.insert(name);
+    this->unavailable.insert(name);
   } else {
-    this->unsettled.erase(name);
+    this->unavailable.erase(name);
   }
   if (instance.target.kind == TargetKind::kWorker) {
     if (step > 0 && is_member) {
@@ -148,8 +148,8 @@
       this->InstanceHasTag(instance, kCanTakeWorkTag));
 }
 
-absl::Status FleetState::FireInstance(Instance& instance,
-                                      InstanceEvent event) const {
+absl::Status FleetState::FireInstanceEvent(Instance& instance,
+                                           InstanceEvent event) const {
   const std::string next = TRY(
       this->state_charts->instance.Next(NameOf(instance.state), NameOf(event)));
   instance.state = *ParseEnum<InstanceState>(next);
@@ -157,7 +157,7 @@
   return absl::OkStatus();
 }
 
-absl::Status FleetState::FireJob(Job& job, JobEvent event) const {
+absl::Status FleetState::FireJobEvent(Job& job, JobEvent event) const {
   const std::string next =
       TRY(this->state_charts->job.Next(NameOf(job.state), NameOf(event)));
   job.state = *ParseEnum<JobState>(next);
@@ -204,7 +204,7 @@
   return found == this->jobs_by_worker.end() ? kNone : found->second;
 }
 
-Resources FleetState::HeldBy(const TeamName& team) const {
+Resources FleetState::ResourcesHeldBy(const TeamName& team) const {
   const auto found = this->used_by_team.find(team);
   return found == this->used_by_team.end() ? Resources{} : found->second;
 }
--- a/libraries/fleet/fleet_state.h
+++ b/libraries/fleet/fleet_state.h
@@ -101,8 +101,8 @@
 
   // Changes the state of an instance or job as its chart defines for the event;
   // the error is kWrongState.
-  absl::Status FireInstance(Instance& instance, InstanceEvent event) const;
-  absl::Status FireJob(Job& job, JobEvent event) const;
+  absl::Status FireInstanceEvent(Instance& instance, InstanceEvent event) const;
+  absl::Status FireJobEvent(Job& job, JobEvent event) const;
 
   // Returns true if the chart gives the state of the instance or job this tag.
   bool InstanceHasTag(const Instance& instance, std::string_view tag) const;
@@ -112,13 +112,13 @@
   DecisionId AddDecision(Decision decision);
 
   // Increments the version of the view after a change that affects routing.
-  void TouchView() { ++this->data.view_version; }
+  void IncrementViewVersion() { ++this->data.view_version; }
 
   // The indexes derived from the record.
   const PoolCounts& CountsOf(const PoolName& pool) const;
   const WorkerIndex& WorkersOf(const PoolName& pool) const;
   const std::set<InstanceName>& instances_not_available() const {
-    return this->unsettled;
+    return this->unavailable;
   }
   // Returns the queued jobs in the order in which they are placed.
   const std::set<std::pair<std::pair<JobPriority, WallTime>, JobId>>&
@@ -128,7 +128,7 @@
   const std::set<JobId>& leased_jobs() const { return this->leased; }
   const std::set<JobId>& JobsOn(const InstanceName& worker) const;
   // Returns the resources that the placed and running jobs of the team hold.
-  Resources HeldBy(const TeamName& team) const;
+  Resources ResourcesHeldBy(const TeamName& team) const;
 
   // The maximum numbers of decisions and of operator answers that are kept.
   static constexpr std::size_t kMaxDecisions = 4'000;
@@ -144,7 +144,7 @@
 
   std::map<PoolName, PoolCounts> counts;
   std::map<PoolName, WorkerIndex> workers;
-  std::set<InstanceName> unsettled;
+  std::set<InstanceName> unavailable;
   std::set<std::pair<std::pair<JobPriority, WallTime>, JobId>> queued;
   std::set<JobId> leased;
   std::map<InstanceName, std::set<JobId>> jobs_by_worker;
--- a/libraries/fleet/placement.cc
+++ b/libraries/fleet/placement.cc
@@ -23,7 +23,7 @@
   if (team == nullptr) {
     return false;
   }
-  Resources held = state.HeldBy(job.spec.team);
+  Resources held = state.ResourcesHeldBy(job.spec.team);
   held += granted;
   held += Resources::Of(job.spec);
   const bool has_too_many_cores =
