--- a/libraries/fleet/placement.cc
+++ b/libraries/fleet/placement.cc
@@ -42,7 +42,7 @@
   std::vector<Placement> placements;
   // A worker gets at most one job per planning pass, since the index does not
   // contain the placements of this pass yet.
-  std::set<InstanceName> taken;
+  std::set<InstanceName> assigned_workers;
   std::map<TeamName, Resources> granted;
   std::size_t scanned = 0;
   for (const auto& [key, id] : state.queued_jobs()) {
@@ -54,7 +54,7 @@
       continue;
     }
     std::set<InstanceName> excluded = job.failed_on;
-    excluded.insert(taken.begin(), taken.end());
+    excluded.insert(assigned_workers.begin(), assigned_workers.end());
     Placement placement{.job = id, .rule = "tightest-fit"};
     const auto worker = state.WorkersOf(job.spec.pool)
                             .FindTightest(Resources::Of(job.spec), excluded,
@@ -66,7 +66,7 @@
       placement.rejected.resize(kMaxNamedRejections);
     }
     placement.worker = *worker;
-    taken.insert(*worker);
+    assigned_workers.insert(*worker);
     granted[job.spec.team] += Resources::Of(job.spec);
     placements.push_back(std::move(placement));
   }
--- a/libraries/fleet/planner.cc
+++ b/libraries/fleet/planner.cc
@@ -41,11 +41,11 @@
 // interrupt.
 bool IsDrained(const PlanContext& context, const Instance& instance) {
   const InstanceName& name = instance.target.name;
-  const SteadyTime quiet_from =
+  const SteadyTime grace_end =
       context.soft.GetOrRecordDrainStart(name, context.now) +
       context.settings.drain_grace;
-  return context.now >= quiet_from && context.state.JobsOn(name).empty() &&
-         context.soft.IsIdleSince(name, quiet_from);
+  return context.now >= grace_end && context.state.JobsOn(name).empty() &&
+         context.soft.IsIdleSince(name, grace_end);
 }
 
 // Returns true if the instance is already out of its pool for planned work,
@@ -66,13 +66,15 @@
   const bool is_silent = context.now - context.soft.LastAnnouncementTime(name) >
                          SilenceTimeOf(context.state, instance);
   if (is_silent) {
-    const bool is_news = context.state.InstanceHasTag(instance, "alive") &&
-                         !instance.is_silent_while_planned;
-    return is_news ? std::optional(InstanceEvent::kSilence) : std::nullopt;
+    const bool is_new_silence =
+        context.state.InstanceHasTag(instance, "alive") &&
+        !instance.is_silent_while_planned;
+    return is_new_silence ? std::optional(InstanceEvent::kSilence)
+                          : std::nullopt;
   }
-  const Milliseconds in_state = context.wall_now - instance.state_since;
+  const Milliseconds time_in_state = context.wall_now - instance.state_since;
   if (instance.state == InstanceState::kSettling &&
-      in_state >= SettleTimeOf(context.state, instance)) {
+      time_in_state >= SettleTimeOf(context.state, instance)) {
     return InstanceEvent::kSettled;
   }
   if (instance.state == InstanceState::kDraining &&
@@ -92,7 +94,7 @@
   const std::size_t part =
       std::min(instances.size(), context.settings.max_instances_per_pass);
   auto position = instances.upper_bound(context.soft.scan_position());
-  for (std::size_t looked_at = 0; looked_at < part; ++looked_at, ++position) {
+  for (std::size_t scanned = 0; scanned < part; ++scanned, ++position) {
     if (position == instances.end()) {
       position = instances.begin();
     }
--- a/libraries/fleet/soft_state.cc
+++ b/libraries/fleet/soft_state.cc
@@ -56,14 +56,13 @@
 std::vector<RecordTargets> CommandsForTarget(const FleetState& state,
                                              const Announcement& announcement) {
   const Instance* known = state.FindInstance(announcement.target.name);
-  const bool tells_something =
+  const bool has_news =
       known == nullptr || known->target != announcement.target ||
       known->state == InstanceState::kSilent ||
       known->state == InstanceState::kLeft || known->is_silent_while_planned;
   const bool is_stale = known != nullptr && announcement.target.incarnation <
                                                 known->target.incarnation;
-  if (!tells_something || is_stale ||
-      (announcement.is_leaving && known == nullptr)) {
+  if (!has_news || is_stale || (announcement.is_leaving && known == nullptr)) {
     return {};
   }
   // A leaving target that has already left is not recorded again.
--- a/libraries/fleet/view_history.cc
+++ b/libraries/fleet/view_history.cc
@@ -8,14 +8,14 @@
 
 namespace sumac::fleet {
 
-void ViewHistory::Take(View next) {
-  if (this->present.version == 0) {
+void ViewHistory::RecordView(View next) {
+  if (this->latest_view.version == 0) {
     // Changes before this controller's first view are unknown.
-    this->remembered_from = next.version;
+    this->history_start = next.version;
   }
-  this->NoteServices(next);
+  this->RecordServiceChange(next);
   std::map<InstanceName, const RoutedMinion*> before;
-  for (const RoutedMinion& minion : this->present.minions) {
+  for (const RoutedMinion& minion : this->latest_view.minions) {
     before[minion.name] = &minion;
   }
   for (const RoutedMinion& minion : next.minions) {
@@ -32,51 +32,51 @@
     this->changed_at.erase(name);
     this->removed_at[name] = next.version;
   }
-  this->ForgetOldRemovals();
-  this->present = std::move(next);
+  this->DropOldRemovals();
+  this->latest_view = std::move(next);
 }
 
-void ViewHistory::NoteServices(const View& next) {
+void ViewHistory::RecordServiceChange(const View& next) {
   const bool has_changed =
-      ToJson(this->present.services) != ToJson(next.services) ||
-      this->present.key_window != next.key_window;
+      ToJson(this->latest_view.services) != ToJson(next.services) ||
+      this->latest_view.key_window != next.key_window;
   if (has_changed) {
     this->services_changed_at = next.version;
   }
 }
 
-void ViewHistory::ForgetOldRemovals() {
+void ViewHistory::DropOldRemovals() {
   while (this->removed_at.size() > kMaxRemovedMinions) {
     const auto oldest =
         std::min_element(this->removed_at.begin(), this->removed_at.end(),
                          [](const auto& left, const auto& right) {
                            return left.second < right.second;
                          });
-    this->remembered_from = std::max(this->remembered_from, oldest->second);
+    this->history_start = std::max(this->history_start, oldest->second);
     this->removed_at.erase(oldest);
   }
 }
 
-std::optional<View> ViewHistory::DeltaSince(std::uint64_t have) const {
-  if (have < this->remembered_from || have == 0 ||
-      have > this->present.version) {
+std::optional<View> ViewHistory::DeltaSince(std::uint64_t known_version) const {
+  if (known_version < this->history_start || known_version == 0 ||
+      known_version > this->latest_view.version) {
     return std::nullopt;
   }
-  View delta{.version = this->present.version,
-             .revision = this->present.revision};
-  delta.has_services = this->services_changed_at > have;
+  View delta{.version = this->latest_view.version,
+             .revision = this->latest_view.revision};
+  delta.has_services = this->services_changed_at > known_version;
   if (delta.has_services) {
-    delta.services = this->present.services;
-    delta.key_window = this->present.key_window;
+    delta.services = this->latest_view.services;
+    delta.key_window = this->latest_view.key_window;
   }
-  for (const RoutedMinion& minion : this->present.minions) {
+  for (const RoutedMinion& minion : this->latest_view.minions) {
     const auto changed = this->changed_at.find(minion.name);
-    if (changed != this->changed_at.end() && changed->second > have) {
+    if (changed != this->changed_at.end() && changed->second > known_version) {
       delta.minions.push_back(minion);
     }
   }
   for (const auto& [name, version] : this->removed_at) {
-    if (version > have) {
+    if (version > known_version) {
       delta.removed.insert(name);
     }
   }
--- a/libraries/fleet/view_history.h
+++ b/libraries/fleet/view_history.h
@@ -17,24 +17,25 @@
 class ViewHistory {
  public:
   // Records `view` as the latest one.
-  void Take(View view);
+  void RecordView(View view);
 
-  const View& latest() const { return this->present; }
+  const View& latest() const { return this->latest_view; }
 
-  // Returns the changes after version `have`, or nothing if `have` is older
-  // than the recorded history and the follower needs the whole view.
-  std::optional<View> DeltaSince(std::uint64_t have) const;
+  // Returns the changes after version `known_version`, or nothing if
+  // `known_version` is older than the recorded history and the follower needs
+  // the whole view.
+  std::optional<View> DeltaSince(std::uint64_t known_version) const;
 
   // The maximum number of removed minions that are recorded. Beyond it,
   // followers with older views receive the whole view.
   static constexpr std::size_t kMaxRemovedMinions = 1'024;
 
  private:
-  void NoteServices(const View& next);
-  void ForgetOldRemovals();
+  void RecordServiceChange(const View& next);
+  void DropOldRemovals();
 
-  View present;
-  std::uint64_t remembered_from = 0;
+  View latest_view;
+  std::uint64_t history_start = 0;
   std::uint64_t services_changed_at = 0;
   std::map<InstanceName, std::uint64_t> changed_at;
   std::map<InstanceName, std::uint64_t> removed_at;
--- a/services/sumacd/controller.cc
+++ b/services/sumacd/controller.cc
@@ -281,7 +281,7 @@
     return;
   }
   this->last_applied_view = version;
-  this->history.Take(fleet::MakeView(this->state()));
+  this->history.RecordView(fleet::MakeView(this->state()));
   std::erase_if(this->view_waiters, [version](ViewWaiter& waiter) {
     const bool is_due = version > waiter.have || !waiter.fulfiller->isWaiting();
     if (is_due) {
