--- a/tests/libraries/fleet/claims_test.cc
+++ b/tests/libraries/fleet/claims_test.cc
@@ -34,7 +34,7 @@
   }
 };
 
-TEST_F(ClaimsTest, OnlyOneTryHoldsTheRightToSend) {
+TEST_F(ClaimsTest, OnlyOneAttemptHoldsTheClaim) {
   const IdempotencyKey key = this->KeyMadeAt(this->clock.Now());
   EXPECT_TRUE(this->Claim(key, 1).document.is_null());
   // A repeated claim by the same attempt still holds the claim; any other
@@ -68,7 +68,7 @@
   EXPECT_TRUE(this->Claim(key, 4).is_ok());
 }
 
-TEST_F(ClaimsTest, WhatDidNotRunMayBeClaimedAgain) {
+TEST_F(ClaimsTest, ARequestThatDidNotRunMayBeClaimedAgain) {
   const IdempotencyKey key = this->KeyMadeAt(this->clock.Now());
   this->Claim(key, 1);
   ASSERT_TRUE(this->Finish(key, 1, ClaimState::kNotRun).is_ok());
@@ -85,7 +85,7 @@
   EXPECT_EQ(this->Claim(key, 2, "two").code, ResultCode::kKeyReused);
 }
 
-TEST_F(ClaimsTest, AForgottenKeyIsRefusedAndNeverTakenForNew) {
+TEST_F(ClaimsTest, AnExpiredKeyIsRefusedAndNotTreatedAsNew) {
   const IdempotencyKey key = this->KeyMadeAt(this->clock.Now());
   this->Claim(key, 1);
   this->Finish(key, 1, ClaimState::kAnswered);
--- a/tests/libraries/fleet/fleet_harness.cc
+++ b/tests/libraries/fleet/fleet_harness.cc
@@ -90,11 +90,11 @@
   this->targets.at(name).is_silent = true;
 }
 
-void FleetHarness::Wake(const std::string& name) {
+void FleetHarness::EndSilence(const std::string& name) {
   this->targets.at(name).is_silent = false;
 }
 
-void FleetHarness::StartAnew(const std::string& name) {
+void FleetHarness::RestartTarget(const std::string& name) {
   Target& target = this->targets.at(name);
   target.is_silent = false;
   target.announcement.target.incarnation =
--- a/tests/libraries/fleet/fleet_harness.h
+++ b/tests/libraries/fleet/fleet_harness.h
@@ -38,9 +38,9 @@
                  std::uint32_t millicores = 16'000,
                  std::uint32_t accelerators = 0);
   void Silence(const std::string& name);
-  void Wake(const std::string& name);
+  void EndSilence(const std::string& name);
   // Restarts the target with a new incarnation and without its tasks.
-  void StartAnew(const std::string& name);
+  void RestartTarget(const std::string& name);
   void SetInFlight(const std::string& name, std::uint32_t in_flight);
   // Sets the worker's report on a task that it was ordered to run. Without it
   // the worker reports nothing about its tasks.
--- a/tests/libraries/fleet/instances_test.cc
+++ b/tests/libraries/fleet/instances_test.cc
@@ -30,7 +30,7 @@
   }
 };
 
-TEST_F(InstancesTest, AQuietFleetSettlesWithoutAnyCommand) {
+TEST_F(InstancesTest, ANewInstanceSettlesWithoutAnOperator) {
   this->AddMinion("m6", "p");
   this->PassTime(Milliseconds(300));
   EXPECT_EQ(this->StateOf("m6"), InstanceState::kSettling);
@@ -38,7 +38,7 @@
   EXPECT_EQ(this->StateOf("m6"), InstanceState::kAvailable);
 }
 
-TEST_F(InstancesTest, AFleetLargerThanOneTurnIsGoneRoundInParts) {
+TEST_F(InstancesTest, AFleetLargerThanOnePassIsScannedInParts) {
   this->planner.max_instances_per_pass = 2;
   for (const char* name : {"m1", "m3", "m5"}) {
     this->Silence(name);
@@ -67,7 +67,7 @@
   EXPECT_EQ(this->StateOf("m4"), InstanceState::kSilent);
   EXPECT_EQ(this->Operate(InstanceRequest::kDrain, "m1").code,
             ResultCode::kBudgetWouldBreak);
-  this->Wake("m4");
+  this->EndSilence("m4");
   this->PassTime(Milliseconds(200));
   // After its silence the instance must settle before it counts again, since a
   // second instance is often lost at that moment.
@@ -110,7 +110,7 @@
   EXPECT_EQ(this->StateOf("m2"), InstanceState::kAvailable);
 }
 
-TEST_F(InstancesTest, DrainsOnlyAfterTheGraceAndWithNothingInHand) {
+TEST_F(InstancesTest, DrainsOnlyAfterTheGraceAndWithNothingInFlight) {
   this->SetInFlight("m1", 1);
   ASSERT_TRUE(this->Operate(InstanceRequest::kReboot, "m1").is_ok());
   this->PassTime(Milliseconds(5'000));
@@ -133,8 +133,7 @@
   EXPECT_EQ(this->StateOf("m1"), InstanceState::kDrained);
 }
 
-TEST_F(InstancesTest,
-       ARebootIsOverOnlyWhenThePlatformSaysSoAndTheInstanceStartedAnew) {
+TEST_F(InstancesTest, ARebootEndsOnlyAfterAPlatformReportAndARestart) {
   ASSERT_TRUE(this->Operate(InstanceRequest::kReboot, "m1").is_ok());
   this->PassTime(Milliseconds(4'000));
   ASSERT_EQ(PlatformSteps(this->state()).size(), 1U);
@@ -142,7 +141,7 @@
   EXPECT_EQ(this->StateOf("m1"), InstanceState::kRebooting);
   // The instance crashed and returned before the reboot, which is still to
   // come.
-  this->StartAnew("m1");
+  this->RestartTarget("m1");
   this->PassTime(Milliseconds(2'000));
   EXPECT_EQ(this->StateOf("m1"), InstanceState::kRebooting);
   EXPECT_EQ(PlatformSteps(this->state()).size(), 1U);
@@ -160,7 +159,7 @@
       this->state().FindInstance(InstanceName("m1"))->operation->id;
   // The platform's first answer was lost, and its next report arrives only
   // after the instance has returned.
-  this->StartAnew("m1");
+  this->RestartTarget("m1");
   this->PassTime(Milliseconds(500));
   this->Apply(
       RecordPlatformReport{InstanceName("m1"), id, PlatformProgress::kDone});
@@ -189,7 +188,7 @@
   EXPECT_EQ(this->state().CountsOf(PoolName("p")).total().members, 4U);
   EXPECT_EQ(this->state().CountsOf(PoolName("q")).total().members, 1U);
   // The pool that the instance announces is used only the first time.
-  this->StartAnew("m1");
+  this->RestartTarget("m1");
   this->PassTime(Milliseconds(500));
   EXPECT_EQ(this->state().FindInstance(InstanceName("m1"))->pool,
             PoolName("q"));
@@ -219,14 +218,14 @@
 }
 
 TEST_F(InstancesTest, ReportsOfAnEarlierStartAreIgnored) {
-  this->StartAnew("m1");
+  this->RestartTarget("m1");
   this->PassTime(Milliseconds(1'000));
   this->Apply(RecordInstanceEvents{
       {{InstanceName("m1"), Incarnation(1), InstanceEvent::kSilence}}});
   EXPECT_EQ(this->StateOf("m1"), InstanceState::kAvailable);
 }
 
-TEST_F(InstancesTest, ANewLeaderDoesNotTakeItsOwnIgnoranceForSilence) {
+TEST_F(InstancesTest, ANewLeaderDoesNotTreatUnheardInstancesAsSilent) {
   this->ChangeLeader();
   this->PassTime(Milliseconds(100));
   EXPECT_EQ(this->AvailableIn("p"), 5U);
--- a/tests/libraries/fleet/view_history_test.cc
+++ b/tests/libraries/fleet/view_history_test.cc
@@ -80,7 +80,7 @@
   EXPECT_FALSE(delta->has_services);
 }
 
-TEST(ViewHistoryTest, WhoeverIsTooFarBehindGetsTheWholeView) {
+TEST(ViewHistoryTest, AFollowerTooFarBehindGetsTheWholeView) {
   ViewHistory history;
   history.RecordView(MakeView(5, {{1, true}}));
   EXPECT_FALSE(history.DeltaSince(0));
