--- a/libraries/fleet/apply_claims.cc
+++ b/libraries/fleet/apply_claims.cc
@@ -10,7 +10,8 @@
 namespace sumac::fleet {
 namespace {
 
-// Refuses a key that the system may have forgotten, or could never forget.
+// Returns an error for a key whose claim may have been removed already, or
+// whose time is so far ahead that its claim would not be removed for too long.
 absl::Status CheckKeyAge(const FleetState& state, const IdempotencyKey& key) {
   const WallTime made_at = TRY(TimeOfKey(key));
   const FleetRecord& record = state.record();
@@ -22,11 +23,11 @@
                             " ms ago; keys are kept for ",
                             record.declaration.key_window.count(), " ms"));
   }
-  if (made_at > record.now + kMostKeySkew) {
+  if (made_at > record.now + kMaxKeySkew) {
     return MakeError(
         ResultCode::kBadIdempotencyKey,
         StrCat("the key's time lies ", (made_at - record.now).count(),
-               " ms ahead; at most ", kMostKeySkew.count(), " ms are allowed"));
+               " ms ahead; at most ", kMaxKeySkew.count(), " ms are allowed"));
   }
   return absl::OkStatus();
 }
@@ -56,17 +57,17 @@
   return answer;
 }
 
-// An entry's answer about how a claim ended may be this much later than its own
-// deadline.
+// How long after its own deadline an entry's report about the end of a claim
+// may arrive.
 constexpr Milliseconds kFinishMargin{2'000};
 
 WallTime RunsUntil(const FleetRecord& record, const ClaimRequest& command) {
   return record.now + command.run_time + kFinishMargin;
 }
 
-absl::Status Fire(const FleetState& state,
-                  Claim& claim,
-                  std::string_view event) {
+absl::Status FireClaimEvent(const FleetState& state,
+                            Claim& claim,
+                            std::string_view event) {
   const std::string next =
       TRY(state.charts().request.Next(NameOf(claim.state), event));
   claim.state = *ParseEnum<ClaimState>(next);
@@ -110,7 +111,7 @@
   const bool is_same_attempt =
       claim.entry == command.entry && claim.attempt == command.attempt;
   if (claim.state == ClaimState::kNotRun) {
-    if (const absl::Status status = Fire(state, claim, "claim_again");
+    if (const absl::Status status = FireClaimEvent(state, claim, "claim_again");
         !status.ok()) {
       return Answer::FromStatus(status);
     }
@@ -120,8 +121,8 @@
     claim.runs_until = RunsUntil(record, command);
     return Answer::Success("claimed");
   }
-  // The same try asking again is its own proposal told twice, after a lost
-  // answer: it holds the right and has not sent yet.
+  // A repeated claim by the same attempt is its own proposal sent again after a
+  // lost answer: the attempt holds the claim and has not sent the request yet.
   if (claim.state == ClaimState::kClaimed && is_same_attempt) {
     return Answer::Success("claimed");
   }
@@ -140,7 +141,8 @@
     return Answer{.code = ResultCode::kStaleReport,
                   .message = "another try holds the claim"};
   }
-  if (const absl::Status status = Fire(state, claim, EventFor(command.state));
+  if (const absl::Status status =
+          FireClaimEvent(state, claim, EventFor(command.state));
       !status.ok()) {
     return Answer::FromStatus(status);
   }
--- a/libraries/fleet/placement.cc
+++ b/libraries/fleet/placement.cc
@@ -8,13 +8,14 @@
 namespace sumac::fleet {
 namespace {
 
-// A decision names this many of the workers that were passed over.
-constexpr std::size_t kMostRejectedNamed = 5;
-// Queued jobs that are looked at in one go, for those that find no room.
-constexpr std::size_t kMostJobsScanned = 512;
+// The maximum number of passed-over workers that a decision names.
+constexpr std::size_t kMaxNamedRejections = 5;
+// The maximum number of queued jobs examined in one planning pass. It bounds
+// the cost of jobs that fit on no worker.
+constexpr std::size_t kMaxScannedJobs = 512;
 
-// True if the job would take its team past its quota; `granted` is what this go
-// gives it already.
+// Returns true if the job would take its team over its quota. `granted` is what
+// this planning pass has already given to the team.
 bool ExceedsQuota(const FleetState& state,
                   const Job& job,
                   const Resources& granted) {
@@ -22,7 +23,7 @@
   if (team == nullptr) {
     return false;
   }
-  Resources held = state.HeldBy(job.spec.team);
+  Resources held = state.ResourcesHeldBy(job.spec.team);
   held += granted;
   held += Resources::Of(job.spec);
   const bool has_too_many_cores =
@@ -37,15 +38,15 @@
 }  // namespace
 
 std::vector<Placement> ChoosePlacements(const FleetState& state,
-                                        std::size_t most) {
+                                        std::size_t max_placements) {
   std::vector<Placement> placements;
-  // A worker gets one job a go, since the index does not know of this go's
-  // placements yet.
-  std::set<InstanceName> taken;
+  // A worker gets at most one job per planning pass, since the index does not
+  // contain the placements of this pass yet.
+  std::set<InstanceName> assigned_workers;
   std::map<TeamName, Resources> granted;
   std::size_t scanned = 0;
   for (const auto& [key, id] : state.queued_jobs()) {
-    if (placements.size() >= most || ++scanned > kMostJobsScanned) {
+    if (placements.size() >= max_placements || ++scanned > kMaxScannedJobs) {
       break;
     }
     const Job& job = *state.FindJob(id);
@@ -53,7 +54,7 @@
       continue;
     }
     std::set<InstanceName> excluded = job.failed_on;
-    excluded.insert(taken.begin(), taken.end());
+    excluded.insert(assigned_workers.begin(), assigned_workers.end());
     Placement placement{.job = id, .rule = "tightest-fit"};
     const auto worker = state.WorkersOf(job.spec.pool)
                             .FindTightest(Resources::Of(job.spec), excluded,
@@ -61,11 +62,11 @@
     if (!worker) {
       continue;
     }
-    if (placement.rejected.size() > kMostRejectedNamed) {
-      placement.rejected.resize(kMostRejectedNamed);
+    if (placement.rejected.size() > kMaxNamedRejections) {
+      placement.rejected.resize(kMaxNamedRejections);
     }
     placement.worker = *worker;
-    taken.insert(*worker);
+    assigned_workers.insert(*worker);
     granted[job.spec.team] += Resources::Of(job.spec);
     placements.push_back(std::move(placement));
   }
--- a/libraries/fleet/planner.cc
+++ b/libraries/fleet/planner.cc
@@ -11,8 +11,8 @@
 namespace sumac::fleet {
 namespace {
 
-// Claims are forgotten in steps of this, so that not every turn proposes
-// something.
+// Expired claims are removed in steps of this length, so that not every
+// planning pass proposes a command.
 constexpr Milliseconds kClaimExpiryStep{60'000};
 
 Milliseconds SilenceTimeOf(const FleetState& state, const Instance& instance) {
@@ -25,76 +25,81 @@
   return pool == nullptr ? Pool().settle_time : pool->settle_time;
 }
 
-// What all parts of one plan look at.
+// The inputs shared by all parts of one planning pass.
 struct PlanContext {
   const FleetState& state;
   SoftState& soft;
   const PlannerSettings& settings;
-  // NOTE: The state's own time stands still while nothing is committed, so
-  // waits are measured against the clock, but never against one that lies
-  // behind the state.
+  // NOTE: The time of the state does not advance while nothing is committed, so
+  // waits are measured against the wall clock, but never against a time before
+  // that of the state.
   WallTime wall_now;
   SteadyTime now;
 };
 
-// True if a draining instance has nothing left to do that a reboot would cut
-// off.
+// Returns true if a draining instance has no work left that a reboot would
+// interrupt.
 bool IsDrained(const PlanContext& context, const Instance& instance) {
   const InstanceName& name = instance.target.name;
-  const SteadyTime quiet_from = context.soft.DrainingSince(name, context.now) +
-                                context.settings.drain_grace;
-  return context.now >= quiet_from && context.state.JobsOn(name).empty() &&
-         context.soft.IsIdleSince(name, quiet_from);
+  const SteadyTime grace_end =
+      context.soft.GetOrRecordDrainStart(name, context.now) +
+      context.settings.drain_grace;
+  return context.now >= grace_end && context.state.JobsOn(name).empty() &&
+         context.soft.IsIdleSince(name, grace_end);
 }
 
-// True if planned work has the instance out already and goes on by itself.
+// Returns true if the instance is already out of its pool for planned work,
+// which continues without further events.
 bool IsUnderPlannedWork(const Instance& instance) {
   return instance.state == InstanceState::kDraining ||
          instance.state == InstanceState::kDrained ||
          instance.state == InstanceState::kRebooting;
 }
 
-// The event that one instance is due for, if any.
+// Returns the event that is due for the instance, if any.
 std::optional<InstanceEvent> FindDueEvent(const PlanContext& context,
                                           const Instance& instance) {
   const InstanceName& name = instance.target.name;
   if (context.soft.IsLeaving(name) && !IsUnderPlannedWork(instance)) {
     return InstanceEvent::kLeave;
   }
-  const bool is_silent = context.now - context.soft.LastHeard(name) >
+  const bool is_silent = context.now - context.soft.LastAnnouncementTime(name) >
                          SilenceTimeOf(context.state, instance);
   if (is_silent) {
-    const bool is_news = context.state.InstanceHasTag(instance, "alive") &&
-                         !instance.is_silent_while_planned;
-    return is_news ? std::optional(InstanceEvent::kSilence) : std::nullopt;
+    const bool is_new_silence =
+        context.state.InstanceHasTag(instance, "alive") &&
+        !instance.is_silent_while_planned;
+    return is_new_silence ? std::optional(InstanceEvent::kSilence)
+                          : std::nullopt;
   }
-  const Milliseconds in_state = context.wall_now - instance.state_since;
+  const Milliseconds time_in_state = context.wall_now - instance.state_since;
   if (instance.state == InstanceState::kSettling &&
-      in_state >= SettleTimeOf(context.state, instance)) {
+      time_in_state >= SettleTimeOf(context.state, instance)) {
     return InstanceEvent::kSettled;
   }
   if (instance.state == InstanceState::kDraining &&
       IsDrained(context, instance)) {
-    context.soft.ForgetDraining(name);
+    context.soft.RemoveDrainStart(name);
     return InstanceEvent::kDrained;
   }
   return std::nullopt;
 }
 
-// Looks at the next part of the fleet, so that a turn costs the same however
-// large it is. A fleet within one part is looked at whole each turn.
+// Checks the next part of the fleet, so that the cost of a planning pass does
+// not grow with the size of the fleet. A fleet that fits in one part is checked
+// completely in each pass.
 RecordInstanceEvents PlanInstanceEvents(const PlanContext& context) {
   RecordInstanceEvents command;
   const auto& instances = context.state.record().instances;
   const std::size_t part =
-      std::min(instances.size(), context.settings.most_instances_per_turn);
-  auto position = instances.upper_bound(context.soft.scanned_up_to());
-  for (std::size_t looked_at = 0; looked_at < part; ++looked_at, ++position) {
+      std::min(instances.size(), context.settings.max_instances_per_pass);
+  auto position = instances.upper_bound(context.soft.scan_position());
+  for (std::size_t scanned = 0; scanned < part; ++scanned, ++position) {
     if (position == instances.end()) {
       position = instances.begin();
     }
     const auto& [name, instance] = *position;
-    context.soft.NoteScanned(name);
+    context.soft.SetScanPosition(name);
     const auto event = instance.state == InstanceState::kLeft
                            ? std::nullopt
                            : FindDueEvent(context, instance);
@@ -113,8 +118,8 @@
   for (const JobId& id : context.state.leased_jobs()) {
     const Job& job = *context.state.FindJob(id);
     const bool is_renewed =
-        context.now - context.soft.LastRenewed(job.worker) <= lease;
-    // A fresh placement has its own lease from the moment it was placed.
+        context.now - context.soft.LastLeaseRenewalTime(job.worker) <= lease;
+    // A new placement has a lease of its own, which begins when it is placed.
     const bool is_fresh = context.wall_now - job.state_since <= lease;
     if (!is_renewed && !is_fresh) {
       command.items.push_back(ExpireLeases::Item{id, job.token});
@@ -141,12 +146,12 @@
   if (!leases.items.empty()) {
     commands.emplace_back(std::move(leases));
   }
-  PlaceJobs places{ChoosePlacements(state, settings.most_placements_per_turn)};
+  PlaceJobs places{ChoosePlacements(state, settings.max_placements_per_pass)};
   if (!places.placements.empty()) {
     commands.emplace_back(std::move(places));
   }
   const WallTime forget_before =
-      wall_now - state.record().declaration.key_window - kMostKeySkew;
+      wall_now - state.record().declaration.key_window - kMaxKeySkew;
   if (!state.record().claims.empty() &&
       forget_before > state.record().claims_floor + kClaimExpiryStep) {
     commands.emplace_back(ExpireClaims{forget_before});
--- a/libraries/fleet/view_history.h
+++ b/libraries/fleet/view_history.h
@@ -11,30 +11,31 @@
 
 namespace sumac::fleet {
 
-// The latest view and, per minion, the version in which it last changed, so
-// that a follower gets what it missed and no more: a change of one minion costs
-// the same whatever the size of the fleet.
+// Holds the latest view and, per minion, the version in which it last changed,
+// so that a follower receives only the changes it missed: the cost of changing
+// one minion does not depend on the size of the fleet.
 class ViewHistory {
  public:
-  // Takes in the next view.
-  void Take(View view);
+  // Records `view` as the latest one.
+  void RecordView(View view);
 
-  const View& latest() const { return this->present; }
+  const View& latest() const { return this->latest_view; }
 
-  // What changed after version `have`; nothing when that lies before what is
-  // remembered, and the follower needs the whole view.
-  std::optional<View> DeltaSince(std::uint64_t have) const;
+  // Returns the changes after version `known_version`, or nothing if
+  // `known_version` is older than the recorded history and the follower needs
+  // the whole view.
+  std::optional<View> DeltaSince(std::uint64_t known_version) const;
 
-  // Removed minions are remembered up to this many; with more, older followers
-  // get the whole view.
-  static constexpr std::size_t kMostRemoved = 1'024;
+  // The maximum number of removed minions that are recorded. Beyond it,
+  // followers with older views receive the whole view.
+  static constexpr std::size_t kMaxRemovedMinions = 1'024;
 
  private:
-  void NoteServices(const View& next);
-  void ForgetOldRemovals();
+  void RecordServiceChange(const View& next);
+  void DropOldRemovals();
 
-  View present;
-  std::uint64_t remembered_from = 0;
+  View latest_view;
+  std::uint64_t history_start = 0;
   std::uint64_t services_changed_at = 0;
   std::map<InstanceName, std::uint64_t> changed_at;
   std::map<InstanceName, std::uint64_t> removed_at;
--- a/tests/libraries/fleet/fleet_harness.cc
+++ b/tests/libraries/fleet/fleet_harness.cc
@@ -27,7 +27,7 @@
 }
 
 Answer FleetHarness::Apply(Command command) {
-  // Through bytes, as the log does it.
+  // Encodes and decodes the command, as the log does.
   const auto stamped = FromCbor<StampedCommand>(
       ToCbor(StampedCommand{this->clock.Now(), std::move(command)}), "test");
   VERIFY(stamped.ok());
@@ -90,11 +90,11 @@
   this->targets.at(name).is_silent = true;
 }
 
-void FleetHarness::Wake(const std::string& name) {
+void FleetHarness::EndSilence(const std::string& name) {
   this->targets.at(name).is_silent = false;
 }
 
-void FleetHarness::StartAnew(const std::string& name) {
+void FleetHarness::RestartTarget(const std::string& name) {
   Target& target = this->targets.at(name);
   target.is_silent = false;
   target.announcement.target.incarnation =
@@ -121,7 +121,7 @@
     if (target.is_silent) {
       continue;
     }
-    this->soft.Hear(target.announcement, now);
+    this->soft.RecordAnnouncement(target.announcement, now);
     for (RecordTargets& command :
          CommandsForTarget(this->state(), target.announcement)) {
       this->Apply(std::move(command));
@@ -132,7 +132,7 @@
       this->Apply(RecordTasks{InstanceName(name), std::move(reports)});
     }
     if (OrdersFor(this->state(), InstanceName(name)).is_confirmed) {
-      this->soft.NoteRenewed(InstanceName(name), now);
+      this->soft.RecordLeaseRenewal(InstanceName(name), now);
     }
   }
 }
@@ -197,16 +197,18 @@
     const Availability kept = this->state().CountsOf(pool.name).total();
     const Availability fresh = rebuilt.CountsOf(pool.name).total();
     if (kept.members != fresh.members || kept.available != fresh.available) {
-      return StrCat("counts of ", pool.name.value(), " don't fit");
+      return StrCat("counts of ", pool.name.value(),
+                    " differ from the rebuilt ones");
     }
     if (this->state().WorkersOf(pool.name).size() !=
         rebuilt.WorkersOf(pool.name).size()) {
-      return StrCat("workers of ", pool.name.value(), " don't fit");
+      return StrCat("workers of ", pool.name.value(),
+                    " differ from the rebuilt ones");
     }
   }
   if (this->state().queued_jobs() != rebuilt.queued_jobs() ||
       this->state().leased_jobs() != rebuilt.leased_jobs()) {
-    return "jobs don't fit";
+    return "indexes of jobs differ from the rebuilt ones";
   }
   return "";
 }
--- a/tests/libraries/fleet/instances_test.cc
+++ b/tests/libraries/fleet/instances_test.cc
@@ -11,7 +11,8 @@
 
 class InstancesTest : public testing::Test, protected FleetHarness {
  protected:
-  // Five minions, of which three must stay, and an empty pool.
+  // Declares a pool of five minions, of which three must stay available, and an
+  // empty pool.
   void SetUp() override {
     this->Declare({.pools = {MakePool("p", 5, 3), MakePool("q", 1, 0)}});
     for (const char* name : {"m1", "m2", "m3", "m4", "m5"}) {
@@ -29,7 +30,7 @@
   }
 };
 
-TEST_F(InstancesTest, AQuietFleetSettlesWithoutAnyCommand) {
+TEST_F(InstancesTest, ANewInstanceSettlesWithoutAnOperator) {
   this->AddMinion("m6", "p");
   this->PassTime(Milliseconds(300));
   EXPECT_EQ(this->StateOf("m6"), InstanceState::kSettling);
@@ -37,8 +38,8 @@
   EXPECT_EQ(this->StateOf("m6"), InstanceState::kAvailable);
 }
 
-TEST_F(InstancesTest, AFleetLargerThanOneTurnIsGoneRoundInParts) {
-  this->planner.most_instances_per_turn = 2;
+TEST_F(InstancesTest, AFleetLargerThanOnePassIsScannedInParts) {
+  this->planner.max_instances_per_pass = 2;
   for (const char* name : {"m1", "m3", "m5"}) {
     this->Silence(name);
   }
@@ -66,9 +67,10 @@
   EXPECT_EQ(this->StateOf("m4"), InstanceState::kSilent);
   EXPECT_EQ(this->Operate(InstanceRequest::kDrain, "m1").code,
             ResultCode::kBudgetWouldBreak);
-  this->Wake("m4");
+  this->EndSilence("m4");
   this->PassTime(Milliseconds(200));
-  // Heard again, it must settle first: a second one is often lost right then.
+  // After its silence the instance must settle before it counts again, since a
+  // second instance is often lost at that moment.
   EXPECT_EQ(this->Operate(InstanceRequest::kDrain, "m1").code,
             ResultCode::kBudgetWouldBreak);
   this->PassTime(Milliseconds(600));
@@ -108,7 +110,7 @@
   EXPECT_EQ(this->StateOf("m2"), InstanceState::kAvailable);
 }
 
-TEST_F(InstancesTest, DrainsOnlyAfterTheGraceAndWithNothingInHand) {
+TEST_F(InstancesTest, DrainsOnlyAfterTheGraceAndWithNothingInFlight) {
   this->SetInFlight("m1", 1);
   ASSERT_TRUE(this->Operate(InstanceRequest::kReboot, "m1").is_ok());
   this->PassTime(Milliseconds(5'000));
@@ -122,8 +124,8 @@
   ASSERT_TRUE(this->Operate(InstanceRequest::kReboot, "m1").is_ok());
   this->PassTime(Milliseconds(2'800));
   EXPECT_EQ(this->StateOf("m1"), InstanceState::kDraining);
-  // A new leader has not seen how long it drained, so it waits the whole grace
-  // again.
+  // A new leader has not seen how long the instance has been draining, so it
+  // waits for the whole grace period again.
   this->ChangeLeader();
   this->PassTime(Milliseconds(2'800));
   EXPECT_EQ(this->StateOf("m1"), InstanceState::kDraining);
@@ -131,15 +133,15 @@
   EXPECT_EQ(this->StateOf("m1"), InstanceState::kDrained);
 }
 
-TEST_F(InstancesTest,
-       ARebootIsOverOnlyWhenThePlatformSaysSoAndTheInstanceStartedAnew) {
+TEST_F(InstancesTest, ARebootEndsOnlyAfterAPlatformReportAndARestart) {
   ASSERT_TRUE(this->Operate(InstanceRequest::kReboot, "m1").is_ok());
   this->PassTime(Milliseconds(4'000));
   ASSERT_EQ(PlatformSteps(this->state()).size(), 1U);
   this->Report("m1", PlatformProgress::kAccepted);
   EXPECT_EQ(this->StateOf("m1"), InstanceState::kRebooting);
-  // It crashed and came back before the reboot, which is still to come.
-  this->StartAnew("m1");
+  // The instance crashed and returned before the reboot, which is still to
+  // come.
+  this->RestartTarget("m1");
   this->PassTime(Milliseconds(2'000));
   EXPECT_EQ(this->StateOf("m1"), InstanceState::kRebooting);
   EXPECT_EQ(PlatformSteps(this->state()).size(), 1U);
@@ -155,9 +157,9 @@
   this->PassTime(Milliseconds(4'000));
   const OperationId id =
       this->state().FindInstance(InstanceName("m1"))->operation->id;
-  // The first answer was lost, the instance is back, and only then the platform
-  // is heard.
-  this->StartAnew("m1");
+  // The platform's first answer was lost, and its next report arrives only
+  // after the instance has returned.
+  this->RestartTarget("m1");
   this->PassTime(Milliseconds(500));
   this->Apply(
       RecordPlatformReport{InstanceName("m1"), id, PlatformProgress::kDone});
@@ -185,14 +187,15 @@
             PoolName("q"));
   EXPECT_EQ(this->state().CountsOf(PoolName("p")).total().members, 4U);
   EXPECT_EQ(this->state().CountsOf(PoolName("q")).total().members, 1U);
-  // Its own wish counts only the first time.
-  this->StartAnew("m1");
+  // The pool that the instance announces is used only the first time.
+  this->RestartTarget("m1");
   this->PassTime(Milliseconds(500));
   EXPECT_EQ(this->state().FindInstance(InstanceName("m1"))->pool,
             PoolName("q"));
 }
 
-// A resend may come to a replica of another version, or after an update.
+// A resend may reach a replica of another version, or arrive after an update,
+// so the digest must not depend on the order of fields in the program.
 TEST_F(InstancesTest, TheDigestOfACommandIsThatOfItsTreeWithSortedKeys) {
   ASSERT_TRUE(this->Operate(InstanceRequest::kDrain, "m1", "", "id").is_ok());
   std::string digest;
@@ -215,14 +218,14 @@
 }
 
 TEST_F(InstancesTest, ReportsOfAnEarlierStartAreIgnored) {
-  this->StartAnew("m1");
+  this->RestartTarget("m1");
   this->PassTime(Milliseconds(1'000));
   this->Apply(RecordInstanceEvents{
       {{InstanceName("m1"), Incarnation(1), InstanceEvent::kSilence}}});
   EXPECT_EQ(this->StateOf("m1"), InstanceState::kAvailable);
 }
 
-TEST_F(InstancesTest, ANewLeaderDoesNotTakeItsOwnIgnoranceForSilence) {
+TEST_F(InstancesTest, ANewLeaderDoesNotTreatUnheardInstancesAsSilent) {
   this->ChangeLeader();
   this->PassTime(Milliseconds(100));
   EXPECT_EQ(this->AvailableIn("p"), 5U);
@@ -259,7 +262,8 @@
   harness.PassTime(Milliseconds(1'000));
   EXPECT_TRUE(harness.Operate(InstanceRequest::kDrain, "m0").is_ok());
   EXPECT_TRUE(harness.Operate(InstanceRequest::kDrain, "m1").is_ok());
-  // The rack is at its half, the pool has room.
+  // The rack is down to half of its instances, while the pool still has spare
+  // ones.
   EXPECT_EQ(harness.Operate(InstanceRequest::kDrain, "m2").code,
             ResultCode::kBudgetWouldBreak);
   EXPECT_TRUE(harness.Operate(InstanceRequest::kDrain, "m4").is_ok());
@@ -289,7 +293,7 @@
   EXPECT_NE(loser.message.find("ana"), std::string::npos);
   EXPECT_EQ(harness.state().record().declaration.pools[0].capacity, 2U);
   harness.RestartFromSnapshot();
-  // Resends get their first answers, whatever has happened since.
+  // Resends receive their first answers, whatever has happened since.
   EXPECT_TRUE(apply("ana", "a", 2).is_ok());
   EXPECT_EQ(apply("ben", "b", 3).code, ResultCode::kRevisionConflict);
   EXPECT_EQ(harness.state().record().revision, Revision(2));
