--- a/libraries/relay/relay_clock.cc
+++ b/libraries/relay/relay_clock.cc
@@ -6,9 +6,9 @@
 namespace sumac::relay {
 namespace {
 
-// Two spans of readings are used. Over both of them clocks that drift by one
-// part in two hundred differ by 20 ms, less than half of the margin on a
-// leader's lease.
+// The length of a span; the readings of two spans are used. Over both spans,
+// clocks that drift by one part in two hundred differ by 20 ms, which is less
+// than half of the margin on a leader's lease.
 constexpr Milliseconds kSpanTime{2'000};
 
 }  // namespace
--- a/libraries/relay/relay_clock.h
+++ b/libraries/relay/relay_clock.h
@@ -10,20 +10,23 @@
 
 namespace sumac::relay {
 
-// What a leader knows of a relay's steady clock: a time that it has surely
-// reached. A reading is as old as its way to the leader, so the one that took
-// the shortest way tells most; it is used for some seconds, in which clocks
-// drift apart by less than a leader's margin on its lease. Pure.
+// A leader's estimate of a relay's steady clock: a lower bound of the time that
+// the clock shows. A reading is as old as its transmission to the leader took,
+// so the reading with the shortest transmission gives the tightest bound. It is
+// used for a few seconds, in which the clocks drift apart by less than the
+// margin on the leader's lease. Pure.
 class RelayClock {
  public:
-  // Takes in a reading that came at `now` at the latest.
+  // Records a reading that arrived at `now` or earlier.
   void NoteReading(RelayTime reading, SteadyTime now);
 
-  // What the clock shows at `time` at least; nothing without a fresh reading.
+  // Returns a lower bound of what the clock shows at `time`, or nothing without
+  // a fresh reading.
   std::optional<RelayTime> EarliestAt(SteadyTime time, SteadyTime now) const;
 
  private:
-  // The largest difference between the two clocks in one span of time.
+  // The largest difference between the two clocks (the relay's minus the
+  // leader's) among the readings of one time span.
   struct Span {
     SteadyTime began{};
     std::int64_t difference = 0;
--- a/libraries/relay/relay_codec.cc
+++ b/libraries/relay/relay_codec.cc
@@ -41,7 +41,8 @@
           reader.getIndex()};
 }
 
-// Gives each text of a batch its place. Views into the calls that are written.
+// Assigns each distinct text of a batch its position. Holds views into the
+// calls that are written.
 class TextPlaces {
  public:
   std::uint32_t Find(std::string_view text) {
@@ -74,7 +75,7 @@
   builder.setWaitMs(static_cast<std::uint32_t>(order.wait.count()));
 }
 
-// Writes each kind of call.
+// Writes the body of a call, with one overload for each kind of call.
 struct BodyWriter {
   wire::RelayedCall::Builder builder;
   TextPlaces& texts;
@@ -231,8 +232,8 @@
              : OrderResult::kUnknown;
 }
 
-// Nothing if an end in it has a cause that is not known here: without that end
-// nobody could tell what became of its run.
+// Reads a report. Returns nothing if one of its ends has an unknown cause,
+// since without that end the outcome of its run would be unknown.
 std::unique_ptr<RenewReport> ReadReport(wire::RelayedReport::Reader reader,
                                         WorkerTime clock) {
   auto report = std::make_unique<RenewReport>();
--- a/libraries/relay/relay_link.cc
+++ b/libraries/relay/relay_link.cc
@@ -15,20 +15,24 @@
 namespace sumac::relay {
 namespace {
 
+// The minimum time between two requests to open the relay.
 constexpr Milliseconds kOpenInterval{500};
-// A relay that does not answer within this is given up: workers' leases outlast
-// several such times.
+// A relay that does not answer within this time is given up. Workers' leases
+// last several times as long.
 constexpr Milliseconds kRelayLimit{1'000};
-// Renewals wait this long for others, so that a batch carries several; orders
-// leave at once.
+// The time that renewals wait for others, so that a batch contains several.
+// Orders are sent at once.
 constexpr Milliseconds kGatherTime{10};
-// Beyond the time that a call takes its worker, twice if its connection turns
-// out to be closed, for the way to the relay and its turn there.
+// The time allowed for an answer in addition to the worker's own, for the
+// transmission to the relay and the queue there.
 constexpr Milliseconds kAnswerSlack{2'000};
+// A relay calls a worker a second time if the connection turns out to be
+// closed.
 constexpr int kTries = 2;
-// Without calls the relay's clock is read this often.
+// The interval at which the relay's clock is read while there are no calls.
 constexpr Milliseconds kClockInterval{1'000};
-// A message of some hundred kilobytes; the largest that is taken is 64 MiB.
+// Keeps a message to a few hundred kilobytes; the receiver accepts up to 64
+// MiB.
 constexpr std::size_t kMostCallsOfBatch = 512;
 
 bool IsOrder(const CallBody& body) {
@@ -38,7 +42,8 @@
 
 }  // namespace
 
-// The relay holds it, and may do so for longer than the link lives.
+// Receives the relay's answers. The relay holds a reference to the sink and may
+// keep it for longer than the link exists.
 class RelayLink::AnswerSink final : public wire::RelayAnswers::Server {
  public:
   explicit AnswerSink(RelayLink& link) : link(&link) {}
@@ -48,7 +53,7 @@
     }
   }
 
-  // Answers go nowhere from now on.
+  // Makes the sink drop all further answers.
   void Detach() { this->link = nullptr; }
 
   kj::Promise<void> take(TakeContext context) override {
@@ -134,7 +139,8 @@
   this->host.note_change();
 }
 
-// What has left may still be carried out; what has not never will.
+// Calls that were sent may still be carried out, so their outcome is unknown;
+// queued calls will never be sent and fail as such.
 void RelayLink::Close(const std::string& reason) {
   const bool was_open = this->state == State::kOpen;
   ++this->generation;
@@ -160,7 +166,8 @@
   }
 }
 
-// NOTE: A loop that reads late may have the answers in its sockets, unread.
+// NOTE: When the event loop is late, answers may lie unread in its sockets, so
+// its lateness is added to the time limit.
 void RelayLink::CheckOpenCalls(SteadyTime now) {
   std::vector<std::uint64_t> overdue;
   for (const auto& [id, call] : this->open) {
@@ -183,8 +190,8 @@
   }
 }
 
-// One call without an answer among others that were answered says nothing
-// against the relay.
+// Gives up a single call. The relay stays open, since it has answered others in
+// the meantime.
 void RelayLink::LoseCall(std::uint64_t id) {
   ++this->done.lost;
   this->Fulfill({id, scheduler::OrderResult::kRelayLost});
@@ -215,7 +222,7 @@
   this->ScheduleFlush(is_urgent);
 }
 
-// Orders of one pass leave together, with all renewals that wait.
+// Orders of one planning pass are sent together, with all queued renewals.
 void RelayLink::ScheduleFlush(bool is_urgent) {
   if (is_urgent && !std::exchange(this->is_flush_near, true)) {
     this->tasks.add(kj::evalLater([this] {
@@ -231,8 +238,8 @@
   }
 }
 
-// NOTE: The lease is checked as the calls leave: a process that was suspended
-// must send nothing when it goes on.
+// NOTE: The lease is checked when the calls are sent, since a process that was
+// suspended must not send them after it resumes without a lease.
 void RelayLink::Flush() {
   if (this->queue.empty()) {
     return;
@@ -274,7 +281,7 @@
   }
 }
 
-// Without calls it only reads the relay's clock.
+// Sends a batch; one without calls only reads the relay's clock.
 void RelayLink::SendBatch(wire::Relay::Client& present,
                           const std::vector<RelayCall>& calls) {
   auto request = present.carryRequest();
--- a/libraries/relay/relay_link.h
+++ b/libraries/relay/relay_link.h
@@ -24,15 +24,15 @@
 namespace sumac::relay {
 
 // A leader's side of one relay: gathers calls to workers, sends them in
-// batches, and hands the answers back. Lives as long as one leadership and
-// belongs to the core's event loop.
+// batches, and returns the answers. Exists for one leadership and belongs to
+// the core's event loop.
 class RelayLink : private kj::TaskSet::ErrorHandler {
  public:
-  // What the link needs of its leader.
+  // The functions that the leader provides.
   struct Host {
-    // When the leader's lease ends; nothing while it has none.
+    // Returns the end of the leader's lease, or nothing while it has none.
     std::function<std::optional<SteadyTime>()> lease_end;
-    // The relay can be used from now on, or no more.
+    // Called when the relay has become usable or unusable.
     std::function<void()> note_change;
   };
 
@@ -44,20 +44,21 @@
   RelayLink(const RelayLink&) = delete;
   RelayLink& operator=(const RelayLink&) = delete;
 
-  // Asks the controller to be a relay, unless it is one or was asked of late.
+  // Asks the controller to be a relay, unless it is one already or was asked
+  // recently.
   void OpenIfDue(SteadyTime now);
-  // Gives up calls that are overdue, and the relay if it has answered none
-  // since; keeps its clock known while there are no calls.
+  // Gives up overdue calls, and the relay if it has sent no answer since an
+  // overdue call was made. Reads the relay's clock while there are no calls.
   void CheckOpenCalls(SteadyTime now);
 
   bool is_open() const { return this->state == State::kOpen; }
-  // Where the relay stands, as it says.
+  // The data centre of the relay, as the relay reported it.
   const DataCentre& data_centre() const { return this->relay_data_centre; }
   const RelayCounts& counts() const { return this->done; }
   std::size_t open_calls() const { return this->open.size(); }
 
-  // Has the relay make a call that takes a worker up to `limit`; the promise
-  // never fails. Without a relay the result is kNotSent.
+  // Has the relay make a call for which the worker may take up to `limit`. The
+  // promise never fails; without an open relay the result is kNotSent.
   kj::Promise<RelayAnswer> Call(CallBody body, Milliseconds limit);
   // Has the relay close its connections to a worker.
   void Forget(const WorkerId& worker);
@@ -68,7 +69,7 @@
   struct OpenCall {
     kj::Own<kj::PromiseFulfiller<RelayAnswer>> fulfiller;
     SteadyTime made_at{};
-    // Without an answer by then the relay is at fault.
+    // The time after which a missing answer is attributed to the relay.
     SteadyTime due{};
   };
 
@@ -95,16 +96,16 @@
   Host host;
   SystemClock clock;
   State state = State::kClosed;
-  // Counts openings, so that what is late of one does not touch the next.
+  // Counts openings, so that late events of one opening do not affect the next.
   std::uint64_t generation = 0;
   SteadyTime opened_at{};
   DataCentre relay_data_centre;
   RelayClock relay_clock;
   SteadyTime clock_read_at{};
-  // When it last answered calls.
+  // The time at which the relay last answered calls.
   SteadyTime answered_at{};
   kj::Maybe<wire::Relay::Client> relay;
-  // Takes the answers of this opening.
+  // Receives the answers of the present opening.
   AnswerSink* sink = nullptr;
   std::uint64_t last_id = 0;
   std::vector<RelayCall> queue;
--- a/libraries/relay/relay_messages.h
+++ b/libraries/relay/relay_messages.h
@@ -18,14 +18,17 @@
 // A time on one relay's own steady clock, in milliseconds.
 using RelayTime = StrongType<std::int64_t, struct RelayTimeTag>;
 
-// A renewal, and the same on a connection for orders.
+// Renews a worker's lease on the connection for renewals.
 struct RenewCall {
   scheduler::RenewOrder order;
 };
+// Renews a worker's lease and requests a report at once, on the connection for
+// orders, while a renewal is in flight on the other one.
 struct ReportCall {
   scheduler::RenewOrder order;
 };
-// The worker's life is over, or another relay has it now.
+// Closes the connections to a worker whose incarnation has ended or whose calls
+// another relay now carries.
 struct ForgetCall {
   WorkerId worker;
 };
@@ -38,34 +41,36 @@
                               scheduler::PaceOrder,
                               ForgetCall>;
 
+// A call together with its id and its deadline.
 struct RelayCall {
-  // Of one opening of a relay; rises with each call.
+  // Unique within one opening of a relay; increases with each call.
   std::uint64_t id = 0;
-  // The call leaves the relay before this, or not at all.
+  // The deadline by which the call has to leave the relay; after it the relay
+  // refuses the call.
   RelayTime expires;
   CallBody body;
 };
 
-// What became of a call.
+// The outcome of a call.
 struct RelayAnswer {
   std::uint64_t id = 0;
   scheduler::OrderResult result = scheduler::OrderResult::kUnknown;
-  // The worker's clock when it answered, if it told.
+  // The worker's clock when it answered, if the answer contains it.
   std::optional<scheduler::WorkerTime> clock;
-  // Only of a renewal or a report that went through.
+  // Set only for a renewal or a report request that succeeded.
   std::unique_ptr<scheduler::RenewReport> report;
-  // The relay itself did not send it: its time was over, or the relay had no
-  // connection to spare.
+  // True if the relay did not send the call, because its deadline had passed or
+  // the relay had no free connection.
   bool is_refused_by_relay = false;
 };
 
-// The work that relays have done.
+// Counters of the calls and answers that relays have carried.
 struct RelayCounts {
   std::uint64_t calls = 0;
   std::uint64_t batches = 0;
   std::uint64_t answers = 0;
   std::uint64_t answer_batches = 0;
-  // Calls of which nobody knows what became, since their relay was lost.
+  // Calls with an unknown outcome, because their relay was lost.
   std::uint64_t lost = 0;
 
   RelayCounts& operator+=(const RelayCounts& other);
--- a/libraries/relay/relay_routes.cc
+++ b/libraries/relay/relay_routes.cc
@@ -8,11 +8,11 @@
 namespace sumac::relay {
 namespace {
 
-// A worker whose calls failed comes back to its relay after this; the relay may
-// be in touch again.
+// The time after which a worker whose calls failed returns to its relay, which
+// may reach the worker again.
 constexpr Milliseconds kAvoidTime{5'000};
 
-// Spreads the pairs of workers and relays evenly.
+// Hashes a pair of a worker and a relay.
 std::uint64_t Mix(std::uint64_t worker, std::uint64_t relay) {
   constexpr std::uint64_t kOdd = 0x9e3779b97f4a7c15ULL;
   constexpr int kShift = 29;
@@ -53,8 +53,8 @@
                               std::size_t relay,
                               SteadyTime now) {
   const auto route = this->routes.find(worker);
-  // An answer of the relay before says nothing about the present one, nor do
-  // further answers of one burst.
+  // A failure of the previous relay is no evidence against the present one, nor
+  // are further failures of the same burst.
   if (route != this->routes.end() && route->second.relay == relay &&
       route->second.version != 0) {
     ++route->second.failures;
@@ -63,8 +63,8 @@
   }
 }
 
-// NOTE: By rendezvous hashing (Thaler and Ravishankar, 1998): when a relay
-// goes, only its workers get another one.
+// NOTE: This is rendezvous hashing (Thaler and Ravishankar, 1998): when a relay
+// is removed, only its own workers get another one.
 std::size_t RelayRoutes::Choose(const WorkerId& worker,
                                 const DataCentre& data_centre,
                                 std::uint32_t failures) const {
--- a/libraries/relay/relay_routes.h
+++ b/libraries/relay/relay_routes.h
@@ -13,36 +13,38 @@
 
 namespace sumac::relay {
 
-// Which relay carries the calls to which worker. A worker goes to a relay of
-// its own data centre where there is one, and stays with its relay while others
-// come and go. After a call without an answer it goes to another one for a
-// while, and in its turn to the leader itself, so that neither a relay that has
-// lost its workers nor a leader that has is between them for long. Pure.
+// Assigns each worker the relay that carries its calls. A worker gets a relay
+// of its own data centre if there is one, and keeps it while other relays are
+// added and removed. After a call without an answer the worker uses the next
+// relay for a while, and after the last relay the leader itself. Neither a
+// relay nor a leader that cannot reach a worker thus delays its calls for long.
+// Pure.
 class RelayRoutes {
  public:
-  // The leader itself.
+  // Stands for the leader itself in place of the number of a relay.
   static constexpr std::size_t kLeader = SIZE_MAX;
 
-  // A relay can be used, or no more. Its number is the caller's.
+  // Adds a relay that can be used from now on, or removes one that no longer
+  // can. The caller assigns the numbers of relays.
   void Add(std::size_t relay, const DataCentre& data_centre);
   void Remove(std::size_t relay);
   bool empty() const { return this->relays.empty(); }
 
-  // The relay for the next call to a worker, or kLeader.
+  // Returns the relay for the next call to a worker, or kLeader.
   std::size_t Find(const WorkerId& worker,
                    const DataCentre& data_centre,
                    SteadyTime now);
 
-  // Takes in that a call by this relay had no answer.
+  // Records that a call to the worker through this relay got no answer.
   void NoteFailure(const WorkerId& worker, std::size_t relay, SteadyTime now);
   void Forget(const WorkerId& worker) { this->routes.erase(worker); }
 
  private:
   struct Route {
     std::size_t relay = kLeader;
-    // Of the set of relays when it was chosen.
+    // The version of the set of relays when `relay` was chosen.
     std::uint64_t version = 0;
-    // How often calls failed of late, and when the last one did.
+    // The number of recent calls that failed, and the time of the last failure.
     std::uint32_t failures = 0;
     SteadyTime failed_at{};
   };
--- a/libraries/relay/relay_service.cc
+++ b/libraries/relay/relay_service.cc
@@ -14,10 +14,12 @@
 namespace sumac::relay {
 namespace {
 
-// Answers leave at once, but for those that come within this after others: a
-// batch costs the leader more than an answer in it.
+// The minimum time between two batches of answers. An answer after a longer
+// pause is sent at once; others are gathered, since a batch costs the leader
+// more than a single answer in it.
 constexpr Milliseconds kGatherTime{10};
-// A report may list hundreds of ends, and a message is taken up to 64 MiB.
+// Limits the size of a message, which the leader accepts up to 64 MiB: a single
+// report may list hundreds of ends.
 constexpr std::size_t kMostAnswersOfBatch = 256;
 
 }  // namespace
@@ -53,8 +55,9 @@
   return kj::READY_NOW;
 }
 
-// NOTE: What is left of the time is asked again right before the call leaves,
-// since it may wait for its connection and this machine may be suspended.
+// Makes a call, unless its deadline has passed or a later leadership is known.
+// NOTE: The remaining time is checked again right before the call is sent,
+// since the call may wait for its connection and this machine may be suspended.
 void RelayService::Make(RelayCall call) {
   const SteadyTime expires{Milliseconds(call.expires.value())};
   const Milliseconds left = expires - this->clock.SteadyNow();
@@ -125,8 +128,8 @@
   }));
 }
 
-// One batch is under way at a time, so that a leader that reads late gets fewer
-// and larger ones.
+// Sends a batch of answers. Only one batch is in flight at a time, so that a
+// leader that is slow to read gets fewer and larger batches.
 void RelayService::Flush() {
   this->flushed_at = this->clock.SteadyNow();
   auto request = this->answers.takeRequest();
--- a/libraries/relay/relay_service.h
+++ b/libraries/relay/relay_service.h
@@ -19,22 +19,22 @@
 
 namespace sumac::relay {
 
-// Calls to workers with connections of their own, which end with `owner`.
+// Calls to workers on connections that belong to `owner` and close with it.
 struct OwnedWorkerCalls {
   std::shared_ptr<void> owner;
   scheduler::WorkerCalls calls;
 };
 
 // A controller's side of one relay: makes the calls that a leader sends, and
-// gives the answers back in batches. It decides nothing. Ends, with its
-// connections to workers, once the leader or the connection to it is gone.
+// returns the answers in batches. It makes no decisions. It is destroyed, with
+// its connections to workers, once the leader or the connection to it is gone.
 // Belongs to the core's event loop.
 class RelayService final : public wire::Relay::Server,
                            private kj::TaskSet::ErrorHandler {
  public:
-  // What the service needs of its controller.
+  // The functions that the controller provides.
   struct Host {
-    // True while no later leadership than this one is known here.
+    // Returns true while this controller knows of no later leadership.
     std::function<bool(LeaderEpoch)> is_current;
   };
 
@@ -66,12 +66,13 @@
   SystemClock clock;
   std::vector<RelayAnswer> queue;
   bool is_flush_scheduled = false;
-  // The leader has not taken the last batch yet.
+  // True until the leader has acknowledged the last batch.
   bool is_batch_open = false;
-  // The leader is gone; nothing is sent to it any more.
+  // True once sending to the leader has failed; nothing more is sent to it.
   bool is_cut_off = false;
   SteadyTime flushed_at{};
-  // Ends before what its work uses.
+  // Declared last, so that the tasks are cancelled before the members that they
+  // use are destroyed.
   kj::TaskSet tasks;
 };
 
--- a/libraries/relay/relayed_calls.cc
+++ b/libraries/relay/relayed_calls.cc
@@ -7,11 +7,11 @@
 namespace sumac::relay {
 namespace {
 
-// Time limits of a worker's answer, as its relay applies them.
+// The time limit that a relay applies to a worker's answer.
 constexpr Milliseconds kOrderLimit{400};
 
-// True if another way to the worker may do better: it may have kept silent, or
-// the relay did not do its part.
+// Returns true if a call on another route may succeed: the worker may not have
+// answered, or the relay did not send the call.
 bool HasFailed(const RelayAnswer& answer) {
   return answer.result == scheduler::OrderResult::kUnknown ||
          answer.result == scheduler::OrderResult::kUnreachable ||
@@ -83,8 +83,8 @@
   }
 }
 
-// The link that carries the calls to a worker; nothing if the leader makes them
-// by itself.
+// Returns the link that carries the calls to a worker, or null if the leader
+// makes them itself.
 RelayLink* RelayedCalls::FindLink(const WorkerId& worker, std::size_t& number) {
   number = this->routes->empty()
                ? RelayRoutes::kLeader
--- a/libraries/relay/relayed_calls.h
+++ b/libraries/relay/relayed_calls.h
@@ -24,18 +24,19 @@
 
 namespace sumac::relay {
 
-// A leader's calls to workers, most of which other controllers make for it;
-// those of a worker without a relay it makes by itself. Lives as long as one
-// leadership and belongs to the core's event loop.
+// Makes a leader's calls to workers. Other controllers, as relays, make most of
+// them on its behalf; the leader itself calls workers that have no relay.
+// Exists for one leadership and belongs to the core's event loop.
 class RelayedCalls {
  public:
-  // What it needs of its leader.
+  // The functions that the leader provides.
   struct Host {
-    // The connection to another controller; nothing for an unknown name.
+    // Returns the connection to another controller, or null for an unknown
+    // name.
     std::function<rpc::Channel*(const ProcessName&)> find;
-    // When the leader's lease ends; nothing while it has none.
+    // Returns the end of the leader's lease, or nothing while it has none.
     std::function<std::optional<SteadyTime>()> lease_end;
-    // Where a worker stands.
+    // Returns the data centre of a worker.
     std::function<DataCentre(const WorkerId&)> data_centre_of;
   };
 
@@ -46,17 +47,20 @@
   RelayedCalls(const RelayedCalls&) = delete;
   RelayedCalls& operator=(const RelayedCalls&) = delete;
 
-  // Takes in which other controllers may be relays, and looks after those that
-  // are. Called often.
+  // Sets the controllers that may be relays, opens new relays and checks the
+  // open calls of the present ones. Called often.
   void Sync(const std::set<ProcessName>& controllers, SteadyTime now);
 
+  // Each of these makes a call to a worker, through its relay or directly.
   kj::Promise<scheduler::RenewAnswer> Renew(const scheduler::RenewOrder& order);
   kj::Promise<scheduler::RenewAnswer> RequestReport(
       const scheduler::RenewOrder& order);
   kj::Promise<scheduler::OrderAnswer> Send(const scheduler::Order& order);
+  // Removes the record of a worker and closes all connections to it.
   void Forget(const WorkerId& worker);
 
-  // How many relays can be used, and what all of them have done.
+  // The number of relays that can be used, and the counters of all relays of
+  // this leadership.
   std::size_t open_relays() const;
   RelayCounts TotalCounts() const;
 
@@ -85,14 +89,15 @@
   LeaderEpoch epoch;
   Host host;
   SystemClock clock;
-  // Answers that are under way may outlive this by a moment.
+  // Shared with the continuations of open calls, which may briefly outlive this
+  // object.
   std::shared_ptr<RelayRoutes> routes = std::make_shared<RelayRoutes>();
-  // Workers to which the leader itself may have connections.
+  // The workers to which the leader itself may have connections.
   std::unordered_set<WorkerId> own_workers;
   std::map<ProcessName, Relay> relays;
-  // The links by their numbers; nothing for those that are gone.
+  // The links by their numbers; null for those that were removed.
   std::vector<RelayLink*> links;
-  // Of links that are gone.
+  // The counters of links that were removed.
   RelayCounts past;
 };
 
--- a/tests/libraries/relay/relay_clock_test.cc
+++ b/tests/libraries/relay/relay_clock_test.cc
@@ -28,8 +28,9 @@
   EXPECT_EQ(clock.EarliestAt(At(2'000), At(2'000)), RelayTime(71'000));
 }
 
-// A call must not leave a relay after the leader's lease: what the leader takes
-// for the relay's clock may be early, and late by the margin at most.
+// An estimate that is ahead of the relay's clock would let a call leave the
+// relay after the end of the leader's lease. The estimate may be behind by any
+// amount and ahead by at most the margin.
 RC_GTEST_PROP(RelayClockTest, TheClockIsNeverAheadByMoreThanTheMargin, ()) {
   constexpr std::int64_t kMargin = 45;
   constexpr int kReadings = 60;
--- a/tests/libraries/relay/relay_codec_test.cc
+++ b/tests/libraries/relay/relay_codec_test.cc
@@ -32,10 +32,11 @@
           .ticket = "ticket"};
 }
 
-// Writes calls and reads them again.
+// Writes calls into a message that tests read back.
 class RelayCodecTest : public testing::Test {
  protected:
-  // NOTE: kj's destructors may throw; a test's may not.
+  // NOTE: Destructors of kj may throw, the destructor of a gtest fixture may
+  // not.
   ~RelayCodecTest() noexcept override {}
 
   wire::RelayedCalls::Reader Write(const std::vector<RelayCall>& calls) {
--- a/tests/libraries/relay/relay_link_test.cc
+++ b/tests/libraries/relay/relay_link_test.cc
@@ -23,7 +23,8 @@
 constexpr Milliseconds kLimit{400};
 constexpr LeaderEpoch kEpoch{3};
 
-// Workers that answer as they are told to, or not at all.
+// Workers that answer all calls, or hold back the answers to orders while
+// `answers` is false.
 struct FakeWorkers {
   bool answers = true;
   std::vector<scheduler::Order> orders;
@@ -60,7 +61,7 @@
   }
 };
 
-// A controller that is a relay for anybody.
+// A controller that accepts to be a relay for any leader.
 class RelayPeer final : public wire::Peer::Server {
  public:
   RelayPeer(FakeWorkers& workers, kj::Timer& timer, LeaderEpoch& known_epoch)
@@ -106,7 +107,8 @@
                         .note_change = [this] { ++this->changes; }});
   }
 
-  // NOTE: kj's destructors may throw; a test's may not.
+  // NOTE: Destructors of kj may throw, the destructor of a gtest fixture may
+  // not.
   ~RelayLinkTest() noexcept override {}
 
   void Open() {
@@ -135,7 +137,7 @@
             .run = RunNumber(2)};
   }
 
-  // The connection breaks without a word.
+  // Breaks the connection without notice.
   void LoseRelay() { this->server.reset(); }
 
   SystemClock clock;
@@ -184,7 +186,8 @@
   EXPECT_EQ(this->link->counts().answer_batches, 1U);
 }
 
-// A relay may be suspended while an order lies in it.
+// A relay may be suspended while it holds an order, so it has to know until
+// when the order may be sent.
 TEST_F(RelayLinkTest, EachCallBringsTheTimeWithinWhichItLeaves) {
   constexpr Milliseconds kLease{300};
   this->Open();
@@ -219,7 +222,8 @@
   EXPECT_TRUE(this->workers.orders.empty());
 }
 
-// "Never left" would let the scheduler start the task elsewhere.
+// If the calls counted as never sent, the scheduler would start the task a
+// second time.
 TEST_F(RelayLinkTest, WhatALostRelayHadIsUnknown) {
   this->Open();
   this->workers.answers = false;
--- a/tests/libraries/relay/relay_routes_test.cc
+++ b/tests/libraries/relay/relay_routes_test.cc
@@ -16,7 +16,7 @@
   return WorkerId("worker-" + std::to_string(number));
 }
 
-// How many workers each relay has.
+// Returns the number of workers that each relay has.
 std::map<std::size_t, int> Share(RelayRoutes& routes) {
   std::map<std::size_t, int> shares;
   for (int number = 0; number < kWorkers; ++number) {
@@ -71,7 +71,8 @@
   }
 }
 
-// A relay may be cut off from workers and not from the leader.
+// A relay may be cut off from a worker while its connection to the leader
+// works.
 TEST(RelayRoutesTest, AWorkerThatARelayDoesNotReachGetsAnotherForAWhile) {
   constexpr Milliseconds kAvoidTime{5'000};
   RelayRoutes routes;
@@ -81,7 +82,8 @@
   EXPECT_EQ(routes.Find(worker, DataCentre("a"), kStart), 0U);
   routes.NoteFailure(worker, 0, kStart);
   EXPECT_EQ(routes.Find(worker, DataCentre("a"), kStart), 1U);
-  // A late answer of the relay before says nothing about the present one.
+  // A late failure of the previous relay is no evidence against the present
+  // one.
   routes.NoteFailure(worker, 0, kStart);
   EXPECT_EQ(routes.Find(worker, DataCentre("a"), kStart), 1U);
   routes.NoteFailure(worker, 1, kStart);
--- a/tests/libraries/relay/relayed_calls_test.cc
+++ b/tests/libraries/relay/relayed_calls_test.cc
@@ -16,7 +16,7 @@
 namespace sumac::relay {
 namespace {
 
-// Workers that count who asks them.
+// Calls to workers that succeed at once and are counted in `count`.
 scheduler::WorkerCalls CountingCalls(int& count) {
   const auto renew =
       [&count](
@@ -29,7 +29,7 @@
           .forget = [](const WorkerId&) {}};
 }
 
-// A relay that takes every call and makes none while `sends` is false.
+// A relay that accepts all calls, but makes none while `sends` is false.
 class FakePeer final : public wire::Peer::Server {
  public:
   FakePeer(int& count, const bool& sends, kj::Timer& timer)
@@ -77,7 +77,8 @@
             .data_centre_of = [](const WorkerId&) { return DataCentre("a"); }});
   }
 
-  // NOTE: kj's destructors may throw; a test's may not.
+  // NOTE: Destructors of kj may throw, the destructor of a gtest fixture may
+  // not.
   ~RelayedCallsTest() noexcept override {}
 
   void OpenRelay() {
@@ -121,8 +122,8 @@
   EXPECT_EQ(this->by_leader, 2);
 }
 
-// A relay that is late, or has no connection to spare, would hold up its
-// workers until their leases end.
+// A relay that is late or has no free connection would otherwise block the
+// calls to its workers until their leases end.
 TEST_F(RelayedCallsTest, AWorkerWhoseRelaySendsNothingIsCalledAnotherWay) {
   this->OpenRelay();
   this->relay_sends = false;
