--- a/libraries/replication/catch_up_mark.h
+++ b/libraries/replication/catch_up_mark.h
@@ -6,25 +6,26 @@
 
 namespace sumac::replication {
 
-// Tells whether a member has caught up with a log that goes on growing. Under
-// load something is committed between any two answers of a member, so one that
-// follows closely never holds all that is committed at the moment when it is
-// asked about; it has caught up if it holds what was committed a look ago.
-// Without that a controller that came back with an empty disk waited for a lull
-// to vote again, some 5 s in a rush, and two more losses in that time left no
-// quorum. Pure.
+// Determines whether a member has caught up with a log that keeps growing.
+// Under load entries are committed between any two answers of a member, so a
+// member that follows closely never holds all entries committed at the moment
+// of a check. It has caught up if it holds the entries that were committed at
+// the previous check. Otherwise a controller that returned with an empty disk
+// would get its vote back only when the load pauses, about 5 s later under
+// heavy load, and two more failures within that time would leave no quorum.
+// Pure.
 class CatchUpMark {
  public:
-  // Takes in, at each look after the members, how far the leader of `term` has
-  // committed.
+  // Records, at each check of the members, the commit index of the leader of
+  // `term`.
   void Note(Term term, LogIndex commit_index) {
     this->term = term;
     this->commit_index = commit_index;
   }
 
-  // True if a member that holds the log up to `match_index` had, at the last
-  // look in this term, everything that was committed then. False before the
-  // first look of a term.
+  // Returns true if a member that holds the log up to `match_index` holds all
+  // entries that were committed at the last check in this term. Returns false
+  // before the first check of a term.
   bool IsReached(Term current_term, LogIndex match_index) const {
     return current_term == this->term && this->commit_index > LogIndex(0) &&
            match_index >= this->commit_index;
--- a/libraries/replication/election_seed.h
+++ b/libraries/replication/election_seed.h
@@ -8,9 +8,9 @@
 
 namespace sumac::replication {
 
-// The seed of a replica's election timeouts: another one for each replica and
-// for each start. Replicas that draw alike stand at the same moment and split
-// the votes round after round.
+// Draws the seed of a replica's election timeouts, which differs between
+// replicas and between starts. Replicas with the same seed would become
+// candidates at the same time and split the votes in every round.
 std::uint64_t DrawElectionSeed(const NodeId& node);
 
 }  // namespace sumac::replication
--- a/libraries/replication/leadership.cc
+++ b/libraries/replication/leadership.cc
@@ -8,7 +8,7 @@
 namespace sumac::replication {
 namespace {
 
-// The value that at least `quorum` of `values` reach.
+// Returns the largest value that at least `quorum` of `values` reach or exceed.
 template <typename T>
 T ValueReachedBy(std::vector<T> values, std::size_t quorum) {
   if (values.size() < quorum || quorum == 0) {
--- a/libraries/replication/leadership.h
+++ b/libraries/replication/leadership.h
@@ -9,26 +9,29 @@
 
 namespace sumac::replication {
 
-// What a leader knows about one other member.
+// A leader's replication progress for one other member.
 struct MemberProgress {
   LogIndex next_index;
   LogIndex match_index;
-  // False while the leader still looks for the last matching position; then one
-  // message at a time.
+  // False while the leader is still searching for the last matching position;
+  // until then it sends one message at a time.
   bool is_matched = false;
   std::size_t messages_in_flight = 0;
-  // When the last answered message was sent; the leader's lease counts from
-  // here.
+  // The time at which the last answered message was sent. The leader's lease
+  // counts from this time.
   SteadyTime acknowledged_sent_at{};
   SteadyTime last_answer_at{};
-  // Set while a snapshot goes over: which one, the first byte that the member
-  // does not have yet, and when the piece from there was sent.
+  // Set while a snapshot is being sent: the first byte that the member does not
+  // have yet.
   std::optional<std::uint64_t> snapshot_offset;
+  // The position of the snapshot that is being sent.
   LogIndex snapshot_index;
+  // The time at which the chunk that begins at snapshot_offset was sent.
   SteadyTime piece_sent_at{};
 };
 
-// A leader's view of the other members, and what follows from it.
+// A leader's progress for each other member, and the quorums that result from
+// it.
 class Leadership {
  public:
   // Starts a term of leadership at `now`.
@@ -37,24 +40,24 @@
              const Membership& membership,
              const NodeId& self);
 
-  // Takes in a change of members.
+  // Applies a change of members.
   void UpdateMembers(const Membership& membership,
                      LogIndex last_index,
                      SteadyTime now);
 
-  // The member's progress, or nothing for a node that is no member.
+  // Returns the member's progress, or null for a node that is no member.
   MemberProgress* Find(const NodeId& node);
   const std::map<NodeId, MemberProgress>& members() const {
     return this->progress;
   }
   std::map<NodeId, MemberProgress>& members() { return this->progress; }
 
-  // The highest position that a quorum holds, `own_index` counting for the
-  // leader itself.
+  // Returns the highest position that a quorum holds. `own_index` is the
+  // position that the leader itself holds.
   LogIndex QuorumIndex(const Membership& membership, LogIndex own_index) const;
 
-  // The latest time T such that a quorum has answered a message sent at T or
-  // later.
+  // Returns the latest time T such that a quorum has answered a message sent at
+  // T or later.
   SteadyTime QuorumAcknowledgedAt(const Membership& membership,
                                   SteadyTime now) const;
 
--- a/libraries/replication/membership_plan.cc
+++ b/libraries/replication/membership_plan.cc
@@ -50,7 +50,7 @@
       return next;
     }
     // A voter that still answers is not replaced: two processes under one name
-    // are a mistake that an operator must look at.
+    // are a mistake that an operator has to resolve.
     if (old != members.voters.end() && health_of(*old).is_silent) {
       next.voters.erase(*old);
       return next;
--- a/libraries/replication/membership_plan.h
+++ b/libraries/replication/membership_plan.h
@@ -10,31 +10,33 @@
 
 namespace sumac::replication {
 
-// What a leader knows of another member when it looks after the group.
+// The health of a member, from which the leader plans changes of the group.
 struct MemberHealth {
-  // It answers, and holds all that is committed.
+  // True if it answers and has caught up with the committed entries.
   bool is_caught_up = false;
-  // It has not answered for so long that it may be replaced.
+  // True if it has not answered for so long that it may be replaced.
   bool is_silent = false;
-  // It has not answered for so long that it is taken for lost.
+  // True if it has not answered for so long that it is considered lost.
   bool is_lost = false;
 };
 
-// The process that a replica runs in; a node is NAME.INCARNATION.
+// Returns the name of the process in which a replica runs; a node id has the
+// form NAME.INCARNATION.
 ProcessName ProcessOf(const NodeId& node);
 
-// The members with `node` as a learner, in place of an earlier learner of the
-// same process.
+// Returns `members` with `node` added as a learner, which replaces an earlier
+// learner of the same process.
 Membership WithLearner(Membership members, const NodeId& node);
 
-// The next step, if any, towards a group of voters that are alive. A process
-// that came back with a new disk is brought back to voting: its new replica
-// learns; once it has caught up and the old one is silent, the old one goes;
-// then the new one votes. With `wanted_voters` above 0 the group also looks
-// after its own size: other learners that have caught up are promoted up to
-// that number, take the place of voters that are lost, and lost learners go.
-// With 0, every learner that has caught up is promoted. Each step changes one
-// voter at most.
+// Returns the next step, if any, towards a group whose voters are all alive. A
+// process that returned with a new disk becomes a voter again in three steps:
+// its new replica is a learner first; once it has caught up and the old replica
+// is silent, the old one is removed; then the new one is promoted to voter.
+// With `wanted_voters` above 0 the group also maintains its own size: other
+// learners that have caught up are promoted until there are that many voters,
+// they replace voters that are lost, and lost learners are removed. With 0,
+// every learner that has caught up is promoted. Each step changes at most one
+// voter.
 std::optional<Membership> PlanNextMembers(
     const Membership& members,
     const std::map<NodeId, MemberHealth>& health,
--- a/libraries/replication/replica.cc
+++ b/libraries/replication/replica.cc
@@ -37,9 +37,9 @@
       committed_index(start.snapshot.meta.index),
       delivered_index(start.snapshot.meta.index),
       written_index(this->log.last_index()),
-      // NOTE: A voter that restarts has forgotten when it last heard the
-      // leader. It counts as having just heard it, or its vote could break a
-      // lease that the leader still holds.
+      // NOTE: A restart loses the time of the last message from the leader.
+      // The voter assumes that one has just arrived, since its vote could
+      // otherwise break a lease that the leader still holds.
       last_leader_contact(now),
       latest_now(now),
       random(start.seed) {
@@ -69,9 +69,9 @@
     return;
   }
   if (this->hand_over_to && now >= this->hand_over_deadline) {
-    // NOTE: Once TimeoutNow is out, its receiver may start an election that
-    // passes the lease at any later moment of this term, so this term can't be
-    // resumed.
+    // NOTE: Once TimeoutNow is sent, its receiver may at any later moment of
+    // this term start an election that ignores the lease, so leadership of this
+    // term can't be resumed.
     if (this->has_sent_timeout_now) {
       this->BecomeFollower(this->hard_state.term, std::nullopt);
       this->ResetElectionTimer(now);
@@ -114,7 +114,7 @@
     return;
   }
   if (message.term < this->hard_state.term) {
-    // An old leader learns of the newer term from this refusal and steps down.
+    // The refusal contains the newer term, which makes an old leader step down.
     if (std::holds_alternative<AppendRequest>(message.body) ||
         std::holds_alternative<SnapshotChunk>(message.body)) {
       this->Send(message.from, AppendAnswer{.is_accepted = false});
@@ -341,9 +341,9 @@
                                 Term term,
                                 const VoteRequest& request,
                                 SteadyTime now) {
-  // NOTE: While a leader is fresh no vote is given, not even in a newer term:
-  // the leader's lease rests on this. Only a hand-over, for which the leader
-  // gave up its lease, passes.
+  // NOTE: Until the election timeout after the last message from a leader, no
+  // vote is granted, not even in a newer term: the leader's lease depends on
+  // this. The exception is a hand-over, for which the leader gave up its lease.
   const bool is_member = this->membership().is_voter(this->own_id);
   if (!is_member || (this->IsLeaderFresh(now) && !request.is_hand_over)) {
     this->Send(from, VoteAnswer{request.is_pre_vote, false});
@@ -408,7 +408,7 @@
   this->ResetElectionTimer(now);
   AppendAnswer answer{.sent_at = request.sent_at};
   if (request.previous_index < this->log.snapshot().index) {
-    // All up to the snapshot is committed, so it matches.
+    // All entries up to the snapshot are committed, so they match.
     answer.is_accepted = true;
     answer.match_index = this->log.snapshot().index;
     this->Send(from, answer);
@@ -426,8 +426,8 @@
                           request.entries.size());
   this->AppendFollowerEntries(std::move(request.entries));
   this->AdvanceCommit(std::min(request.commit_index, last_new));
-  // A leader's commit index covers all that went before only once it lies in
-  // its own term.
+  // A leader's commit index covers all earlier committed entries only once it
+  // lies in the leader's own term.
   if (request.is_under_lease && this->committed_index >= request.commit_index &&
       this->log.TermAt(this->committed_index) == this->hard_state.term) {
     this->is_state_verified = true;
@@ -476,8 +476,8 @@
   this->output.entries_to_write.push_back(entry);
   this->log.Append(std::move(entry));
   this->MaybeCommit(now);
-  // Sent with the next output, so that all proposals of one turn share a
-  // message.
+  // The entry is sent with the next output, so that all proposals of one
+  // iteration of the loop share a message.
   this->latest_now = now;
   this->needs_broadcast = true;
 }
@@ -489,7 +489,7 @@
 void Replica::MaybeCommit(SteadyTime now) {
   const LogIndex agreed =
       this->leading->QuorumIndex(this->membership(), this->written_index);
-  // Only entries of the own term are committed by counting (Raft,
+  // Counting copies commits only entries of the leader's own term (Raft,
   // section 5.4.2).
   if (agreed <= this->committed_index ||
       this->log.TermAt(agreed) != this->hard_state.term) {
@@ -514,9 +514,9 @@
   }
 }
 
-// Tells members that nothing else is under way to how far the log is committed,
-// so that they apply it with this tick and not with the next heartbeat. Under
-// load entries carry the same news.
+// Sends the commit index to members to which no other message is in flight, so
+// that they apply the committed entries on this tick rather than at the next
+// heartbeat. Under load, messages with entries contain the commit index.
 void Replica::TellCommitIndex(SteadyTime now) {
   for (auto& [node, progress] : this->leading->members()) {
     const bool is_idle = progress.is_matched &&
@@ -535,7 +535,8 @@
   const bool is_stalled =
       now - progress.last_answer_at > this->settings.election_timeout;
   if (is_heartbeat && is_stalled) {
-    // Whatever was under way is lost; look for the matching position again.
+    // All messages in flight are considered lost; the search for the matching
+    // position starts again.
     progress.is_matched = false;
     progress.messages_in_flight = 0;
     progress.next_index = std::max(progress.match_index.Next(),
@@ -594,7 +595,7 @@
   });
 }
 
-// Sends the next piece of the newest snapshot.
+// Sends the next chunk of the newest snapshot.
 void Replica::SendSnapshot(const NodeId& node,
                            MemberProgress& progress,
                            SteadyTime now) {
@@ -615,9 +616,9 @@
   this->Send(node, std::move(chunk));
 }
 
-// A piece that was lost is sent again. One that is only slow is not: each
-// answer to a piece brings the next, so a piece that goes out twice doubles all
-// that follow it.
+// Sends the next chunk again if it is considered lost, else an empty chunk. A
+// chunk that is only slow is not sent again: each answer to a chunk triggers
+// the next one, so sending one chunk twice would double all that follow it.
 void Replica::SendSnapshotHeartbeat(const NodeId& node,
                                     MemberProgress& progress,
                                     SteadyTime now) {
@@ -629,7 +630,7 @@
     this->SendSnapshot(node, progress, now);
     return;
   }
-  // An empty piece says no more than that the leader is there.
+  // An empty chunk only shows that the leader is alive.
   this->Send(node, SnapshotChunk{.meta = this->log.snapshot(),
                                  .offset = *progress.snapshot_offset,
                                  .sent_at = now});
@@ -702,9 +703,9 @@
 
 void Replica::InstallIncomingSnapshot() {
   const SnapshotMeta meta = this->incoming_snapshot->meta;
-  // NOTE: Entries after the snapshot stay when they are of the same history:
-  // they may have been acknowledged, and an acknowledged entry must not be
-  // forgotten (Raft, section 7).
+  // NOTE: Entries after the snapshot are kept if they belong to the same
+  // history: they may have been acknowledged, and an acknowledged entry must
+  // not be lost (Raft, section 7).
   const bool is_same_history = this->log.has_term(meta.index) &&
                                this->log.TermAt(meta.index) == meta.term;
   this->log.CompactTo(meta);
@@ -742,7 +743,8 @@
     return;
   }
   const bool is_piece_taken = answer.next_offset > *progress->snapshot_offset;
-  // Only the answer to the last piece tells that the member lost what it had.
+  // A smaller offset means that the member lost the chunks it had, but only in
+  // the answer to the last chunk sent; other answers may be late.
   const bool has_begun_anew = answer.next_offset < *progress->snapshot_offset &&
                               answer.sent_at >= progress->piece_sent_at;
   if (answer.index == progress->snapshot_index &&
--- a/libraries/replication/replica.h
+++ b/libraries/replication/replica.h
@@ -17,7 +17,7 @@
 
 namespace sumac::replication {
 
-// What a replica starts from, as read from its disk.
+// The stored state with which a replica starts, as read from its disk.
 struct StartState {
   NodeId self;
   HardState hard_state;
@@ -30,73 +30,80 @@
 // One replica of the log: the Raft algorithm (Ongaro and Ousterhout 2014;
 // pre-vote, leader lease and one-at-a-time membership changes from Ongaro's
 // thesis, 2014, chapters 4, 6 and 9) as a pure state machine. It does no I/O
-// and reads no clock: events come in through Tick, Receive and Propose, what is
-// to be done comes out of TakeOutput, and `now` never goes back.
+// and reads no clock: Tick, Receive and Propose pass events to it, TakeOutput
+// returns the actions that the host has to carry out, and `now` never
+// decreases.
 class Replica {
  public:
   Replica(ReplicationSettings settings, StartState start, SteadyTime now);
 
-  // Lets time pass: heartbeats, elections, giving up leadership without a
-  // quorum.
+  // Advances the time: sends heartbeats, starts elections, and gives up
+  // leadership if no quorum answers.
   void Tick(SteadyTime now);
 
-  // Takes in a message; one for another node or incarnation is dropped.
+  // Handles a message; drops one that is addressed to another node or
+  // incarnation.
   void Receive(Message message, SteadyTime now);
 
-  // Adds a command to the log. The error is kNotLeader, or kNoLeader during a
-  // hand-over.
+  // Appends a command to the log. Returns kNotLeader if this replica does not
+  // lead, and kNoLeader during a hand-over.
   absl::StatusOr<LogIndex> Propose(std::string payload, SteadyTime now);
 
-  // Proposes other members; they differ from the present ones in one voter at
-  // most, and the previous change must be committed.
+  // Proposes new members. They must differ from the present ones in at most one
+  // voter, and the previous change must be committed.
   absl::StatusOr<LogIndex> ProposeMembership(const Membership& membership,
                                              SteadyTime now);
 
-  // Starts handing leadership to the voter that has most of the log.
+  // Starts to hand leadership over to the voter that holds most of the log.
   absl::Status HandOver(SteadyTime now);
 
-  // Tells that the host has stored a snapshot of its state at `index`, so the
-  // log before it may go.
+  // Drops the log up to `index`. The host has stored `state`, the state
+  // machine's state at that position, as a snapshot. Returns the snapshot's
+  // position.
   SnapshotMeta Compact(LogIndex index, std::string state);
 
-  // What is to be done since the last call. The host carries outputs out in
-  // order; while it writes one, this replica may go on with further events.
+  // Returns the actions that have accumulated since the last call. The host
+  // carries out the outputs in order; while it writes one, this replica may
+  // handle further events.
   Output TakeOutput();
 
-  // Tells that the host's disk holds the log up to `index`, the last entry of
-  // the output just written. A leader counts its own copy only from here on.
+  // Called when the host's disk holds the log up to `index`, the last entry of
+  // the output just written. Only then does a leader count its own copy towards
+  // a quorum.
   void NoteWritten(LogIndex index, SteadyTime now);
 
-  // True if anything is waiting in TakeOutput.
+  // True if TakeOutput would return any action.
   bool has_output() const {
     return this->needs_broadcast ||
            this->committed_index > this->delivered_index ||
            !this->output.is_empty();
   }
 
-  // True while this replica leads and its lease holds at `now`: no other leader
-  // can have committed anything. Every action outside and every read checks it.
+  // Returns true while this replica leads and its lease is valid at `now`, so
+  // that no other leader can have committed anything. Every read and every
+  // action with an outside effect checks it.
   bool HoldsLease(SteadyTime now) const;
-  // When the lease ends that this replica has as of `now`; nothing if it has
-  // none.
+  // Returns the end of the lease that this replica holds at `now`, or nothing
+  // if it holds none.
   std::optional<SteadyTime> LeaseEnd(SteadyTime now) const;
 
-  // True once a leader has applied an entry of its own term, so that its state
-  // is complete.
+  // True once a leader has committed an entry of its own term, so that its log
+  // contains all committed entries.
   bool is_ready_to_lead() const;
-  // True while this leader sends a snapshot to some member.
+  // True while this leader is sending a snapshot to at least one member.
   bool is_sending_snapshot() const;
 
-  // The entry with which the present leadership of this replica began; its
-  // state is complete once that is applied.
+  // The position of the entry with which the present leadership of this replica
+  // began. Its state is complete once that entry is applied.
   LogIndex leader_start() const { return this->leader_start_index; }
 
-  // True once this replica, since it started, has known all that was committed
-  // at some moment since then. A copy read from disk alone may be older than
-  // what is in force.
+  // True once this replica has, at some moment since its start, held all
+  // entries that were committed at that moment. State that was only read from
+  // disk may be older than the committed state.
   bool has_verified_state() const { return this->is_state_verified; }
 
-  // When this replica last heard a leader; its start if it never did.
+  // The time of the last message from a leader, or of this replica's start if
+  // there was none.
   SteadyTime last_leader_contact_at() const {
     return this->last_leader_contact;
   }
@@ -112,7 +119,7 @@
   bool is_membership_committed() const {
     return this->log.LatestMembershipIndex() <= this->committed_index;
   }
-  // The leader's view of the members, while leading.
+  // The leader's progress for the members, or null while not leading.
   const Leadership* leadership() const {
     return this->leading.has_value() ? &*this->leading : nullptr;
   }
--- a/libraries/replication/replica_log.h
+++ b/libraries/replication/replica_log.h
@@ -14,28 +14,29 @@
  public:
   ReplicaLog(SnapshotMeta snapshot, std::vector<Entry> entries);
 
-  // Where the snapshot before the first entry stands.
+  // The position of the snapshot that precedes the first entry.
   const SnapshotMeta& snapshot() const { return this->snapshot_meta; }
 
   LogIndex last_index() const;
   Term last_term() const;
 
-  // True if the entry at `index`, or just its term, is still known here.
+  // Returns true if the term at `index` is still known, from an entry or from
+  // the snapshot.
   bool has_term(LogIndex index) const;
 
-  // The term at `index`, which must be known.
+  // Returns the term at `index`, which must be known.
   Term TermAt(LogIndex index) const;
 
-  // The entry at `index`, which must lie after the snapshot.
+  // Returns the entry at `index`, which must lie after the snapshot.
   const Entry& At(LogIndex index) const;
 
-  // Entries from `first` on, bounded by count and by bytes but at least one
-  // when there is one.
+  // Returns entries from `first` on, limited by number and by bytes, but at
+  // least one if there is any.
   std::vector<Entry> Read(LogIndex first,
                           std::size_t most_entries,
                           std::size_t most_bytes) const;
 
-  // Adds an entry right after the last.
+  // Appends an entry; its index and term must follow the last entry's.
   void Append(Entry entry);
 
   // Drops all entries from `first` on.
@@ -44,13 +45,15 @@
   // Drops the entries up to meta.index, now covered by a snapshot.
   void CompactTo(const SnapshotMeta& meta);
 
-  // The members as of the last membership entry, else the snapshot's.
+  // Returns the members of the last membership entry, or the snapshot's if
+  // there is none.
   const Membership& LatestMembership() const;
 
-  // The position of the last membership entry, else the snapshot's position.
+  // Returns the position of the last membership entry, or the snapshot's if
+  // there is none.
   LogIndex LatestMembershipIndex() const;
 
-  // The members as they were at `index`.
+  // Returns the members that were in effect at `index`.
   const Membership& MembershipAt(LogIndex index) const;
 
  private:
--- a/libraries/replication/types.h
+++ b/libraries/replication/types.h
@@ -16,14 +16,15 @@
 
 namespace sumac::replication {
 
-// One controller's log under one disk, written NAME.INCARNATION. A controller
-// whose disk was lost comes back under another incarnation, so that no vote or
-// acknowledgement of the old disk is ever taken for one of the new.
+// Identifies a controller together with the disk of its log, in the form
+// NAME.INCARNATION. A controller that lost its disk returns under another
+// incarnation, so that no vote or acknowledgement of the old disk counts as one
+// of the new disk.
 using NodeId = StrongType<std::string, struct NodeIdTag>;
 
-// What an entry holds.
+// The kind of content of an entry.
 enum class EntryKind : std::uint8_t {
-  // A command of the state machine above.
+  // A command for the state machine that the log replicates.
   kCommand,
   // The members from this entry on.
   kMembership,
@@ -31,7 +32,8 @@
   kLeaderStart,
 };
 
-// Who holds copies. Voters decide; learners only follow.
+// The nodes that hold copies of the log. Voters count towards quorums; learners
+// only receive the log.
 struct Membership {
   std::set<NodeId> voters;
   std::set<NodeId> learners;
@@ -44,7 +46,7 @@
   bool is_member(const NodeId& node) const {
     return this->voters.contains(node) || this->learners.contains(node);
   }
-  // The smallest number of voters that two decisions always share one of.
+  // The smallest number of voters such that any two sets of that size overlap.
   std::size_t quorum() const { return this->voters.size() / 2 + 1; }
 };
 
@@ -61,7 +63,7 @@
   bool operator==(const Entry&) const = default;
 };
 
-// What a replica must not forget about terms and votes.
+// The term and vote of a replica, which must survive a restart.
 struct HardState {
   Term term;
   std::optional<NodeId> voted_for;
@@ -69,7 +71,7 @@
   bool operator==(const HardState&) const = default;
 };
 
-// Where a snapshot stands in the log.
+// The position of a snapshot in the log.
 struct SnapshotMeta {
   LogIndex index;
   Term term;
@@ -84,46 +86,48 @@
   std::string state;
 };
 
-// Asks for a vote; a pre-vote asks whether a vote would be given and changes
-// nothing.
+// Requests a vote. A pre-vote only asks whether a vote would be granted and
+// changes no state.
 struct VoteRequest {
   bool is_pre_vote = false;
-  // Set when the present leader asked the sender to take over; lets it pass the
-  // leader's lease.
+  // True if the present leader asked the sender to take over. The receiver then
+  // ignores the leader's lease.
   bool is_hand_over = false;
   LogIndex last_index;
   Term last_term;
 };
 
+// Answers a VoteRequest.
 struct VoteAnswer {
   bool is_pre_vote = false;
   bool is_granted = false;
 };
 
-// Appends entries after the previous position, or is a heartbeat when there are
-// none.
+// Appends entries after the previous position; without entries it is a
+// heartbeat.
 struct AppendRequest {
   LogIndex previous_index;
   Term previous_term;
   LogIndex commit_index;
   std::vector<Entry> entries;
-  // True if the sender held its lease when it sent this: commit_index then was
-  // the latest.
+  // True if the sender held its lease when it sent this, so that no later
+  // commit index existed.
   bool is_under_lease = false;
-  // The leader's own steady time when it sent this; the answer carries it back,
-  // and the leader's lease counts from it.
+  // The leader's steady time when it sent this. The answer returns it, and the
+  // leader's lease counts from it.
   SteadyTime sent_at;
 };
 
+// Answers an AppendRequest.
 struct AppendAnswer {
   bool is_accepted = false;
-  // The last position known to match when accepted, else the position to try
-  // next.
+  // If accepted, the last position known to match; otherwise the position to
+  // try next.
   LogIndex match_index;
   SteadyTime sent_at;
 };
 
-// One part of a snapshot, in order from offset 0.
+// One chunk of a snapshot; chunks are sent in order from offset 0.
 struct SnapshotChunk {
   SnapshotMeta meta;
   std::uint64_t offset = 0;
@@ -132,15 +136,16 @@
   SteadyTime sent_at;
 };
 
+// Answers a SnapshotChunk.
 struct SnapshotAnswer {
   LogIndex index;
-  // The offset wanted next.
+  // The offset of the chunk that the member needs next.
   std::uint64_t next_offset = 0;
   bool is_installed = false;
   SteadyTime sent_at;
 };
 
-// The leader hands over to the receiver, which starts an election at once.
+// Hands leadership over: the receiver starts an election at once.
 struct TimeoutNow {};
 
 // One message between replicas.
@@ -158,9 +163,10 @@
       body;
 };
 
+// The role of a replica in its group.
 enum class Role { kFollower, kPreCandidate, kCandidate, kLeader };
 
-// The word for a role in logs.
+// Returns the name of a role for the log.
 constexpr std::string_view NameOf(Role role) {
   switch (role) {
     case Role::kFollower:
@@ -178,8 +184,8 @@
 // The times and sizes of replication.
 struct ReplicationSettings {
   Milliseconds heartbeat_interval{250};
-  // A follower that hears nothing this long starts an election; each wait is
-  // drawn at random between this and twice this.
+  // A follower starts an election after no message from a leader for a random
+  // time between this value and twice this value.
   Milliseconds election_timeout{800};
   // How far two steady clocks may drift apart over one election timeout.
   Milliseconds clock_drift_margin{80};
@@ -187,18 +193,19 @@
   Milliseconds hand_over_timeout{300};
   std::size_t most_entries_per_message = 256;
   std::size_t most_bytes_per_message = 512U << 10;
-  // Messages with entries that may be under way to one member before an answer.
+  // The maximum number of messages with entries in flight to one member.
   std::size_t most_messages_in_flight = 8;
   std::size_t snapshot_chunk_bytes = 256U << 10;
 };
 
-// What the host has to do, in this order: install the snapshot, write the hard
-// state and the entries (cutting the log first at entries.front().index) and
-// sync them, send the messages, apply the committed entries.
+// The actions that the host has to carry out, in this order: install the
+// snapshot; write the hard state and the entries (after truncating the log at
+// entries_to_write.front().index) and sync them; send the messages; apply the
+// committed entries.
 struct Output {
   std::optional<Snapshot> snapshot_to_install;
   // True if the stored entries after the snapshot belong to another history and
-  // must go.
+  // have to be removed.
   bool does_snapshot_replace_log = false;
   std::optional<HardState> hard_state;
   std::vector<Entry> entries_to_write;
@@ -210,7 +217,7 @@
            this->entries_to_write.empty() && this->messages.empty() &&
            this->committed.empty();
   }
-  // True if something must be on disk before the messages go out.
+  // True if anything has to be on disk before the messages are sent.
   bool has_writes() const {
     return this->snapshot_to_install || this->hard_state ||
            !this->entries_to_write.empty();
--- a/tests/libraries/replication/catch_up_mark_test.cc
+++ b/tests/libraries/replication/catch_up_mark_test.cc
@@ -8,8 +8,8 @@
 
 constexpr Term kTerm(3);
 
-// 90 entries are committed in each look and the learner follows 50 behind: it
-// never holds all that is committed, and has caught up all the same.
+// 90 entries are committed between two checks and the learner is 50 entries
+// behind: it never holds all committed entries, but still counts as caught up.
 TEST(CatchUpMarkTest, ALearnerThatFollowsAGrowingLogHasCaughtUp) {
   CatchUpMark mark;
   for (std::uint64_t commit = 1'000; commit < 3'000; commit += 90) {
@@ -26,8 +26,8 @@
   EXPECT_TRUE(mark.IsReached(kTerm, LogIndex(1'000)));
 }
 
-// A leader that has not looked yet knows nothing: a blank learner must not be
-// taken for one that holds the log.
+// Before the first check of a term an empty learner must not count as caught
+// up.
 TEST(CatchUpMarkTest, AnotherTermsMarkDoesNotCount) {
   CatchUpMark mark;
   EXPECT_FALSE(mark.IsReached(Term(0), LogIndex(0)));
--- a/tests/libraries/replication/cluster.h
+++ b/tests/libraries/replication/cluster.h
@@ -14,8 +14,8 @@
 
 namespace sumac::replication {
 
-// A group of replicas on a fake clock, network and disk. Everything happens
-// when the test says so.
+// A group of replicas on a fake clock, network and disk. The test triggers
+// every event.
 class Cluster {
  public:
   explicit Cluster(int voters, std::uint64_t seed = 1);
@@ -23,13 +23,13 @@
   // One replica with its disk and state machine.
   struct Node {
     NodeId id;
-    // What survives a crash.
+    // The state on disk, which survives a crash.
     HardState hard_state;
     Snapshot snapshot;
     std::vector<Entry> stored;
-    // What is gone at a crash.
+    // Null after a crash.
     std::unique_ptr<Replica> replica;
-    // The applied commands, in order; part of the snapshot.
+    // The applied commands, in order; a snapshot contains them.
     std::vector<std::string> applied;
     LogIndex applied_index;
     bool is_frozen = false;
@@ -37,28 +37,29 @@
     bool is_up() const { return this->replica != nullptr; }
   };
 
-  // Advances the clock by `step` for all and lets replicas tick.
+  // Advances the clock by `step` and ticks all replicas.
   void Tick(Milliseconds step);
   // Carries out outputs and delivers all messages until nothing is left.
   void Settle();
-  // Ticks and settles until a leader is ready, at most `limit`; the leader's
-  // position.
+  // Ticks and settles until a leader is ready or `limit` has passed. Returns
+  // the leader's position.
   std::optional<std::size_t> ElectLeader(
       Milliseconds limit = Milliseconds(20'000));
-  // Lets `time` pass in small steps, settling after each.
+  // Advances the clock by `time` in small steps and settles after each.
   void PassTime(Milliseconds time);
 
-  // Carries out a replica's outputs: writes, sends, applies.
+  // Carries out a replica's outputs: writes entries, sends messages and applies
+  // committed entries.
   void Pump(std::size_t node);
-  // Delivers the message at a position of the network's queue; false if there
-  // is none.
+  // Delivers the message at a position of the network's queue; returns false if
+  // there is none.
   bool Deliver(std::size_t position);
   void Drop(std::size_t position);
   void Duplicate(std::size_t position);
 
   void Crash(std::size_t node);
   void Restart(std::size_t node);
-  // Cuts a node off both ways, or heals it.
+  // Cuts a node off in both directions, or reconnects it.
   void SetCut(std::size_t node, bool is_cut);
   void Compact(std::size_t node);
   // Adds a node that is no member yet.
@@ -67,12 +68,13 @@
   absl::StatusOr<LogIndex> Propose(std::size_t node,
                                    const std::string& command);
 
-  // Checks what must always hold: one leader a term, equal logs where terms
-  // match, committed entries never lost or changed, one history applied
-  // everywhere. Empty when all holds.
+  // Checks the invariants: at most one leader per term, committed entries are
+  // never lost or changed, all nodes apply the same history, and at most one
+  // replica holds a lease. Returns a description of the first violation, or an
+  // empty string.
   std::string CheckInvariants();
 
-  // The replicas that hold a lease now.
+  // Returns the replicas that hold a lease now.
   std::vector<std::size_t> LeaseHolders() const;
 
   std::vector<Node> nodes;
@@ -87,7 +89,8 @@
   std::uint64_t seed;
   std::set<std::size_t> cut;
   std::map<Term, NodeId> leader_of_term;
-  // What was committed at each position, by whoever first applied it.
+  // The committed entry at each position, as recorded by the first node that
+  // applied it.
   std::map<LogIndex, Entry> committed;
 };
 
--- a/tests/libraries/replication/replica_property_test.cc
+++ b/tests/libraries/replication/replica_property_test.cc
@@ -10,8 +10,8 @@
 namespace sumac::replication {
 namespace {
 
-// What a random history is made of; each step does one of these to one node or
-// message.
+// The steps of a random history. Each step affects one node, one message or the
+// whole group.
 enum class Step {
   kTick,
   kDeliver,
@@ -141,7 +141,7 @@
       RC_FAIL(history + problem);
     }
   }
-  // Once the faults end, the work goes on.
+  // After the faults end, the group must make progress again.
   for (std::size_t node = 0; node < kNodes; ++node) {
     cluster.SetCut(node, false);
     cluster.nodes[node].is_frozen = false;
@@ -149,9 +149,9 @@
       cluster.Restart(node);
     }
   }
-  // A leader in the middle of a hand-over takes no proposal, but not for long.
+  // A leader accepts no proposal during a hand-over.
   bool is_proposed = false;
-  // NOTE: Each round lets 20 ms pass, and a hand-over may take 300 ms.
+  // NOTE: Each round takes at least 20 ms, and a hand-over up to 300 ms.
   constexpr int kRounds = 25;
   for (int round = 0; round < kRounds && !is_proposed; ++round) {
     const auto leader = cluster.ElectLeader();
--- a/tests/libraries/replication/replica_test.cc
+++ b/tests/libraries/replication/replica_test.cc
@@ -53,7 +53,8 @@
   cluster.nodes[*old_leader].is_frozen = true;
   cluster.PassTime(Milliseconds(30'000));
   cluster.nodes[*old_leader].is_frozen = false;
-  // Before anything else reaches it.
+  // The lease must have expired even before any other event reaches the
+  // replica.
   EXPECT_FALSE(cluster.nodes[*old_leader].replica->HoldsLease(cluster.now));
 }
 
@@ -63,8 +64,9 @@
   ASSERT_TRUE(leader);
   const std::size_t second = (*leader + 1) % 3;
   const std::size_t third = (*leader + 2) % 3;
-  // The third hears nothing of the leader and wants an election; the second,
-  // which heard the leader a moment ago, restarts and has forgotten it.
+  // The third voter is cut off from the leader and requests a vote. The second
+  // voter, which had a message from the leader shortly before, restarts and
+  // loses the time of that message.
   cluster.SetCut(*leader, true);
   cluster.PassTime(Milliseconds(10));
   cluster.Crash(second);
@@ -124,7 +126,7 @@
     return is_it;
   });
   ASSERT_EQ(held.size(), 1U);
-  // The leader may not go on with this term, for the message may still arrive.
+  // The leader may not resume this term, since the message may still arrive.
   cluster.PassTime(Milliseconds(700));
   EXPECT_NE(cluster.nodes[*leader].replica->role(), Role::kLeader);
   cluster.network.push_back(held.front());
@@ -157,8 +159,8 @@
   EXPECT_EQ(cluster.CheckInvariants(), "");
 }
 
-// A group whose laggard takes a snapshot in over a link that is slower than the
-// heartbeats; with what went over.
+// A group in which a lagging member receives a snapshot over a link that is
+// slower than the heartbeats. Counts the snapshot bytes sent.
 class SnapshotTransfer {
  public:
   SnapshotTransfer() : cluster(3) {
@@ -181,7 +183,8 @@
     }
   }
 
-  // What goes to or comes from the laggard takes `one_way`.
+  // Advances the clock by `time`. Messages to and from the lagging member take
+  // `one_way`.
   void PassTime(Milliseconds time, Milliseconds one_way) {
     constexpr Milliseconds kStep{10};
     const NodeId& slow = this->cluster.nodes[this->laggard].id;
@@ -229,9 +232,9 @@
   std::deque<std::pair<SteadyTime, Message>> on_the_way;
 };
 
-// With a copy at each heartbeat, each of which brought a next piece of its own,
-// this transfer sent several times the snapshot, and a busy leader did not get
-// to the end of it.
+// Sending the chunk again at each heartbeat would trigger a further chunk for
+// every copy. The transfer would send several times the size of the snapshot,
+// and a busy leader would not finish it.
 TEST(ReplicaTest, ASnapshotGoesOverALinkSlowerThanHeartbeatsOnce) {
   SnapshotTransfer transfer;
   transfer.PassTime(Milliseconds(20'000), Milliseconds(180));
@@ -298,7 +301,7 @@
   ASSERT_TRUE(leader);
   const std::size_t lost = (*leader + 1) % 3;
   cluster.Crash(lost);
-  // The same process comes back with a new disk, so under a new incarnation.
+  // The same process returns with a new disk and therefore a new incarnation.
   const std::size_t blank = cluster.AddNode(NodeId("n9.2"));
   cluster.PassTime(Milliseconds(30'000));
   EXPECT_EQ(cluster.nodes[blank].replica->role(), Role::kFollower);
@@ -331,12 +334,12 @@
     membership.learners.erase(anew);
     membership.voters.insert(anew);
   });
-  // The old disk's replica, should it ever wake, is heard by nobody.
+  // If the replica of the old disk starts again, the others ignore it.
   cluster.Restart(lost);
   const Term term = replica.term();
   cluster.PassTime(Milliseconds(10'000));
   EXPECT_EQ(replica.term(), term);
-  // The new one's vote counts.
+  // The vote of the new replica counts.
   cluster.Crash(*leader);
   EXPECT_TRUE(cluster.ElectLeader());
   EXPECT_EQ(cluster.CheckInvariants(), "");
@@ -360,7 +363,8 @@
   EXPECT_TRUE(cluster.nodes[other].replica->has_verified_state());
 }
 
-// A replica of three that has one entry of term 2 and has just won term 4.
+// Returns one replica of three that has one entry of term 2 and has just won
+// the election of term 4.
 std::unique_ptr<Replica> MakeLeaderWithOldEntry(SteadyTime now) {
   const Membership membership{{NodeId("n0.1"), NodeId("n1.1"), NodeId("n2.1")},
                               {}};
@@ -390,7 +394,7 @@
                              AppendAnswer{true, LogIndex(index), now}},
                      now);
   };
-  // A majority holds the entry of term 2 now, and yet a later leader could
+  // A majority holds the entry of term 2 now, but a later leader could still
   // overwrite it (Raft, figure 8).
   acknowledge(1);
   EXPECT_EQ(replica->commit_index(), LogIndex(0));
