--- a/libraries/routing/decision_ring.h
+++ b/libraries/routing/decision_ring.h
@@ -13,27 +13,27 @@
 
 namespace sumac::routing {
 
-// The latest routing decisions of one entry, bounded in number.
+// Keeps the latest routing decisions of one entry, up to a maximum number.
 class DecisionRing {
  public:
-  // `process` and `start` go into the ids, PROCESS.START-NUMBER, so that any
-  // process can tell where to ask and an id is never used again after a
-  // restart.
+  // Decision ids have the form PROCESS.START-NUMBER and contain `process` and
+  // `start`, so that any process can tell which entry to ask and no id is
+  // reused after a restart. `most` is the maximum number of decisions kept.
   DecisionRing(ProcessName process, std::uint64_t start, std::size_t most);
 
-  // Keeps a decision, gives it its id, and returns it.
+  // Stores a decision, assigns its id, and returns it.
   const fleet::Decision& Add(fleet::Decision decision);
 
-  // The decision with this id, if it is still kept.
+  // Returns the decision with this id, if it is still kept.
   std::optional<fleet::Decision> Find(const DecisionId& id) const;
 
-  // The decisions about a subject, newest first, at most `most`.
+  // Returns up to `most` decisions about a subject, newest first.
   std::vector<fleet::Decision> FindAbout(fleet::SubjectKind kind,
                                          std::string_view subject,
                                          std::size_t most) const;
 
-  // The process named in a routing decision's id, or nothing when it is not
-  // one.
+  // Returns the process named in a routing decision's id, or nothing if the id
+  // is not one of a routing decision.
   static std::optional<ProcessName> ProcessOf(const DecisionId& id);
 
  private:
--- a/libraries/routing/minion_health.cc
+++ b/libraries/routing/minion_health.cc
@@ -32,7 +32,7 @@
     return;
   }
   ++this->failures_in_row;
-  // One failure is enough on probation.
+  // A single failure is enough while on probation.
   const bool has_failed_enough =
       this->failures_in_row >= settings.failures_until_aside ||
       this->is_on_probation();
--- a/libraries/routing/minion_health.h
+++ b/libraries/routing/minion_health.h
@@ -8,58 +8,62 @@
 
 namespace sumac::routing {
 
-// How one try at a minion ended, as far as the minion is to blame.
+// The outcome of one try at a minion, as far as the minion is responsible.
 enum class TryOutcome {
   kAnswered,
-  // The minion said itself that it did not run the request, since it is full.
+  // The minion reported that it did not run the request because it is full.
   kDeclined,
-  // The minion said itself that it is leaving and did not run the request.
+  // The minion reported that it is leaving and did not run the request.
   kLeaving,
-  // No connection, so nothing was sent.
+  // No connection could be made, so nothing was sent.
   kUnreachable,
-  // Sent, but no whole answer of its own came back.
+  // The request was sent, but no complete answer of the minion arrived.
   kBroken,
-  // Sent, and the deadline passed.
+  // The request was sent, and the deadline passed.
   kTimedOut,
-  // The caller went away; says nothing about the minion.
+  // The caller disconnected, which is no evidence about the minion.
   kAbandoned,
 };
 
-// True for the outcomes that speak against the minion.
+// Returns true for the outcomes that count as a failure of the minion.
 bool IsFailure(TryOutcome outcome);
 
-// Times and counts of setting minions aside.
+// The times and counts for setting minions aside: one that fails repeatedly
+// gets no requests for a while.
 struct HealthSettings {
-  // Failures in a row after which a minion is set aside.
+  // The number of consecutive failures after which a minion is set aside.
   std::uint32_t failures_until_aside = 3;
-  // The first time aside; it doubles each time in a row up to the longest.
+  // The duration of the first time aside. It doubles each consecutive time, up
+  // to the longest.
   Milliseconds first_time_aside{1'000};
   Milliseconds longest_time_aside{30'000};
-  // A minion that declined gets nothing for this long, unless no other can take
-  // it.
+  // The time for which a minion that declined a request gets no further ones.
   Milliseconds pause_after_decline{5};
   // After its time aside a minion gets one request at a time until this many
-  // went well.
+  // have succeeded.
   std::uint32_t successes_until_trusted = 5;
 };
 
-// What an entry has seen of one minion.
+// The health of one minion, as observed by one entry.
 class MinionHealth {
  public:
-  // Takes in how a try ended. With `may_set_aside` false too many others are
-  // aside already, and this one goes on whatever it does.
+  // Records the outcome of a try. `may_set_aside` is false if too many other
+  // minions are set aside already; the minion then stays in use despite
+  // failures.
   void Note(TryOutcome outcome,
             const HealthSettings& settings,
             SteadyTime now,
             bool may_set_aside = true);
 
-  // True while the minion is set aside.
+  // Returns true while the minion is set aside.
   bool IsAside(SteadyTime now) const { return now < this->aside_until; }
-  // True while a decline is fresh.
+  // Returns true for pause_after_decline after the minion declined a request.
   bool IsPaused(SteadyTime now) const { return now < this->paused_until; }
-  // True after its own word that it is leaving, until it starts anew.
+  // True once the minion has reported that it is leaving. A new incarnation of
+  // the minion gets a new MinionHealth.
   bool is_leaving() const { return this->has_said_leaving; }
-  // True from its time aside on until enough requests went well.
+  // True from the moment the minion is set aside until enough requests have
+  // succeeded.
   bool is_on_probation() const { return this->successes_owed > 0; }
 
  private:
--- a/libraries/routing/minion_set.cc
+++ b/libraries/routing/minion_set.cc
@@ -10,11 +10,12 @@
 namespace sumac::routing {
 namespace {
 
-// A reported load older than this says nothing any more.
+// The time after which a reported load is ignored.
 constexpr Milliseconds kReportedLoadLife{200};
-// A decision names this many of the minions that were passed over.
+// The maximum number of passed-over minions that a decision names.
 constexpr std::size_t kMostPassedOver = 4;
 
+// Returns the number of a minion's slots that this entry may use.
 std::uint32_t ShareOf(std::uint32_t slots, const SharingSettings& settings) {
   const double even =
       static_cast<double>(slots) / std::max(settings.entries, 1U);
@@ -109,13 +110,13 @@
   };
   std::uniform_int_distribution<std::size_t> position(0, names.size() - 1);
   const Minion* best = nullptr;
-  // Two random looks first; when neither can take it, the rest in turn from a
-  // random place.
+  // Compares two random minions first. If neither is available, tries the
+  // others in order from a random position.
   const std::size_t start = position(random);
   const std::size_t second = position(random);
   for (std::size_t step = 0; step <= names.size(); ++step) {
-    // Steps 2 and on go round all others once; the second look may have been at
-    // the first again.
+    // Steps 2 and later visit each of the others once. The second random minion
+    // may be the same as the first.
     const std::size_t in_turn = (start + step - 1) % names.size();
     const std::size_t index = step == 0 ? start : step == 1 ? second : in_turn;
     const Minion& minion = this->minions.at(names[index]);
@@ -202,15 +203,16 @@
     minion.reported_load = *reported_load;
     minion.reported_at = now;
   }
-  // Only a failure asks how many others are aside, which looks at all of the
-  // service.
+  // The number of minions set aside is only counted after a failure, since that
+  // is a full scan of the service.
   const bool may_set_aside =
       !IsFailure(outcome) || this->MaySetAside(minion, now);
   minion.health.Note(outcome, this->settings.health, now, may_set_aside);
 }
 
-// When many fail at once it is seldom their fault, and with all of them aside
-// nobody would be served.
+// Returns true unless too many minions of one of its services would be set
+// aside. When many fail at once the cause is seldom the minions, and with all
+// of them set aside no request would be served.
 bool MinionSet::MaySetAside(const Minion& minion, SteadyTime now) const {
   return std::all_of(
       minion.routed.services.begin(), minion.routed.services.end(),
--- a/libraries/routing/minion_set.h
+++ b/libraries/routing/minion_set.h
@@ -20,21 +20,21 @@
 
 // How an entry shares minions with the other entries.
 struct SharingSettings {
-  // Where this entry stands; nearer minions go first.
+  // The data centre of this entry, whose minions are preferred.
   DataCentre data_centre;
-  // How many entries there are.
+  // The number of entries.
   std::uint32_t entries = 1;
-  // Each entry may fill this many times its even share of a minion's slots.
-  // More leaves fewer slots idle when load is uneven and costs declined tries
-  // when it is not.
+  // Each entry may use this multiple of its even share of a minion's slots. A
+  // higher value leaves fewer slots idle when load is uneven, and causes more
+  // declined tries when it is even.
   double slot_overcommit = 2;
-  // At most this share of a service's minions may be set aside at once; beyond
-  // it the ones longest aside are used all the same.
+  // The maximum share of a service's minions that may be set aside at once.
+  // Beyond it, minions stay in use despite failures.
   double most_aside_share = 0.5;
   HealthSettings health;
 };
 
-// Where a request goes, and why.
+// The minion chosen for a request, and the reasons for the choice.
 struct Choice {
   InstanceName minion;
   std::string address;
@@ -42,52 +42,54 @@
   std::vector<fleet::Alternative> passed_over;
 };
 
-// Why no minion was chosen.
+// The reason for which no minion was chosen.
 enum class NoChoice {
-  // The service has no minion that may get work.
+  // The service has no usable minion.
   kNoneUsable,
-  // All that may get work have as many requests as they may have from here.
+  // All usable minions have the maximum number of requests from this entry.
   kAllBusy,
 };
 
-// The minions that an entry routes to, with what it has seen of each itself.
-// Choosing looks at two random minions of a service (Mitzenmacher, "The Power
-// of Two Choices", 2001), whatever the size of the fleet.
+// The minions to which an entry routes requests, with the health that the entry
+// has observed. Choose compares two random minions of a service (Mitzenmacher,
+// "The Power of Two Choices", 2001), independent of the size of the fleet.
 class MinionSet {
  public:
   explicit MinionSet(SharingSettings settings)
       : settings(std::move(settings)) {}
 
-  // Takes in a newer view. What was seen of a minion stays unless it has
-  // started anew.
+  // Applies a newer view. The observed health of a minion is kept unless its
+  // incarnation has changed.
   void Update(const fleet::View& view);
 
-  // Chooses a minion for `service`, not one of `excluded`, and counts the
+  // Chooses a minion for `service` that is not in `excluded`, and counts the
   // request as in flight there.
   std::optional<Choice> Choose(const ServiceName& service,
                                const std::set<InstanceName>& excluded,
                                SteadyTime now,
                                std::mt19937_64& random);
 
-  // Why Choose would give nothing.
+  // Returns the reason for which Choose would return nothing.
   NoChoice ExplainNoChoice(const ServiceName& service,
                            const std::set<InstanceName>& excluded,
                            SteadyTime now) const;
 
-  // The request is no longer in flight at `minion`; `reported_load` is what the
-  // minion said.
+  // Called when a request is no longer in flight at `minion`. `reported_load`
+  // is the load that the minion reported, if any.
   void Finish(const InstanceName& minion,
               TryOutcome outcome,
               std::optional<std::uint32_t> reported_load,
               SteadyTime now);
 
-  // Notes the minion's own word, by a probe or an answer, that it is leaving.
+  // Records that the minion reported, to a probe or in an answer, that it is
+  // leaving.
   void NoteLeaving(const InstanceName& minion, SteadyTime now);
 
-  // The addresses of all minions that may get work, for probing.
+  // Returns the names and addresses of all minions that may get work, for
+  // probing.
   std::vector<std::pair<InstanceName, std::string>> Addresses() const;
 
-  // How many minions are known, and how many of them are set aside.
+  // The number of known minions, and of those that are set aside.
   std::size_t size() const { return this->minions.size(); }
   std::size_t CountAside(SteadyTime now) const;
 
@@ -98,11 +100,12 @@
     std::uint32_t in_flight = 0;
     std::uint32_t reported_load = 0;
     SteadyTime reported_at{};
-    // The most requests that this entry may have there.
+    // The maximum number of requests that this entry may have there.
     std::uint32_t most_in_flight = 1;
   };
 
-  // One service's minions: near ones (this data centre) and the others.
+  // The minions of one service: those in this entry's data centre and the
+  // others.
   struct Candidates {
     std::vector<InstanceName> near;
     std::vector<InstanceName> far;
--- a/libraries/routing/retry_budget.h
+++ b/libraries/routing/retry_budget.h
@@ -4,22 +4,22 @@
 
 namespace sumac::routing {
 
-// Keeps retries to a share of first tries, so that a broken service is not made
-// worse by them.
+// Limits retries to a share of first tries, so that they do not overload a
+// failing service further.
 class RetryBudget {
  public:
-  // Counts a first try, which earns `share` of a retry.
+  // Adds `share` of a retry to the budget, for a first try.
   void NoteFirstTry(double share);
 
-  // Takes one retry if there is one.
+  // Takes one retry from the budget; returns false if there is less than one.
   bool TakeRetry();
 
  private:
   double saved = kFirstSavings;
 
-  // Lets a service that has just begun retry a few times, and bounds what a
-  // quiet one saves up.
+  // The initial budget, which allows a new service a few retries.
   static constexpr double kFirstSavings = 10;
+  // Limits the budget that a service accumulates while it needs few retries.
   static constexpr double kMostSavings = 100;
 };
 
--- a/libraries/routing/router.cc
+++ b/libraries/routing/router.cc
@@ -9,9 +9,11 @@
 namespace sumac::routing {
 namespace {
 
-// When nothing better is known, callers are asked to come back after this.
+// The time after which callers are asked to try again if no better estimate is
+// known.
 constexpr Milliseconds kDefaultRetryAfter{250};
-// A full line moves on within a few requests' time.
+// The time after which callers are asked to try again if the queue is full. The
+// queue drains within the run time of a few requests.
 constexpr Milliseconds kRetryAfterFullLine{40};
 
 fleet::Decision DecisionAbout(const RequestInfo& request, WallTime wall_now) {
@@ -79,7 +81,7 @@
   if (now >= request.deadline) {
     return this->RefuseLate(request, wall_now);
   }
-  // Nobody overtakes a request that waits already.
+  // A request is not sent ahead of requests that wait already.
   if (this->per_service[request.service].line.CountAhead(
           request.request_class) == 0) {
     if (std::optional<SendTo> send =
@@ -123,8 +125,8 @@
                "tried again."),
         kDefaultRetryAfter, wall_now);
   }
-  // A minion that declined may have room again; one that failed is not tried
-  // twice.
+  // A minion that declined may have free slots again; one that failed is not
+  // tried a second time.
   const std::set<InstanceName> excluded =
       reason == RetryReason::kDeclined ? std::set<InstanceName>{} : tried;
   if (std::optional<SendTo> send =
--- a/libraries/routing/router.h
+++ b/libraries/routing/router.h
@@ -24,11 +24,11 @@
 
 namespace sumac::routing {
 
-// What routing needs to know of a request.
+// The properties of a request that routing uses.
 struct RequestInfo {
   RequestNumber number = 0;
-  // The name under which operators ask about it: the idempotency key, or one
-  // that the entry made.
+  // The name under which operators query the request: its idempotency key, or a
+  // name that the entry generated.
   std::string label;
   ServiceName service;
   CallerName caller;
@@ -37,89 +37,91 @@
   SteadyTime deadline;
 };
 
-// The request may go to a minion now.
+// The request is to be sent to a minion now.
 struct SendTo {
   Choice choice;
   DecisionId decision;
 };
 
-// The request waits; TakeReady tells when it may go.
+// The request waits until TakeReady returns it.
 struct Wait {};
 
-// The request ends here.
+// The request is refused.
 struct Refuse {
   ResultCode code = ResultCode::kOverloaded;
   std::string message;
-  // When the caller may try again.
+  // The time after which the caller may try again.
   Milliseconds retry_after{0};
   DecisionId decision;
 };
 
 using RouteResult = std::variant<SendTo, Wait, Refuse>;
 
-// Why a request needs another try.
+// The reason for which a request needs another try.
 enum class RetryReason {
-  // The minion said itself that it did not run the request.
+  // The minion reported that it did not run the request.
   kDeclined,
   // No byte of the request was sent.
   kNotSent,
-  // It was sent and no whole answer came back; only for repeatable requests.
+  // The request was sent and no complete answer arrived; only for repeatable
+  // requests.
   kFailed,
 };
 
-// The routing core of one entry: who may send what to which minion now. It does
-// no I/O; the caller holds a lock round it.
+// The routing core of one entry: decides which request may be sent to which
+// minion now. It does no I/O; the caller has to hold a lock during each call.
 class Router {
  public:
   Router(SharingSettings sharing, DecisionRing ring, std::uint64_t seed);
 
-  // Takes in a view unless it is not newer than the one in force; tells whether
-  // it was taken.
+  // Applies a view if it is newer than the present one. Returns true if it was
+  // applied.
   bool Update(const fleet::View& view);
   const fleet::View& view() const { return this->present; }
 
-  // The declared settings of a service, or nothing.
+  // Returns the declared settings of a service, or null if it is not declared.
   const fleet::Service* FindService(const ServiceName& service) const;
 
-  // Admits a request: it goes to a minion, waits in line or is refused at once.
+  // Admits a request: it is sent to a minion, queued or refused.
   RouteResult Admit(const RequestInfo& request,
                     SteadyTime now,
                     WallTime wall_now);
 
-  // After a try that did not run, or a failed try of a repeatable request:
-  // another minion, or the end. `tried` holds the minions tried so far. Only a
-  // failed try costs retry budget.
+  // Handles a try that did not run, or a failed try of a repeatable request:
+  // the request is sent to another minion, queued or refused. `tried` contains
+  // the minions tried so far. Only a failed try uses up retry budget.
   RouteResult Retry(const RequestInfo& request,
                     const std::set<InstanceName>& tried,
                     RetryReason reason,
                     SteadyTime now,
                     WallTime wall_now);
 
-  // A try is over; frees its slot.
+  // Called when a try has ended; frees its slot.
   void FinishTry(const InstanceName& minion,
                  TryOutcome outcome,
                  std::optional<std::uint32_t> reported_load,
                  SteadyTime now);
 
-  // The request is over, however it ended.
+  // Called when a request has ended, with any outcome.
   void FinishRequest(const RequestInfo& request);
 
-  // Waiting requests that may go now, each with its minion. Called after slots
-  // were freed.
+  // Removes and returns the waiting requests that can be sent now, each with
+  // its minion. Called after slots were freed.
   std::vector<std::pair<RequestNumber, SendTo>> TakeReady(SteadyTime now,
                                                           WallTime wall_now);
 
-  // A waiting request gives up because its deadline has passed or its caller
-  // left; false if it was not waiting any more.
+  // Removes a waiting request whose deadline has passed or whose caller has
+  // disconnected. Returns false if it was no longer waiting.
   bool StopWaiting(RequestNumber request);
 
-  // The refusal for a request whose deadline passed while it waited.
+  // Returns the refusal of a request whose deadline has passed before it was
+  // sent.
   Refuse RefuseLate(const RequestInfo& request, WallTime wall_now);
 
   MinionSet& minions() { return this->minion_set; }
   const DecisionRing& decisions() const { return this->ring; }
 
-  // Decisions taken since the last call, for the log.
+  // Returns the decisions made since the last call, for the log.
   std::vector<fleet::Decision> TakeNewDecisions() {
     return std::exchange(this->unlogged, {});
   }
--- a/libraries/routing/waiting_line.h
+++ b/libraries/routing/waiting_line.h
@@ -12,34 +12,39 @@
 
 namespace sumac::routing {
 
-// Names one request within an entry.
+// Identifies a request within an entry.
 using RequestNumber = std::uint64_t;
 
-// The requests of one service that wait for a slot: interactive ones go first,
-// but after kInteractivePerBackground of them in a row one background request
-// goes, so that none starves. Within a class the one with the earliest deadline
-// goes first.
+// The queue of requests of one service that wait for a slot. Interactive
+// requests are served first, but after kInteractivePerBackground of them in a
+// row one background request is served, to avoid starvation. Within a class the
+// request with the earliest deadline is served first.
 class WaitingLine {
  public:
-  // Puts a request in.
+  // Adds a request to the queue.
   void Add(RequestNumber request,
            fleet::RequestClass request_class,
            SteadyTime deadline);
 
-  // Takes a request out that gave up or got its place otherwise.
+  // Removes a request that is no longer waiting.
   void Remove(RequestNumber request);
 
-  // The request that is next, or nothing; it stays in until removed.
+  // Returns the request to serve next, or nothing if the queue is empty. The
+  // request stays in the queue.
   std::optional<RequestNumber> Next() const;
 
-  // Counts that the request is served now and takes it out.
+  // Removes a request that is served now, and counts it for the order of
+  // classes.
   void Serve(RequestNumber request);
 
   std::size_t size() const { return this->places.size(); }
 
-  // How many wait in front of a newcomer of this class.
+  // Returns the number of waiting requests that are ahead of a new one of this
+  // class.
   std::size_t CountAhead(fleet::RequestClass request_class) const;
 
+  // The number of consecutive interactive requests after which a background
+  // request is served.
   static constexpr std::uint32_t kInteractivePerBackground = 8;
 
  private:
--- a/tests/libraries/routing/router_test.cc
+++ b/tests/libraries/routing/router_test.cc
@@ -142,10 +142,11 @@
   fleet::RoutedMinion leaving = MakeMinion("m1");
   leaving.can_take_work = false;
   this->router.Update(MakeView(1, {leaving, MakeMinion("m2")}));
-  // The other one says so itself, to an entry that hears from no controller.
+  // The other minion reports itself that it is leaving, so that the entry knows
+  // without a view from a controller.
   this->router.minions().NoteLeaving(InstanceName("m2"), kStart);
   EXPECT_EQ(CodeOf(this->Admit(this->MakeRequest())), ResultCode::kNoMinion);
-  // A new start has not said so.
+  // Its new incarnation has not reported that it is leaving.
   fleet::RoutedMinion anew = MakeMinion("m2");
   anew.incarnation = Incarnation(2);
   this->router.Update(MakeView(2, {anew}));
@@ -153,7 +154,7 @@
 }
 
 TEST_F(RouterTest, AMinionThatFailsIsSetAsideAndComesBackSlowly) {
-  // Of two, one may be set aside; the other does not answer for the service.
+  // One of two minions may be set aside; the other can't take work.
   fleet::RoutedMinion other = MakeMinion("m2");
   other.can_take_work = false;
   this->router.Update(MakeView(1, {MakeMinion("m1"), other}));
@@ -171,7 +172,7 @@
   RequestInfo second = this->MakeRequest("f");
   second.deadline = later + Milliseconds(1'000);
   EXPECT_TRUE(std::holds_alternative<Wait>(this->Admit(second, later)));
-  // It fails again: aside at once, and for longer.
+  // A further failure sets it aside at once, and for longer.
   this->router.FinishTry(InstanceName("m1"), TryOutcome::kBroken, std::nullopt,
                          later);
   EXPECT_EQ(this->router.minions().CountAside(later + Milliseconds(1'500)), 1U);
