--- a/libraries/relay/relay_clock.h
+++ b/libraries/relay/relay_clock.h
@@ -18,11 +18,11 @@
 class RelayClock {
  public:
   // Records a reading that arrived at `now` or earlier.
-  void NoteReading(RelayTime reading, SteadyTime now);
+  void RecordReading(RelayTime reading, SteadyTime now);
 
   // Returns a lower bound of what the clock shows at `time`, or nothing without
   // a fresh reading.
-  std::optional<RelayTime> EarliestAt(SteadyTime time, SteadyTime now) const;
+  std::optional<RelayTime> LowerBoundAt(SteadyTime time, SteadyTime now) const;
 
  private:
   // The largest difference between the two clocks (the relay's minus the
--- a/libraries/relay/relay_link.cc
+++ b/libraries/relay/relay_link.cc
@@ -130,7 +130,7 @@
   this->relay_clock = RelayClock();
   this->clock_read_at = this->clock.SteadyNow();
   this->answered_at = this->clock_read_at;
-  this->relay_clock.NoteReading(reading, this->clock_read_at);
+  this->relay_clock.RecordReading(reading, this->clock_read_at);
   this->state = State::kOpen;
   LogEvent(LogLevel::kInfo, "relay-opened",
            {{"relay", this->channel.address()},
@@ -262,7 +262,7 @@
 
 void RelayLink::SendQueue(wire::Relay::Client& present, SteadyTime lease_end) {
   const std::optional<RelayTime> expires =
-      this->relay_clock.EarliestAt(lease_end, this->clock.SteadyNow());
+      this->relay_clock.LowerBoundAt(lease_end, this->clock.SteadyNow());
   if (!expires) {
     this->Close("its clock is not known any more");
     return;
@@ -296,7 +296,7 @@
   this->tasks.add(carried.then(
       [this, own_generation = this->generation](RelayTime reading) {
         if (own_generation == this->generation) {
-          this->relay_clock.NoteReading(reading, this->clock.SteadyNow());
+          this->relay_clock.RecordReading(reading, this->clock.SteadyNow());
         }
       },
       [this, own_generation = this->generation](kj::Exception&& exception) {
@@ -307,8 +307,8 @@
 }
 
 void RelayLink::Take(wire::RelayedAnswers::Reader answers) {
-  this->relay_clock.NoteReading(RelayTime(answers.getClockMs()),
-                                this->clock.SteadyNow());
+  this->relay_clock.RecordReading(RelayTime(answers.getClockMs()),
+                                  this->clock.SteadyNow());
   this->answered_at = this->clock.SteadyNow();
   ++this->done.answer_batches;
   for (const auto item : answers.getAnswers()) {
