--- a/libraries/relay/relay_routes.cc
+++ b/libraries/relay/relay_routes.cc
@@ -13,7 +13,7 @@
 constexpr Milliseconds kAvoidTime{5'000};
 
 // Hashes a pair of a worker and a relay.
-std::uint64_t Mix(std::uint64_t worker, std::uint64_t relay) {
+std::uint64_t HashPair(std::uint64_t worker, std::uint64_t relay) {
   constexpr std::uint64_t kOdd = 0x9e3779b97f4a7c15ULL;
   constexpr int kShift = 29;
   std::uint64_t mixed = (worker ^ (relay + 1) * kOdd) * kOdd;
@@ -49,9 +49,9 @@
   return route.relay;
 }
 
-void RelayRoutes::NoteFailure(const WorkerId& worker,
-                              std::size_t relay,
-                              SteadyTime now) {
+void RelayRoutes::RecordFailure(const WorkerId& worker,
+                                std::size_t relay,
+                                SteadyTime now) {
   const auto route = this->routes.find(worker);
   // A failure of the previous relay is no evidence against the present one, nor
   // are further failures of the same burst.
@@ -70,12 +70,13 @@
                                 std::uint32_t failures) const {
   const std::uint64_t hash = std::hash<WorkerId>()(worker);
   std::vector<std::tuple<bool, std::uint64_t, std::size_t>> order;
-  for (const auto& [relay, place] : this->relays) {
-    order.emplace_back(place == data_centre, Mix(hash, relay), relay);
+  for (const auto& [relay, relay_data_centre] : this->relays) {
+    order.emplace_back(relay_data_centre == data_centre, HashPair(hash, relay),
+                       relay);
   }
   std::sort(order.rbegin(), order.rend());
-  const std::size_t turn = failures % (order.size() + 1);
-  return turn < order.size() ? std::get<2>(order[turn]) : kLeader;
+  const std::size_t position = failures % (order.size() + 1);
+  return position < order.size() ? std::get<2>(order[position]) : kLeader;
 }
 
 }  // namespace sumac::relay
--- a/libraries/relay/relay_routes.h
+++ b/libraries/relay/relay_routes.h
@@ -36,7 +36,7 @@
                    SteadyTime now);
 
   // Records that a call to the worker through this relay got no answer.
-  void NoteFailure(const WorkerId& worker, std::size_t relay, SteadyTime now);
+  void RecordFailure(const WorkerId& worker, std::size_t relay, SteadyTime now);
   void Forget(const WorkerId& worker) { this->routes.erase(worker); }
 
  private:
--- a/libraries/relay/relayed_calls.cc
+++ b/libraries/relay/relayed_calls.cc
@@ -108,7 +108,7 @@
   return link.Call(std::move(body), limit)
       .then([kept = this->routes, worker, number](RelayAnswer&& answer) {
         if (HasFailed(answer)) {
-          kept->NoteFailure(worker, number, SystemClock().SteadyNow());
+          kept->RecordFailure(worker, number, SystemClock().SteadyNow());
         }
         return std::move(answer);
       });
--- a/tests/libraries/relay/relay_routes_test.cc
+++ b/tests/libraries/relay/relay_routes_test.cc
@@ -80,13 +80,13 @@
   routes.Add(1, DataCentre("b"));
   const WorkerId worker = WorkerOf(1);
   EXPECT_EQ(routes.Find(worker, DataCentre("a"), kStart), 0U);
-  routes.NoteFailure(worker, 0, kStart);
+  routes.RecordFailure(worker, 0, kStart);
   EXPECT_EQ(routes.Find(worker, DataCentre("a"), kStart), 1U);
   // A late failure of the previous relay is no evidence against the present
   // one.
-  routes.NoteFailure(worker, 0, kStart);
+  routes.RecordFailure(worker, 0, kStart);
   EXPECT_EQ(routes.Find(worker, DataCentre("a"), kStart), 1U);
-  routes.NoteFailure(worker, 1, kStart);
+  routes.RecordFailure(worker, 1, kStart);
   EXPECT_EQ(routes.Find(worker, DataCentre("a"), kStart), RelayRoutes::kLeader);
   EXPECT_EQ(routes.Find(worker, DataCentre("a"), kStart + kAvoidTime), 0U);
 }
