--- a/libraries/relay/relay_link.cc
+++ b/libraries/relay/relay_link.cc
@@ -78,7 +78,7 @@
       tasks(*this) {}
 
 RelayLink::~RelayLink() {
-  this->host.note_change = [] {};
+  this->host.on_change = [] {};
   this->Close("the leadership is over");
 }
 
@@ -136,7 +136,7 @@
            {{"relay", this->channel.address()},
             {"data_centre", this->relay_data_centre.value()},
             {"epoch", this->epoch.value()}});
-  this->host.note_change();
+  this->host.on_change();
 }
 
 // Calls that were sent may still be carried out, so their outcome is unknown;
@@ -162,7 +162,7 @@
              {{"relay", this->channel.address()},
               {"reason", reason},
               {"open_calls", lost.size()}});
-    this->host.note_change();
+    this->host.on_change();
   }
 }
 
--- a/libraries/relay/relay_link.h
+++ b/libraries/relay/relay_link.h
@@ -33,7 +33,7 @@
     // Returns the end of the leader's lease, or nothing while it has none.
     std::function<std::optional<SteadyTime>()> lease_end;
     // Called when the relay has become usable or unusable.
-    std::function<void()> note_change;
+    std::function<void()> on_change;
   };
 
   RelayLink(rpc::Channel& channel,
--- a/libraries/relay/relayed_calls.cc
+++ b/libraries/relay/relayed_calls.cc
@@ -8,7 +8,7 @@
 namespace {
 
 // The time limit that a relay applies to a worker's answer.
-constexpr Milliseconds kOrderLimit{400};
+constexpr Milliseconds kAnswerTimeout{400};
 
 // Returns true if a call on another route may succeed: the worker may not have
 // answered, or the relay did not send the call.
@@ -30,20 +30,23 @@
 
 }  // namespace
 
-RelayedCalls::RelayedCalls(scheduler::WorkerCalls own,
+RelayedCalls::RelayedCalls(scheduler::WorkerCalls direct_calls,
                            kj::Timer& timer,
                            LeaderEpoch epoch,
                            Host host)
-    : own(std::move(own)), timer(timer), epoch(epoch), host(std::move(host)) {}
+    : direct_calls(std::move(direct_calls)),
+      timer(timer),
+      epoch(epoch),
+      host(std::move(host)) {}
 
-void RelayedCalls::Sync(const std::set<ProcessName>& controllers,
-                        SteadyTime now) {
+void RelayedCalls::UpdateRelays(const std::set<ProcessName>& controllers,
+                                SteadyTime now) {
   for (auto item = this->relays.begin(); item != this->relays.end();) {
     if (controllers.contains(item->first)) {
       ++item;
       continue;
     }
-    this->past += item->second.link->counts();
+    this->removed_counts += item->second.link->counts();
     this->links[item->second.number] = nullptr;
     this->routes->Remove(item->second.number);
     item = this->relays.erase(item);
@@ -69,12 +72,12 @@
       *channel, this->timer, this->epoch,
       RelayLink::Host{
           .lease_end = this->host.lease_end,
-          .note_change = [this, number] { this->NoteChange(number); }});
+          .on_change = [this, number] { this->UpdateRoute(number); }});
   this->links.push_back(link.get());
   this->relays.emplace(controller, Relay{number, std::move(link)});
 }
 
-void RelayedCalls::NoteChange(std::size_t number) {
+void RelayedCalls::UpdateRoute(std::size_t number) {
   const RelayLink* link = this->links[number];
   if (link->is_open()) {
     this->routes->Add(number, link->data_centre());
@@ -91,11 +94,11 @@
                : this->routes->Find(worker, this->host.data_centre_of(worker),
                                     this->clock.SteadyNow());
   if (number == RelayRoutes::kLeader) {
-    this->own_workers.insert(worker);
+    this->directly_called_workers.insert(worker);
     return nullptr;
   }
-  if (this->own_workers.erase(worker) > 0) {
-    this->own.forget(worker);
+  if (this->directly_called_workers.erase(worker) > 0) {
+    this->direct_calls.forget(worker);
   }
   return this->links[number];
 }
@@ -106,15 +109,17 @@
                                             RelayLink& link,
                                             std::size_t number) {
   return link.Call(std::move(body), limit)
-      .then([kept = this->routes, worker, number](RelayAnswer&& answer) {
-        if (HasFailed(answer)) {
-          kept->RecordFailure(worker, number, SystemClock().SteadyNow());
-        }
-        return std::move(answer);
-      });
+      .then(
+          [shared_routes = this->routes, worker, number](RelayAnswer&& answer) {
+            if (HasFailed(answer)) {
+              shared_routes->RecordFailure(worker, number,
+                                           SystemClock().SteadyNow());
+            }
+            return std::move(answer);
+          });
 }
 
-kj::Promise<scheduler::RenewAnswer> RelayedCalls::Relayed(
+kj::Promise<scheduler::RenewAnswer> RelayedCalls::CallForReport(
     const WorkerId& worker,
     CallBody body,
     Milliseconds limit,
@@ -137,10 +142,10 @@
   std::size_t number = 0;
   RelayLink* link = this->FindLink(order.worker, number);
   if (link == nullptr) {
-    return this->own.renew(order);
+    return this->direct_calls.renew(order);
   }
-  return this->Relayed(order.worker, RenewCall{order}, order.wait + kOrderLimit,
-                       *link, number);
+  return this->CallForReport(order.worker, RenewCall{order},
+                             order.wait + kAnswerTimeout, *link, number);
 }
 
 kj::Promise<scheduler::RenewAnswer> RelayedCalls::RequestReport(
@@ -148,10 +153,10 @@
   std::size_t number = 0;
   RelayLink* link = this->FindLink(order.worker, number);
   if (link == nullptr) {
-    return this->own.request_report(order);
+    return this->direct_calls.request_report(order);
   }
-  return this->Relayed(order.worker, ReportCall{order}, kOrderLimit, *link,
-                       number);
+  return this->CallForReport(order.worker, ReportCall{order}, kAnswerTimeout,
+                             *link, number);
 }
 
 kj::Promise<scheduler::OrderAnswer> RelayedCalls::Send(
@@ -159,9 +164,10 @@
   std::size_t number = 0;
   RelayLink* link = this->FindLink(WorkerOf(order), number);
   if (link == nullptr) {
-    return this->own.send(order);
+    return this->direct_calls.send(order);
   }
-  return this->Call(WorkerOf(order), ToBody(order), kOrderLimit, *link, number)
+  return this
+      ->Call(WorkerOf(order), ToBody(order), kAnswerTimeout, *link, number)
       .then([](RelayAnswer&& answer) {
         return scheduler::OrderAnswer{.result = answer.result,
                                       .clock = answer.clock};
@@ -170,8 +176,8 @@
 
 void RelayedCalls::Forget(const WorkerId& worker) {
   this->routes->Forget(worker);
-  this->own_workers.erase(worker);
-  this->own.forget(worker);
+  this->directly_called_workers.erase(worker);
+  this->direct_calls.forget(worker);
   for (const auto& [controller, relay] : this->relays) {
     relay.link->Forget(worker);
   }
@@ -186,7 +192,7 @@
 }
 
 RelayCounts RelayedCalls::TotalCounts() const {
-  RelayCounts sum = this->past;
+  RelayCounts sum = this->removed_counts;
   for (const auto& [controller, relay] : this->relays) {
     sum += relay.link->counts();
   }
--- a/libraries/relay/relayed_calls.h
+++ b/libraries/relay/relayed_calls.h
@@ -40,7 +40,7 @@
     std::function<DataCentre(const WorkerId&)> data_centre_of;
   };
 
-  RelayedCalls(scheduler::WorkerCalls own,
+  RelayedCalls(scheduler::WorkerCalls direct_calls,
                kj::Timer& timer,
                LeaderEpoch epoch,
                Host host);
@@ -49,7 +49,7 @@
 
   // Sets the controllers that may be relays, opens new relays and checks the
   // open calls of the present ones. Called often.
-  void Sync(const std::set<ProcessName>& controllers, SteadyTime now);
+  void UpdateRelays(const std::set<ProcessName>& controllers, SteadyTime now);
 
   // Each of these makes a call to a worker, through its relay or directly.
   kj::Promise<scheduler::RenewAnswer> Renew(const scheduler::RenewOrder& order);
@@ -71,20 +71,20 @@
   };
 
   void Open(const ProcessName& controller);
-  void NoteChange(std::size_t number);
+  void UpdateRoute(std::size_t number);
   RelayLink* FindLink(const WorkerId& worker, std::size_t& number);
   kj::Promise<RelayAnswer> Call(const WorkerId& worker,
                                 CallBody body,
                                 Milliseconds limit,
                                 RelayLink& link,
                                 std::size_t number);
-  kj::Promise<scheduler::RenewAnswer> Relayed(const WorkerId& worker,
-                                              CallBody body,
-                                              Milliseconds limit,
-                                              RelayLink& link,
-                                              std::size_t number);
+  kj::Promise<scheduler::RenewAnswer> CallForReport(const WorkerId& worker,
+                                                    CallBody body,
+                                                    Milliseconds limit,
+                                                    RelayLink& link,
+                                                    std::size_t number);
 
-  scheduler::WorkerCalls own;
+  scheduler::WorkerCalls direct_calls;
   kj::Timer& timer;
   LeaderEpoch epoch;
   Host host;
@@ -93,12 +93,12 @@
   // object.
   std::shared_ptr<RelayRoutes> routes = std::make_shared<RelayRoutes>();
   // The workers to which the leader itself may have connections.
-  std::unordered_set<WorkerId> own_workers;
+  std::unordered_set<WorkerId> directly_called_workers;
   std::map<ProcessName, Relay> relays;
   // The links by their numbers; null for those that were removed.
   std::vector<RelayLink*> links;
   // The counters of links that were removed.
-  RelayCounts past;
+  RelayCounts removed_counts;
 };
 
 }  // namespace sumac::relay
--- a/services/sumacd/job_controller.cc
+++ b/services/sumacd/job_controller.cc
@@ -647,7 +647,7 @@
       this->host->replica().membership();
   std::set<ProcessName> controllers;
   if (!this->uses_relays) {
-    this->relayed->Sync(controllers, now);
+    this->relayed->UpdateRelays(controllers, now);
     return;
   }
   for (const auto* members : {&membership.voters, &membership.learners}) {
@@ -656,7 +656,7 @@
     }
   }
   controllers.erase(this->settings.process());
-  this->relayed->Sync(controllers, now);
+  this->relayed->UpdateRelays(controllers, now);
 }
 
 absl::StatusOr<wire::Relay::Client> JobController::OpenRelay(
--- a/tests/libraries/relay/relay_link_test.cc
+++ b/tests/libraries/relay/relay_link_test.cc
@@ -104,7 +104,7 @@
     this->link.emplace(
         *this->channel, this->io.provider->getTimer(), kEpoch,
         RelayLink::Host{.lease_end = [this] { return this->lease_end; },
-                        .note_change = [this] { ++this->changes; }});
+                        .on_change = [this] { ++this->changes; }});
   }
 
   // NOTE: Destructors of kj may throw, the destructor of a gtest fixture may
--- a/tests/libraries/relay/relayed_calls_test.cc
+++ b/tests/libraries/relay/relayed_calls_test.cc
@@ -86,7 +86,7 @@
     constexpr Milliseconds kStep{5};
     for (int step = 0; step < kMostSteps && this->calls->open_relays() == 0;
          ++step) {
-      this->calls->Sync({ProcessName("c2")}, SystemClock().SteadyNow());
+      this->calls->UpdateRelays({ProcessName("c2")}, SystemClock().SteadyNow());
       this->io.provider->getTimer()
           .afterDelay(ToKj(kStep))
           .wait(this->io.waitScope);
@@ -117,7 +117,7 @@
   this->OpenRelay();
   EXPECT_EQ(this->Renew(), scheduler::OrderResult::kDone);
   EXPECT_EQ(this->by_relay, 1);
-  this->calls->Sync({}, SystemClock().SteadyNow());
+  this->calls->UpdateRelays({}, SystemClock().SteadyNow());
   EXPECT_EQ(this->Renew(), scheduler::OrderResult::kDone);
   EXPECT_EQ(this->by_leader, 2);
 }
