--- a/libraries/relay/relay_link.cc
+++ b/libraries/relay/relay_link.cc
@@ -19,21 +19,21 @@
 constexpr Milliseconds kOpenInterval{500};
 // A relay that does not answer within this time is given up. Workers' leases
 // last several times as long.
-constexpr Milliseconds kRelayLimit{1'000};
+constexpr Milliseconds kRelayTimeout{1'000};
 // The time that renewals wait for others, so that a batch contains several.
 // Orders are sent at once.
-constexpr Milliseconds kGatherTime{10};
+constexpr Milliseconds kBatchDelay{10};
 // The time allowed for an answer in addition to the worker's own, for the
 // transmission to the relay and the queue there.
 constexpr Milliseconds kAnswerSlack{2'000};
 // A relay calls a worker a second time if the connection turns out to be
 // closed.
-constexpr int kTries = 2;
+constexpr int kMaxTries = 2;
 // The interval at which the relay's clock is read while there are no calls.
-constexpr Milliseconds kClockInterval{1'000};
+constexpr Milliseconds kClockReadInterval{1'000};
 // Keeps a message to a few hundred kilobytes; the receiver accepts up to 64
 // MiB.
-constexpr std::size_t kMostCallsOfBatch = 512;
+constexpr std::size_t kMaxCallsPerBatch = 512;
 
 bool IsOrder(const CallBody& body) {
   return !std::holds_alternative<RenewCall>(body) &&
@@ -58,7 +58,7 @@
 
   kj::Promise<void> take(TakeContext context) override {
     if (this->link != nullptr) {
-      this->link->Take(context.getParams().getAnswers());
+      this->link->HandleAnswers(context.getParams().getAnswers());
     }
     return kj::READY_NOW;
   }
@@ -95,7 +95,7 @@
   request.setEpoch(this->epoch.value());
   request.setAnswers(kj::mv(new_sink));
   auto opened = this->channel.Guard(
-      kRelayLimit,
+      kRelayTimeout,
       request.send().then(
           [](auto&& response)
               -> kj::Own<capnp::Response<wire::Peer::OpenRelayResults>> {
@@ -111,9 +111,9 @@
           this->Close(answer.message);
           return;
         }
-        this->TakeOpened(response->getRelay(),
-                         RelayTime(response->getClockMs()),
-                         DataCentre(wire::ToString(response->getDataCentre())));
+        this->FinishOpening(
+            response->getRelay(), RelayTime(response->getClockMs()),
+            DataCentre(wire::ToString(response->getDataCentre())));
       },
       [this, own_generation](kj::Exception&& exception) {
         if (own_generation == this->generation) {
@@ -122,9 +122,9 @@
       }));
 }
 
-void RelayLink::TakeOpened(wire::Relay::Client new_relay,
-                           RelayTime reading,
-                           DataCentre data_centre) {
+void RelayLink::FinishOpening(wire::Relay::Client new_relay,
+                              RelayTime reading,
+                              DataCentre data_centre) {
   this->relay = kj::mv(new_relay);
   this->relay_data_centre = std::move(data_centre);
   this->relay_clock = RelayClock();
@@ -151,12 +151,12 @@
     this->sink = nullptr;
   }
   this->FailQueued();
-  auto lost = std::exchange(this->open, {});
+  auto lost = std::exchange(this->calls_by_id, {});
   for (auto& [id, call] : lost) {
     call.fulfiller->fulfill(
         RelayAnswer{id, scheduler::OrderResult::kRelayLost});
   }
-  this->done.lost += lost.size();
+  this->call_counts.lost += lost.size();
   if (was_open) {
     LogEvent(LogLevel::kWarning, "relay-closed",
              {{"relay", this->channel.address()},
@@ -170,8 +170,8 @@
 // its lateness is added to the time limit.
 void RelayLink::CheckOpenCalls(SteadyTime now) {
   std::vector<std::uint64_t> overdue;
-  for (const auto& [id, call] : this->open) {
-    if (call.due + ReadLateness() >= now) {
+  for (const auto& [id, call] : this->calls_by_id) {
+    if (call.answer_deadline + ReadLateness() >= now) {
       continue;
     }
     if (this->answered_at <= call.made_at) {
@@ -181,9 +181,9 @@
     overdue.push_back(id);
   }
   for (const std::uint64_t id : overdue) {
-    this->LoseCall(id);
+    this->GiveUpCall(id);
   }
-  if (this->is_open() && now - this->clock_read_at >= kClockInterval) {
+  if (this->is_open() && now - this->clock_read_at >= kClockReadInterval) {
     KJ_IF_MAYBE (present, this->relay) {
       this->SendBatch(*present, {});
     }
@@ -192,20 +192,22 @@
 
 // Gives up a single call. The relay stays open, since it has answered others in
 // the meantime.
-void RelayLink::LoseCall(std::uint64_t id) {
-  ++this->done.lost;
+void RelayLink::GiveUpCall(std::uint64_t id) {
+  ++this->call_counts.lost;
   this->Fulfill({id, scheduler::OrderResult::kRelayLost});
 }
 
-kj::Promise<RelayAnswer> RelayLink::Call(CallBody body, Milliseconds limit) {
+kj::Promise<RelayAnswer> RelayLink::Call(CallBody body,
+                                         Milliseconds worker_timeout) {
   if (!this->is_open()) {
     return RelayAnswer{0, scheduler::OrderResult::kNotSent};
   }
   const std::uint64_t id = ++this->last_id;
   const SteadyTime now = this->clock.SteadyNow();
   auto paf = kj::newPromiseAndFulfiller<RelayAnswer>();
-  this->open.emplace(id, OpenCall{kj::mv(paf.fulfiller), now,
-                                  now + kTries * limit + kAnswerSlack});
+  this->calls_by_id.emplace(
+      id, OpenCall{kj::mv(paf.fulfiller), now,
+                   now + kMaxTries * worker_timeout + kAnswerSlack});
   this->Enqueue(std::move(body), id);
   return kj::mv(paf.promise);
 }
@@ -224,14 +226,14 @@
 
 // Orders of one planning pass are sent together, with all queued renewals.
 void RelayLink::ScheduleFlush(bool is_urgent) {
-  if (is_urgent && !std::exchange(this->is_flush_near, true)) {
+  if (is_urgent && !std::exchange(this->is_urgent_flush_scheduled, true)) {
     this->tasks.add(kj::evalLater([this] {
-      this->is_flush_near = false;
+      this->is_urgent_flush_scheduled = false;
       this->Flush();
     }));
   }
   if (!is_urgent && !std::exchange(this->is_flush_scheduled, true)) {
-    this->tasks.add(this->timer.afterDelay(ToKj(kGatherTime)).then([this] {
+    this->tasks.add(this->timer.afterDelay(ToKj(kBatchDelay)).then([this] {
       this->is_flush_scheduled = false;
       this->Flush();
     }));
@@ -271,7 +273,7 @@
   for (RelayCall& call : std::exchange(this->queue, {})) {
     call.expires = *expires;
     batch.push_back(std::move(call));
-    if (batch.size() == kMostCallsOfBatch) {
+    if (batch.size() == kMaxCallsPerBatch) {
       this->SendBatch(present, batch);
       batch.clear();
     }
@@ -286,13 +288,13 @@
                           const std::vector<RelayCall>& calls) {
   auto request = present.carryRequest();
   WriteCalls(calls, request.initCalls());
-  this->done.calls += calls.size();
-  ++this->done.batches;
+  this->call_counts.calls += calls.size();
+  ++this->call_counts.batches;
   this->clock_read_at = this->clock.SteadyNow();
-  auto carried =
-      this->channel.Guard(kRelayLimit, request.send().then([](auto&& response) {
-        return RelayTime(response.getClockMs());
-      }));
+  auto carried = this->channel.Guard(kRelayTimeout,
+                                     request.send().then([](auto&& response) {
+                                       return RelayTime(response.getClockMs());
+                                     }));
   this->tasks.add(carried.then(
       [this, own_generation = this->generation](RelayTime reading) {
         if (own_generation == this->generation) {
@@ -306,13 +308,13 @@
       }));
 }
 
-void RelayLink::Take(wire::RelayedAnswers::Reader answers) {
+void RelayLink::HandleAnswers(wire::RelayedAnswers::Reader answers) {
   this->relay_clock.RecordReading(RelayTime(answers.getClockMs()),
                                   this->clock.SteadyNow());
   this->answered_at = this->clock.SteadyNow();
-  ++this->done.answer_batches;
+  ++this->call_counts.answer_batches;
   for (const auto item : answers.getAnswers()) {
-    ++this->done.answers;
+    ++this->call_counts.answers;
     RelayAnswer answer = ReadAnswer(item);
     answer.is_refused_by_relay =
         answer.result == scheduler::OrderResult::kNotSent;
@@ -321,10 +323,10 @@
 }
 
 void RelayLink::Fulfill(RelayAnswer&& answer) {
-  const auto found = this->open.find(answer.id);
-  if (found != this->open.end()) {
+  const auto found = this->calls_by_id.find(answer.id);
+  if (found != this->calls_by_id.end()) {
     found->second.fulfiller->fulfill(std::move(answer));
-    this->open.erase(found);
+    this->calls_by_id.erase(found);
   }
 }
 
--- a/libraries/relay/relay_link.h
+++ b/libraries/relay/relay_link.h
@@ -54,12 +54,13 @@
   bool is_open() const { return this->state == State::kOpen; }
   // The data centre of the relay, as the relay reported it.
   const DataCentre& data_centre() const { return this->relay_data_centre; }
-  const RelayCounts& counts() const { return this->done; }
-  std::size_t open_calls() const { return this->open.size(); }
+  const RelayCounts& counts() const { return this->call_counts; }
+  std::size_t open_calls() const { return this->calls_by_id.size(); }
 
-  // Has the relay make a call for which the worker may take up to `limit`. The
-  // promise never fails; without an open relay the result is kNotSent.
-  kj::Promise<RelayAnswer> Call(CallBody body, Milliseconds limit);
+  // Has the relay make a call for which the worker may take up to
+  // `worker_timeout`. The promise never fails; without an open relay the result
+  // is kNotSent.
+  kj::Promise<RelayAnswer> Call(CallBody body, Milliseconds worker_timeout);
   // Has the relay close its connections to a worker.
   void Forget(const WorkerId& worker);
 
@@ -70,14 +71,14 @@
     kj::Own<kj::PromiseFulfiller<RelayAnswer>> fulfiller;
     SteadyTime made_at{};
     // The time after which a missing answer is attributed to the relay.
-    SteadyTime due{};
+    SteadyTime answer_deadline{};
   };
 
   void taskFailed(kj::Exception&& exception) override;
 
-  void TakeOpened(wire::Relay::Client relay,
-                  RelayTime reading,
-                  DataCentre data_centre);
+  void FinishOpening(wire::Relay::Client relay,
+                     RelayTime reading,
+                     DataCentre data_centre);
   void Close(const std::string& reason);
   void Enqueue(CallBody body, std::uint64_t id);
   void ScheduleFlush(bool is_urgent);
@@ -86,8 +87,8 @@
   void SendQueue(wire::Relay::Client& relay, SteadyTime lease_end);
   void SendBatch(wire::Relay::Client& relay,
                  const std::vector<RelayCall>& calls);
-  void LoseCall(std::uint64_t id);
-  void Take(wire::RelayedAnswers::Reader answers);
+  void GiveUpCall(std::uint64_t id);
+  void HandleAnswers(wire::RelayedAnswers::Reader answers);
   void Fulfill(RelayAnswer&& answer);
 
   rpc::Channel& channel;
@@ -109,10 +110,10 @@
   AnswerSink* sink = nullptr;
   std::uint64_t last_id = 0;
   std::vector<RelayCall> queue;
-  std::unordered_map<std::uint64_t, OpenCall> open;
-  bool is_flush_near = false;
+  std::unordered_map<std::uint64_t, OpenCall> calls_by_id;
+  bool is_urgent_flush_scheduled = false;
   bool is_flush_scheduled = false;
-  RelayCounts done;
+  RelayCounts call_counts;
   kj::TaskSet tasks;
 };
 
--- a/libraries/relay/relay_service.cc
+++ b/libraries/relay/relay_service.cc
@@ -17,10 +17,10 @@
 // The minimum time between two batches of answers. An answer after a longer
 // pause is sent at once; others are gathered, since a batch costs the leader
 // more than a single answer in it.
-constexpr Milliseconds kGatherTime{10};
+constexpr Milliseconds kBatchDelay{10};
 // Limits the size of a message, which the leader accepts up to 64 MiB: a single
 // report may list hundreds of ends.
-constexpr std::size_t kMostAnswersOfBatch = 256;
+constexpr std::size_t kMaxAnswersPerBatch = 256;
 
 }  // namespace
 
@@ -120,8 +120,8 @@
   }
   this->is_flush_scheduled = true;
   const SteadyTime now = this->clock.SteadyNow();
-  const Milliseconds pause = std::clamp(this->flushed_at + kGatherTime - now,
-                                        Milliseconds(0), kGatherTime);
+  const Milliseconds pause = std::clamp(this->flushed_at + kBatchDelay - now,
+                                        Milliseconds(0), kBatchDelay);
   this->tasks.add(this->timer.afterDelay(ToKj(pause)).then([this] {
     this->is_flush_scheduled = false;
     this->Flush();
@@ -135,7 +135,7 @@
   auto request = this->answers.takeRequest();
   auto batch = request.initAnswers();
   batch.setClockMs(this->flushed_at.time_since_epoch().count());
-  const std::size_t count = std::min(this->queue.size(), kMostAnswersOfBatch);
+  const std::size_t count = std::min(this->queue.size(), kMaxAnswersPerBatch);
   const auto end = this->queue.begin() + static_cast<std::ptrdiff_t>(count);
   WriteAnswers({this->queue.data(), count}, batch);
   this->queue.erase(this->queue.begin(), end);
--- a/libraries/relay/relayed_calls.cc
+++ b/libraries/relay/relayed_calls.cc
@@ -105,10 +105,10 @@
 
 kj::Promise<RelayAnswer> RelayedCalls::Call(const WorkerId& worker,
                                             CallBody body,
-                                            Milliseconds limit,
+                                            Milliseconds worker_timeout,
                                             RelayLink& link,
                                             std::size_t number) {
-  return link.Call(std::move(body), limit)
+  return link.Call(std::move(body), worker_timeout)
       .then(
           [shared_routes = this->routes, worker, number](RelayAnswer&& answer) {
             if (HasFailed(answer)) {
@@ -122,10 +122,10 @@
 kj::Promise<scheduler::RenewAnswer> RelayedCalls::CallForReport(
     const WorkerId& worker,
     CallBody body,
-    Milliseconds limit,
+    Milliseconds worker_timeout,
     RelayLink& link,
     std::size_t number) {
-  return this->Call(worker, std::move(body), limit, link, number)
+  return this->Call(worker, std::move(body), worker_timeout, link, number)
       .then([](RelayAnswer&& answer) {
         scheduler::RenewAnswer renewed{.result = answer.result};
         if (answer.report) {
--- a/libraries/relay/relayed_calls.h
+++ b/libraries/relay/relayed_calls.h
@@ -75,12 +75,12 @@
   RelayLink* FindLink(const WorkerId& worker, std::size_t& number);
   kj::Promise<RelayAnswer> Call(const WorkerId& worker,
                                 CallBody body,
-                                Milliseconds limit,
+                                Milliseconds worker_timeout,
                                 RelayLink& link,
                                 std::size_t number);
   kj::Promise<scheduler::RenewAnswer> CallForReport(const WorkerId& worker,
                                                     CallBody body,
-                                                    Milliseconds limit,
+                                                    Milliseconds worker_timeout,
                                                     RelayLink& link,
                                                     std::size_t number);
 
--- a/tests/libraries/relay/relay_link_test.cc
+++ b/tests/libraries/relay/relay_link_test.cc
@@ -20,7 +20,7 @@
 namespace sumac::relay {
 namespace {
 
-constexpr Milliseconds kLimit{400};
+constexpr Milliseconds kWorkerTimeout{400};
 constexpr LeaderEpoch kEpoch{3};
 
 // Workers that answer all calls, or hold back the answers to orders while
@@ -158,11 +158,11 @@
   this->Open();
   EXPECT_EQ(this->link->data_centre(), DataCentre("north"));
   const RelayAnswer stopped =
-      this->link->Call(Stop(), kLimit).wait(this->io.waitScope);
+      this->link->Call(Stop(), kWorkerTimeout).wait(this->io.waitScope);
   EXPECT_EQ(stopped.result, scheduler::OrderResult::kDone);
   EXPECT_EQ(stopped.clock, scheduler::WorkerTime(8));
   const RelayAnswer renewed =
-      this->link->Call(RenewCall{{.worker = WorkerId("w-1")}}, kLimit)
+      this->link->Call(RenewCall{{.worker = WorkerId("w-1")}}, kWorkerTimeout)
           .wait(this->io.waitScope);
   ASSERT_NE(renewed.report, nullptr);
   EXPECT_EQ(renewed.report->clock, scheduler::WorkerTime(5));
@@ -176,7 +176,7 @@
   std::vector<kj::Promise<RelayAnswer>> answers;
   answers.reserve(kOrders);
   for (int count = 0; count < kOrders; ++count) {
-    answers.push_back(this->link->Call(Stop(), kLimit));
+    answers.push_back(this->link->Call(Stop(), kWorkerTimeout));
   }
   for (auto& answer : answers) {
     EXPECT_EQ(answer.wait(this->io.waitScope).result,
@@ -192,7 +192,7 @@
   constexpr Milliseconds kLease{300};
   this->Open();
   this->lease_end = this->clock.SteadyNow() + kLease;
-  this->link->Call(Stop(), kLimit).wait(this->io.waitScope);
+  this->link->Call(Stop(), kWorkerTimeout).wait(this->io.waitScope);
   const auto& order = std::get<scheduler::StopOrder>(this->workers.orders[0]);
   EXPECT_GT(order.longest_wait, Milliseconds(0));
   EXPECT_LE(order.longest_wait, kLease);
@@ -201,24 +201,27 @@
 TEST_F(RelayLinkTest, ACallWhoseTimeIsOverIsNotMade) {
   this->Open();
   this->lease_end = this->clock.SteadyNow() - Milliseconds(1);
-  EXPECT_EQ(this->link->Call(Stop(), kLimit).wait(this->io.waitScope).result,
-            scheduler::OrderResult::kNotSent);
+  EXPECT_EQ(
+      this->link->Call(Stop(), kWorkerTimeout).wait(this->io.waitScope).result,
+      scheduler::OrderResult::kNotSent);
   EXPECT_TRUE(this->workers.orders.empty());
 }
 
 TEST_F(RelayLinkTest, ALeaderWithoutALeaseSendsNothing) {
   this->Open();
   this->lease_end.reset();
-  EXPECT_EQ(this->link->Call(Stop(), kLimit).wait(this->io.waitScope).result,
-            scheduler::OrderResult::kNotSent);
+  EXPECT_EQ(
+      this->link->Call(Stop(), kWorkerTimeout).wait(this->io.waitScope).result,
+      scheduler::OrderResult::kNotSent);
   EXPECT_EQ(this->link->counts().batches, 0U);
 }
 
 TEST_F(RelayLinkTest, ARelayMakesNoCallsOnceALaterLeadershipIsKnown) {
   this->Open();
   this->known_epoch = kEpoch.Next();
-  EXPECT_EQ(this->link->Call(Stop(), kLimit).wait(this->io.waitScope).result,
-            scheduler::OrderResult::kNotSent);
+  EXPECT_EQ(
+      this->link->Call(Stop(), kWorkerTimeout).wait(this->io.waitScope).result,
+      scheduler::OrderResult::kNotSent);
   EXPECT_TRUE(this->workers.orders.empty());
 }
 
@@ -227,10 +230,10 @@
 TEST_F(RelayLinkTest, WhatALostRelayHadIsUnknown) {
   this->Open();
   this->workers.answers = false;
-  auto answer = this->link->Call(Stop(), kLimit);
+  auto answer = this->link->Call(Stop(), kWorkerTimeout);
   this->WaitFor([this] { return !this->workers.orders.empty(); });
   this->LoseRelay();
-  auto next = this->link->Call(Stop(), kLimit);
+  auto next = this->link->Call(Stop(), kWorkerTimeout);
   EXPECT_EQ(answer.wait(this->io.waitScope).result,
             scheduler::OrderResult::kRelayLost);
   EXPECT_EQ(next.wait(this->io.waitScope).result,
@@ -242,7 +245,7 @@
 TEST_F(RelayLinkTest, WhatHasNotLeftBeforeTheLinkEndsNeverDoes) {
   this->Open();
   auto answer =
-      this->link->Call(RenewCall{{.worker = WorkerId("w-1")}}, kLimit);
+      this->link->Call(RenewCall{{.worker = WorkerId("w-1")}}, kWorkerTimeout);
   this->link.reset();
   EXPECT_EQ(answer.wait(this->io.waitScope).result,
             scheduler::OrderResult::kNotSent);
@@ -253,7 +256,7 @@
   constexpr Milliseconds kBeyond{60'000};
   this->Open();
   this->workers.answers = false;
-  auto answer = this->link->Call(Stop(), kLimit);
+  auto answer = this->link->Call(Stop(), kWorkerTimeout);
   this->WaitFor([this] { return !this->workers.orders.empty(); });
   this->link->CheckOpenCalls(this->clock.SteadyNow());
   EXPECT_TRUE(this->link->is_open());
