--- a/libraries/relay/relay_service.cc
+++ b/libraries/relay/relay_service.cc
@@ -42,7 +42,7 @@
   for (const auto item : batch.getCalls()) {
     absl::StatusOr<RelayCall> call = ReadCall(item, texts, this->epoch);
     if (call.ok()) {
-      this->Make(*std::move(call));
+      this->MakeCall(*std::move(call));
       continue;
     }
     LogEvent(LogLevel::kError, "relayed-call-malformed",
@@ -58,37 +58,39 @@
 // Makes a call, unless its deadline has passed or a later leadership is known.
 // NOTE: The remaining time is checked again right before the call is sent,
 // since the call may wait for its connection and this machine may be suspended.
-void RelayService::Make(RelayCall call) {
+void RelayService::MakeCall(RelayCall call) {
   const SteadyTime expires{Milliseconds(call.expires.value())};
-  const Milliseconds left = expires - this->clock.SteadyNow();
+  const Milliseconds time_left = expires - this->clock.SteadyNow();
   if (const auto* forget = std::get_if<ForgetCall>(&call.body)) {
     this->workers.calls.forget(forget->worker);
     return;
   }
-  if (left <= Milliseconds(0) || !this->host.is_current(this->epoch)) {
+  if (time_left <= Milliseconds(0) || !this->host.is_current(this->epoch)) {
     this->Answer({call.id, scheduler::OrderResult::kNotSent});
     return;
   }
   std::visit(
-      [this, &call, left](auto& body) {
+      [this, &call, time_left](auto& body) {
         using Body = std::decay_t<decltype(body)>;
         if constexpr (std::is_same_v<Body, RenewCall>) {
-          body.order.longest_wait = left;
+          body.order.longest_wait = time_left;
           this->MakeRenewal(call.id, this->workers.calls.renew(body.order));
         } else if constexpr (std::is_same_v<Body, ReportCall>) {
-          body.order.longest_wait = left;
+          body.order.longest_wait = time_left;
           this->MakeRenewal(call.id,
                             this->workers.calls.request_report(body.order));
         } else if constexpr (!std::is_same_v<Body, ForgetCall>) {
-          this->MakeOrder(call.id, std::move(body), left);
+          this->MakeOrder(call.id, std::move(body), time_left);
         }
       },
       call.body);
 }
 
 template <typename Order>
-void RelayService::MakeOrder(std::uint64_t id, Order order, Milliseconds left) {
-  order.longest_wait = left;
+void RelayService::MakeOrder(std::uint64_t id,
+                             Order order,
+                             Milliseconds time_left) {
+  order.longest_wait = time_left;
   this->tasks.add(this->workers.calls.send(std::move(order))
                       .then([this, id](const scheduler::OrderAnswer& answer) {
                         this->Answer({id, answer.result, answer.clock});
@@ -114,8 +116,8 @@
 }
 
 void RelayService::ScheduleFlush() {
-  if (this->is_flush_scheduled || this->is_batch_open || this->is_cut_off ||
-      this->queue.empty()) {
+  if (this->is_flush_scheduled || this->is_batch_in_flight ||
+      this->is_leader_unreachable || this->queue.empty()) {
     return;
   }
   this->is_flush_scheduled = true;
@@ -139,14 +141,14 @@
   const auto end = this->queue.begin() + static_cast<std::ptrdiff_t>(count);
   WriteAnswers({this->queue.data(), count}, batch);
   this->queue.erase(this->queue.begin(), end);
-  this->is_batch_open = true;
+  this->is_batch_in_flight = true;
   this->tasks.add(request.send().ignoreResult().then(
       [this] {
-        this->is_batch_open = false;
+        this->is_batch_in_flight = false;
         this->ScheduleFlush();
       },
       [this](kj::Exception&& exception) {
-        this->is_cut_off = true;
+        this->is_leader_unreachable = true;
         LogEvent(LogLevel::kWarning, "relay-cut-off",
                  {{"epoch", this->epoch.value()},
                   {"error", exception.getDescription().cStr()}});
--- a/libraries/relay/relay_service.h
+++ b/libraries/relay/relay_service.h
@@ -49,9 +49,9 @@
  private:
   void taskFailed(kj::Exception&& exception) override;
 
-  void Make(RelayCall call);
+  void MakeCall(RelayCall call);
   template <typename Order>
-  void MakeOrder(std::uint64_t id, Order order, Milliseconds left);
+  void MakeOrder(std::uint64_t id, Order order, Milliseconds time_left);
   void MakeRenewal(std::uint64_t id,
                    kj::Promise<scheduler::RenewAnswer> renewed);
   void Answer(RelayAnswer&& answer);
@@ -67,9 +67,9 @@
   std::vector<RelayAnswer> queue;
   bool is_flush_scheduled = false;
   // True until the leader has acknowledged the last batch.
-  bool is_batch_open = false;
+  bool is_batch_in_flight = false;
   // True once sending to the leader has failed; nothing more is sent to it.
-  bool is_cut_off = false;
+  bool is_leader_unreachable = false;
   SteadyTime flushed_at{};
   // Declared last, so that the tasks are cancelled before the members that they
   // use are destroyed.
