--- a/libraries/relay/relay_codec.cc
+++ b/libraries/relay/relay_codec.cc
@@ -43,27 +43,27 @@
 
 // Assigns each distinct text of a batch its position. Holds views into the
 // calls that are written.
-class TextPlaces {
+class TextTable {
  public:
   std::uint32_t Find(std::string_view text) {
-    const auto [place, is_new] = this->places.try_emplace(
+    const auto [position, is_new] = this->positions.try_emplace(
         text, static_cast<std::uint32_t>(this->texts.size()));
     if (is_new) {
       this->texts.push_back(text);
     }
-    return place->second;
+    return position->second;
   }
 
   void Write(wire::RelayedCalls::Builder builder) const {
     auto list = builder.initTexts(this->texts.size());
-    for (unsigned place = 0; place < this->texts.size(); ++place) {
-      const std::string_view text = this->texts[place];
-      list.set(place, capnp::Text::Reader(text.data(), text.size()));
+    for (unsigned position = 0; position < this->texts.size(); ++position) {
+      const std::string_view text = this->texts[position];
+      list.set(position, capnp::Text::Reader(text.data(), text.size()));
     }
   }
 
  private:
-  std::map<std::string_view, std::uint32_t> places;
+  std::map<std::string_view, std::uint32_t> positions;
   std::vector<std::string_view> texts;
 };
 
@@ -78,7 +78,7 @@
 // Writes the body of a call, with one overload for each kind of call.
 struct BodyWriter {
   wire::RelayedCall::Builder builder;
-  TextPlaces& texts;
+  TextTable& texts;
 
   void operator()(const RenewCall& call) {
     this->WriteTarget(call.order);
@@ -201,22 +201,22 @@
       report.born.value_or(WallTime()).time_since_epoch().count());
   builder.setHasMoreEnds(report.has_more_ends);
   auto running = builder.initRunning(report.running.size());
-  for (unsigned place = 0; place < report.running.size(); ++place) {
-    const RunningReport& run = report.running[place];
-    WriteTask(run.task, running[place].initTask());
-    running[place].setRun(run.run.value());
-    running[place].setCheckpoint(run.checkpoint);
-    running[place].setPercent(run.percent);
-    running[place].setLoad(run.load);
+  for (unsigned position = 0; position < report.running.size(); ++position) {
+    const RunningReport& run = report.running[position];
+    WriteTask(run.task, running[position].initTask());
+    running[position].setRun(run.run.value());
+    running[position].setCheckpoint(run.checkpoint);
+    running[position].setPercent(run.percent);
+    running[position].setLoad(run.load);
   }
   auto ended = builder.initEnded(report.ended.size());
-  for (unsigned place = 0; place < report.ended.size(); ++place) {
-    const EndReport& end = report.ended[place];
-    ended[place].setNumber(end.number);
-    WriteTask(end.task, ended[place].initTask());
-    ended[place].setRun(end.run.value());
-    ended[place].setCause(static_cast<std::uint16_t>(end.cause));
-    ended[place].setCheckpoint(end.checkpoint);
+  for (unsigned position = 0; position < report.ended.size(); ++position) {
+    const EndReport& end = report.ended[position];
+    ended[position].setNumber(end.number);
+    WriteTask(end.task, ended[position].initTask());
+    ended[position].setRun(end.run.value());
+    ended[position].setCause(static_cast<std::uint16_t>(end.cause));
+    ended[position].setCheckpoint(end.checkpoint);
   }
 }
 
@@ -269,12 +269,12 @@
 
 void WriteCalls(const std::vector<RelayCall>& calls,
                 wire::RelayedCalls::Builder builder) {
-  TextPlaces texts;
+  TextTable texts;
   auto list = builder.initCalls(calls.size());
-  for (unsigned place = 0; place < calls.size(); ++place) {
-    list[place].setId(calls[place].id);
-    list[place].setExpiresMs(calls[place].expires.value());
-    std::visit(BodyWriter{list[place], texts}, calls[place].body);
+  for (unsigned position = 0; position < calls.size(); ++position) {
+    list[position].setId(calls[position].id);
+    list[position].setExpiresMs(calls[position].expires.value());
+    std::visit(BodyWriter{list[position], texts}, calls[position].body);
   }
   texts.Write(builder);
 }
@@ -306,14 +306,14 @@
 void WriteAnswers(std::span<const RelayAnswer> answers,
                   wire::RelayedAnswers::Builder builder) {
   auto list = builder.initAnswers(answers.size());
-  for (unsigned place = 0; place < answers.size(); ++place) {
-    const RelayAnswer& answer = answers[place];
-    list[place].setId(answer.id);
-    list[place].setResult(static_cast<std::uint16_t>(answer.result));
-    list[place].setHasClock(answer.clock.has_value());
-    list[place].setClock(answer.clock.value_or(WorkerTime()).value());
+  for (unsigned position = 0; position < answers.size(); ++position) {
+    const RelayAnswer& answer = answers[position];
+    list[position].setId(answer.id);
+    list[position].setResult(static_cast<std::uint16_t>(answer.result));
+    list[position].setHasClock(answer.clock.has_value());
+    list[position].setClock(answer.clock.value_or(WorkerTime()).value());
     if (answer.report) {
-      WriteReport(*answer.report, list[place].initReport());
+      WriteReport(*answer.report, list[position].initReport());
     }
   }
 }
--- a/tests/libraries/relay/relay_codec_test.cc
+++ b/tests/libraries/relay/relay_codec_test.cc
@@ -139,17 +139,17 @@
   RC_ASSERT(read.report->clock == wanted.clock);
   RC_ASSERT(read.report->has_more_ends == wanted.has_more_ends);
   RC_ASSERT(read.report->running.size() == wanted.running.size());
-  for (std::size_t place = 0; place < wanted.running.size(); ++place) {
-    const scheduler::RunningReport& one = read.report->running[place];
-    const scheduler::RunningReport& other = wanted.running[place];
+  for (std::size_t position = 0; position < wanted.running.size(); ++position) {
+    const scheduler::RunningReport& one = read.report->running[position];
+    const scheduler::RunningReport& other = wanted.running[position];
     RC_ASSERT(one.task == other.task && one.run == other.run);
     RC_ASSERT(one.checkpoint == other.checkpoint);
     RC_ASSERT(one.percent == other.percent && one.load == other.load);
   }
   RC_ASSERT(read.report->ended.size() == wanted.ended.size());
-  for (std::size_t place = 0; place < wanted.ended.size(); ++place) {
-    const scheduler::EndReport& one = read.report->ended[place];
-    const scheduler::EndReport& other = wanted.ended[place];
+  for (std::size_t position = 0; position < wanted.ended.size(); ++position) {
+    const scheduler::EndReport& one = read.report->ended[position];
+    const scheduler::EndReport& other = wanted.ended[position];
     RC_ASSERT(one.number == other.number && one.task == other.task);
     RC_ASSERT(one.run == other.run && one.cause == other.cause);
     RC_ASSERT(one.checkpoint == other.checkpoint);
