--- a/tests/libraries/relay/relay_clock_test.cc
+++ b/tests/libraries/relay/relay_clock_test.cc
@@ -13,7 +13,7 @@
   return SteadyTime(Milliseconds(milliseconds));
 }
 
-TEST(RelayClockTest, AnOldReadingTellsNothing) {
+TEST(RelayClockTest, AnOldReadingIsNotUsed) {
   RelayClock clock;
   EXPECT_FALSE(clock.LowerBoundAt(At(0), At(0)));
   clock.RecordReading(RelayTime(70'000), At(1'000));
--- a/tests/libraries/relay/relay_link_test.cc
+++ b/tests/libraries/relay/relay_link_test.cc
@@ -154,7 +154,7 @@
   std::optional<RelayLink> link;
 };
 
-TEST_F(RelayLinkTest, CallsGoOutAndAnswersComeBack) {
+TEST_F(RelayLinkTest, CallsAreSentAndAnswersReturned) {
   this->Open();
   EXPECT_EQ(this->link->data_centre(), DataCentre("north"));
   const RelayAnswer stopped =
@@ -188,7 +188,7 @@
 
 // A relay may be suspended while it holds an order, so it has to know until
 // when the order may be sent.
-TEST_F(RelayLinkTest, EachCallBringsTheTimeWithinWhichItLeaves) {
+TEST_F(RelayLinkTest, EachCallContainsItsDeadline) {
   constexpr Milliseconds kLease{300};
   this->Open();
   this->lease_end = this->clock.SteadyNow() + kLease;
@@ -198,7 +198,7 @@
   EXPECT_LE(order.longest_wait, kLease);
 }
 
-TEST_F(RelayLinkTest, ACallWhoseTimeIsOverIsNotMade) {
+TEST_F(RelayLinkTest, ACallWhoseDeadlineHasPassedIsNotMade) {
   this->Open();
   this->lease_end = this->clock.SteadyNow() - Milliseconds(1);
   EXPECT_EQ(
@@ -227,7 +227,7 @@
 
 // If the calls counted as never sent, the scheduler would start the task a
 // second time.
-TEST_F(RelayLinkTest, WhatALostRelayHadIsUnknown) {
+TEST_F(RelayLinkTest, CallsOfALostRelayHaveAnUnknownOutcome) {
   this->Open();
   this->workers.answers = false;
   auto answer = this->link->Call(Stop(), kWorkerTimeout);
@@ -242,7 +242,7 @@
   EXPECT_EQ(this->changes, 2);
 }
 
-TEST_F(RelayLinkTest, WhatHasNotLeftBeforeTheLinkEndsNeverDoes) {
+TEST_F(RelayLinkTest, QueuedCallsAreNotSentAfterTheLinkEnds) {
   this->Open();
   auto answer =
       this->link->Call(RenewCall{{.worker = WorkerId("w-1")}}, kWorkerTimeout);
@@ -252,7 +252,7 @@
   EXPECT_TRUE(this->workers.renewals.empty());
 }
 
-TEST_F(RelayLinkTest, ARelayThatKeepsAnAnswerBackIsGivenUp) {
+TEST_F(RelayLinkTest, ARelayThatHoldsBackAnAnswerIsGivenUp) {
   constexpr Milliseconds kBeyond{60'000};
   this->Open();
   this->workers.answers = false;
--- a/tests/libraries/relay/relay_routes_test.cc
+++ b/tests/libraries/relay/relay_routes_test.cc
@@ -73,7 +73,7 @@
 
 // A relay may be cut off from a worker while its connection to the leader
 // works.
-TEST(RelayRoutesTest, AWorkerThatARelayDoesNotReachGetsAnotherForAWhile) {
+TEST(RelayRoutesTest, AWorkerThatARelayCannotReachGetsAnotherForAWhile) {
   constexpr Milliseconds kAvoidTime{5'000};
   RelayRoutes routes;
   routes.Add(0, DataCentre("a"));
--- a/tests/libraries/relay/relayed_calls_test.cc
+++ b/tests/libraries/relay/relayed_calls_test.cc
@@ -124,7 +124,7 @@
 
 // A relay that is late or has no free connection would otherwise block the
 // calls to its workers until their leases end.
-TEST_F(RelayedCallsTest, AWorkerWhoseRelaySendsNothingIsCalledAnotherWay) {
+TEST_F(RelayedCallsTest, AWorkerWhoseRelaySendsNothingIsCalledDirectly) {
   this->OpenRelay();
   this->relay_sends = false;
   EXPECT_EQ(this->Renew(), scheduler::OrderResult::kNotSent);
