--- a/libraries/replication/catch_up_mark.h
+++ b/libraries/replication/catch_up_tracker.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef LIBRARIES_REPLICATION_CATCH_UP_MARK_H_
-#define LIBRARIES_REPLICATION_CATCH_UP_MARK_H_
+#ifndef LIBRARIES_REPLICATION_CATCH_UP_TRACKER_H_
+#define LIBRARIES_REPLICATION_CATCH_UP_TRACKER_H_
 
 #include "libraries/base/names.h"
 
@@ -14,11 +14,11 @@
 // would get its vote back only when the load pauses, about 5 s later under
 // heavy load, and two more failures within that time would leave no quorum.
 // Pure.
-class CatchUpMark {
+class CatchUpTracker {
  public:
   // Records, at each check of the members, the commit index of the leader of
   // `term`.
-  void Note(Term term, LogIndex commit_index) {
+  void RecordCommitIndex(Term term, LogIndex commit_index) {
     this->term = term;
     this->commit_index = commit_index;
   }
@@ -26,7 +26,7 @@
   // Returns true if a member that holds the log up to `match_index` holds all
   // entries that were committed at the last check in this term. Returns false
   // before the first check of a term.
-  bool IsReached(Term current_term, LogIndex match_index) const {
+  bool HasCaughtUp(Term current_term, LogIndex match_index) const {
     return current_term == this->term && this->commit_index > LogIndex(0) &&
            match_index >= this->commit_index;
   }
@@ -38,4 +38,4 @@
 
 }  // namespace sumac::replication
 
-#endif  // LIBRARIES_REPLICATION_CATCH_UP_MARK_H_
+#endif  // LIBRARIES_REPLICATION_CATCH_UP_TRACKER_H_
