--- a/libraries/replication/leadership.h
+++ b/libraries/replication/leadership.h
@@ -27,7 +27,7 @@
   // The position of the snapshot that is being sent.
   LogIndex snapshot_index;
   // The time at which the chunk that begins at snapshot_offset was sent.
-  SteadyTime piece_sent_at{};
+  SteadyTime chunk_sent_at{};
 };
 
 // A leader's progress for each other member, and the quorums that result from
--- a/libraries/replication/replica.cc
+++ b/libraries/replication/replica.cc
@@ -606,7 +606,7 @@
   }
   const std::uint64_t offset = progress.snapshot_offset.value_or(0);
   progress.snapshot_offset = offset;
-  progress.piece_sent_at = now;
+  progress.chunk_sent_at = now;
   SnapshotChunk chunk{.meta = meta, .offset = offset, .sent_at = now};
   if (offset < this->snapshot_state.size()) {
     chunk.data = this->snapshot_state.substr(
@@ -625,7 +625,7 @@
   const bool is_superseded =
       progress.snapshot_index != this->log.snapshot().index;
   const bool is_lost =
-      now - progress.piece_sent_at > this->settings.election_timeout;
+      now - progress.chunk_sent_at > this->settings.election_timeout;
   if (is_superseded || is_lost) {
     this->SendSnapshot(node, progress, now);
     return;
@@ -742,13 +742,15 @@
     this->SendTo(from, *progress, false, now);
     return;
   }
-  const bool is_piece_taken = answer.next_offset > *progress->snapshot_offset;
+  const bool is_chunk_accepted =
+      answer.next_offset > *progress->snapshot_offset;
   // A smaller offset means that the member lost the chunks it had, but only in
   // the answer to the last chunk sent; other answers may be late.
-  const bool has_begun_anew = answer.next_offset < *progress->snapshot_offset &&
-                              answer.sent_at >= progress->piece_sent_at;
+  const bool has_restarted_transfer =
+      answer.next_offset < *progress->snapshot_offset &&
+      answer.sent_at >= progress->chunk_sent_at;
   if (answer.index == progress->snapshot_index &&
-      (is_piece_taken || has_begun_anew)) {
+      (is_chunk_accepted || has_restarted_transfer)) {
     progress->snapshot_offset = answer.next_offset;
     this->SendSnapshot(from, *progress, now);
   }
