--- a/libraries/replication/replica.cc
+++ b/libraries/replication/replica.cc
@@ -79,8 +79,8 @@
     }
     this->hand_over_to.reset();
   }
-  if (std::exchange(this->needs_commit_news, false)) {
-    this->TellCommitIndex(now);
+  if (std::exchange(this->needs_commit_broadcast, false)) {
+    this->SendCommitIndex(now);
   }
   if (now - this->last_heartbeat >= this->settings.heartbeat_interval) {
     this->last_heartbeat = now;
@@ -220,7 +220,7 @@
   return std::exchange(this->output, Output{});
 }
 
-void Replica::NoteWritten(LogIndex index, SteadyTime now) {
+void Replica::HandleLogWritten(LogIndex index, SteadyTime now) {
   this->latest_now = now;
   this->written_index = std::min(index, this->log.last_index());
   if (this->current_role == Role::kLeader) {
@@ -323,7 +323,7 @@
   this->leader_start_index = this->log.last_index();
 }
 
-bool Replica::IsLeaderFresh(SteadyTime now) const {
+bool Replica::HasRecentLeader(SteadyTime now) const {
   if (this->current_role == Role::kLeader) {
     return true;
   }
@@ -345,7 +345,7 @@
   // vote is granted, not even in a newer term: the leader's lease depends on
   // this. The exception is a hand-over, for which the leader gave up its lease.
   const bool is_member = this->membership().is_voter(this->own_id);
-  if (!is_member || (this->IsLeaderFresh(now) && !request.is_hand_over)) {
+  if (!is_member || (this->HasRecentLeader(now) && !request.is_hand_over)) {
     this->Send(from, VoteAnswer{request.is_pre_vote, false});
     return;
   }
@@ -497,7 +497,7 @@
   }
   this->AdvanceCommit(agreed);
   this->is_state_verified = true;
-  this->needs_commit_news = true;
+  this->needs_commit_broadcast = true;
   if (this->is_membership_committed() &&
       !this->membership().is_voter(this->own_id)) {
     this->BecomeFollower(this->hard_state.term, std::nullopt);
@@ -517,7 +517,7 @@
 // Sends the commit index to members to which no other message is in flight, so
 // that they apply the committed entries on this tick rather than at the next
 // heartbeat. Under load, messages with entries contain the commit index.
-void Replica::TellCommitIndex(SteadyTime now) {
+void Replica::SendCommitIndex(SteadyTime now) {
   for (auto& [node, progress] : this->leading->members()) {
     const bool is_idle = progress.is_matched &&
                          progress.messages_in_flight == 0 &&
--- a/services/sumacd/replica_host.cc
+++ b/services/sumacd/replica_host.cc
@@ -513,8 +513,8 @@
   replication::Output output = std::move(this->unwritten.front());
   this->unwritten.pop_front();
   if (!output.entries_to_write.empty()) {
-    this->replica_core->NoteWritten(output.entries_to_write.back().index,
-                                    this->clock.SteadyNow());
+    this->replica_core->HandleLogWritten(output.entries_to_write.back().index,
+                                         this->clock.SteadyNow());
   }
   // What was delivered before the write has nothing left to deliver.
   this->Deliver(output);
--- a/tests/libraries/replication/replica_test.cc
+++ b/tests/libraries/replication/replica_test.cc
@@ -399,7 +399,7 @@
   acknowledge(1);
   EXPECT_EQ(replica->commit_index(), LogIndex(0));
   acknowledge(2);
-  replica->NoteWritten(LogIndex(2), now);
+  replica->HandleLogWritten(LogIndex(2), now);
   EXPECT_EQ(replica->commit_index(), LogIndex(2));
 }
 
@@ -410,7 +410,7 @@
                            AppendAnswer{true, LogIndex(2), now}},
                    now);
   EXPECT_EQ(replica->commit_index(), LogIndex(0));
-  replica->NoteWritten(LogIndex(2), now);
+  replica->HandleLogWritten(LogIndex(2), now);
   EXPECT_EQ(replica->commit_index(), LogIndex(2));
 }
 
