--- a/libraries/replication/replica.cc
+++ b/libraries/replication/replica.cc
@@ -552,10 +552,11 @@
     }
     return;
   }
-  const std::size_t most =
-      progress.is_matched ? this->settings.most_messages_in_flight : 1;
+  const std::size_t max_in_flight =
+      progress.is_matched ? this->settings.max_messages_in_flight : 1;
   const bool has_entries = progress.next_index <= this->log.last_index();
-  if (is_heartbeat || (has_entries && progress.messages_in_flight < most)) {
+  if (is_heartbeat ||
+      (has_entries && progress.messages_in_flight < max_in_flight)) {
     this->SendEntries(node, progress, now);
   }
 }
@@ -569,12 +570,12 @@
                         .commit_index = this->committed_index,
                         .is_under_lease = this->HoldsLease(now),
                         .sent_at = now};
-  const std::size_t most =
-      progress.is_matched ? this->settings.most_messages_in_flight : 1;
-  if (progress.messages_in_flight < most) {
+  const std::size_t max_in_flight =
+      progress.is_matched ? this->settings.max_messages_in_flight : 1;
+  if (progress.messages_in_flight < max_in_flight) {
     request.entries = this->log.Read(progress.next_index,
-                                     this->settings.most_entries_per_message,
-                                     this->settings.most_bytes_per_message);
+                                     this->settings.max_entries_per_message,
+                                     this->settings.max_bytes_per_message);
   }
   if (!request.entries.empty()) {
     ++progress.messages_in_flight;
--- a/libraries/replication/replica_log.h
+++ b/libraries/replication/replica_log.h
@@ -33,8 +33,8 @@
   // Returns entries from `first` on, limited by number and by bytes, but at
   // least one if there is any.
   std::vector<Entry> Read(LogIndex first,
-                          std::size_t most_entries,
-                          std::size_t most_bytes) const;
+                          std::size_t max_entries,
+                          std::size_t max_bytes) const;
 
   // Appends an entry; its index and term must follow the last entry's.
   void Append(Entry entry);
