--- a/tests/libraries/replication/catch_up_tracker_test.cc
+++ b/tests/libraries/replication/catch_up_tracker_test.cc
@@ -19,7 +19,7 @@
   }
 }
 
-TEST(CatchUpTrackerTest, ALearnerThatIsFurtherBehindHasNot) {
+TEST(CatchUpTrackerTest, ALearnerThatIsFurtherBehindHasNotCaughtUp) {
   CatchUpTracker tracker;
   tracker.RecordCommitIndex(kTerm, LogIndex(1'000));
   EXPECT_FALSE(tracker.HasCaughtUp(kTerm, LogIndex(999)));
@@ -28,7 +28,7 @@
 
 // Before the first check of a term an empty learner must not count as caught
 // up.
-TEST(CatchUpTrackerTest, AnotherTermsMarkDoesNotCount) {
+TEST(CatchUpTrackerTest, ACommitIndexOfAnotherTermDoesNotCount) {
   CatchUpTracker tracker;
   EXPECT_FALSE(tracker.HasCaughtUp(Term(0), LogIndex(0)));
   tracker.RecordCommitIndex(kTerm, LogIndex(10));
--- a/tests/libraries/replication/replica_property_test.cc
+++ b/tests/libraries/replication/replica_property_test.cc
@@ -55,15 +55,15 @@
                                           {4, Step::kThaw}});
 }
 
-void Carry(Cluster& cluster,
-           Step step,
-           int& next_command,
-           std::string& history) {
+void ApplyStep(Cluster& cluster,
+               Step step,
+               int& next_command,
+               std::string& history) {
   const auto node = *rc::gen::inRange<std::size_t>(0, kNodes);
-  const auto place = *rc::gen::inRange<std::size_t>(0, 8);
+  const auto position = *rc::gen::inRange<std::size_t>(0, 8);
   history += kStepNames[static_cast<std::size_t>(step)];
   history += " " + std::to_string(node);
-  history += "/" + std::to_string(place);
+  history += "/" + std::to_string(position);
   history += "; ";
   Cluster::Node& chosen = cluster.nodes[node];
   switch (step) {
@@ -71,20 +71,20 @@
       cluster.Tick(Milliseconds(*rc::gen::element(10, 50, 200, 900)));
       break;
     case Step::kDeliver:
-      cluster.Deliver(place);
+      cluster.Deliver(position);
       break;
     case Step::kDeliverAll:
       cluster.Settle();
       break;
     case Step::kDrop:
-      cluster.Drop(place);
+      cluster.Drop(position);
       break;
     case Step::kDuplicate:
-      cluster.Duplicate(place);
+      cluster.Duplicate(position);
       break;
     case Step::kReorder:
-      if (place < cluster.network.size()) {
-        std::swap(cluster.network[place], cluster.network.front());
+      if (position < cluster.network.size()) {
+        std::swap(cluster.network[position], cluster.network.front());
       }
       break;
     case Step::kPropose:
@@ -129,13 +129,13 @@
   }
 }
 
-RC_GTEST_PROP(ReplicaPropertyTest, HoldsItsPromisesInAnyHistory, ()) {
+RC_GTEST_PROP(ReplicaPropertyTest, KeepsItsInvariantsInAnyHistory, ()) {
   Cluster cluster(kNodes, *rc::gen::inRange<std::uint64_t>(1, 1'000'000));
   int next_command = 0;
   std::string history;
   constexpr int kSteps = 300;
   for (int step = 0; step < kSteps; ++step) {
-    Carry(cluster, PickStep(), next_command, history);
+    ApplyStep(cluster, PickStep(), next_command, history);
     const std::string problem = cluster.CheckInvariants();
     if (!problem.empty()) {
       RC_FAIL(history + problem);
--- a/tests/libraries/replication/replica_test.cc
+++ b/tests/libraries/replication/replica_test.cc
@@ -46,7 +46,7 @@
   EXPECT_FALSE(cluster.nodes[*old_leader].replica->HoldsLease(cluster.now));
 }
 
-TEST(ReplicaTest, AFrozenLeaderHoldsNoLeaseWhenItWakes) {
+TEST(ReplicaTest, AFrozenLeaderHoldsNoLeaseWhenItResumes) {
   Cluster cluster(3);
   const auto old_leader = cluster.ElectLeader();
   ASSERT_TRUE(old_leader);
@@ -71,10 +71,10 @@
   cluster.PassTime(Milliseconds(10));
   cluster.Crash(second);
   cluster.Restart(second);
-  Message ask{
+  Message vote_request{
       cluster.nodes[third].id, cluster.nodes[second].id, Term(99),
       VoteRequest{.last_index = LogIndex(1'000), .last_term = Term(99)}};
-  cluster.nodes[second].replica->Receive(ask, cluster.now);
+  cluster.nodes[second].replica->Receive(vote_request, cluster.now);
   const Output output = cluster.nodes[second].replica->TakeOutput();
   ASSERT_EQ(output.messages.size(), 1U);
   EXPECT_FALSE(std::get<VoteAnswer>(output.messages[0].body).is_granted);
@@ -119,11 +119,12 @@
   cluster.Pump(*leader);
   std::deque<Message> held;
   std::erase_if(cluster.network, [&](const Message& message) {
-    const bool is_it = std::holds_alternative<TimeoutNow>(message.body);
-    if (is_it) {
+    const bool is_timeout_now =
+        std::holds_alternative<TimeoutNow>(message.body);
+    if (is_timeout_now) {
       held.push_back(message);
     }
-    return is_it;
+    return is_timeout_now;
   });
   ASSERT_EQ(held.size(), 1U);
   // The leader may not resume this term, since the message may still arrive.
@@ -207,7 +208,7 @@
     }
   }
 
-  std::size_t HeldByLaggard() const {
+  std::size_t AppliedByLaggard() const {
     return this->cluster.nodes[this->laggard].applied.size();
   }
 
@@ -235,10 +236,10 @@
 // Sending the chunk again at each heartbeat would trigger a further chunk for
 // every copy. The transfer would send several times the size of the snapshot,
 // and a busy leader would not finish it.
-TEST(ReplicaTest, ASnapshotGoesOverALinkSlowerThanHeartbeatsOnce) {
+TEST(ReplicaTest, ASnapshotIsSentOnceOverALinkSlowerThanHeartbeats) {
   SnapshotTransfer transfer;
   transfer.PassTime(Milliseconds(20'000), Milliseconds(180));
-  EXPECT_GE(transfer.HeldByLaggard(), 300U);
+  EXPECT_GE(transfer.AppliedByLaggard(), 300U);
   const std::size_t size =
       transfer.cluster.nodes[transfer.laggard].snapshot.state.size();
   EXPECT_GT(size, 2'000U);
@@ -246,24 +247,24 @@
   EXPECT_EQ(transfer.cluster.CheckInvariants(), "");
 }
 
-TEST(ReplicaTest, ASnapshotThatIsSupersededGoesOverAnew) {
+TEST(ReplicaTest, ASupersededSnapshotIsSentAgain) {
   SnapshotTransfer transfer;
   transfer.PassTime(Milliseconds(900), Milliseconds(60));
   transfer.ProposeMany(50);
   transfer.cluster.Compact(transfer.leader);
   transfer.PassTime(Milliseconds(20'000), Milliseconds(60));
-  EXPECT_GE(transfer.HeldByLaggard(), 350U);
+  EXPECT_GE(transfer.AppliedByLaggard(), 350U);
   EXPECT_EQ(transfer.cluster.CheckInvariants(), "");
 }
 
-TEST(ReplicaTest, AMemberThatRestartsInTheMiddleOfASnapshotGetsItAnew) {
+TEST(ReplicaTest, AMemberThatRestartsDuringASnapshotGetsItAgain) {
   SnapshotTransfer transfer;
   transfer.PassTime(Milliseconds(900), Milliseconds(60));
-  ASSERT_LT(transfer.HeldByLaggard(), 300U);
+  ASSERT_LT(transfer.AppliedByLaggard(), 300U);
   transfer.cluster.Crash(transfer.laggard);
   transfer.cluster.Restart(transfer.laggard);
   transfer.PassTime(Milliseconds(20'000), Milliseconds(60));
-  EXPECT_GE(transfer.HeldByLaggard(), 300U);
+  EXPECT_GE(transfer.AppliedByLaggard(), 300U);
   EXPECT_EQ(transfer.cluster.CheckInvariants(), "");
 }
 
@@ -302,10 +303,10 @@
   const std::size_t lost = (*leader + 1) % 3;
   cluster.Crash(lost);
   // The same process returns with a new disk and therefore a new incarnation.
-  const std::size_t blank = cluster.AddNode(NodeId("n9.2"));
+  const std::size_t new_position = cluster.AddNode(NodeId("n9.2"));
   cluster.PassTime(Milliseconds(30'000));
-  EXPECT_EQ(cluster.nodes[blank].replica->role(), Role::kFollower);
-  EXPECT_EQ(cluster.nodes[blank].replica->term(), Term(0));
+  EXPECT_EQ(cluster.nodes[new_position].replica->role(), Role::kFollower);
+  EXPECT_EQ(cluster.nodes[new_position].replica->term(), Term(0));
 }
 
 TEST(ReplicaTest, ALostDiskComesBackAsALearnerAndThenVotes) {
@@ -317,8 +318,8 @@
   const std::size_t lost = (*leader + 1) % 3;
   const NodeId old = cluster.nodes[lost].id;
   cluster.Crash(lost);
-  const NodeId anew("n9.2");
-  const std::size_t blank = cluster.AddNode(anew);
+  const NodeId new_node("n9.2");
+  const std::size_t new_position = cluster.AddNode(new_node);
   Replica& replica = *cluster.nodes[*leader].replica;
   const auto change = [&](auto edit) {
     Membership membership = replica.membership();
@@ -327,12 +328,12 @@
     cluster.PassTime(Milliseconds(1'000));
     ASSERT_EQ(cluster.CheckInvariants(), "");
   };
-  change([&](Membership& membership) { membership.learners.insert(anew); });
-  EXPECT_EQ(cluster.nodes[blank].applied, std::vector<std::string>{"a"});
+  change([&](Membership& membership) { membership.learners.insert(new_node); });
+  EXPECT_EQ(cluster.nodes[new_position].applied, std::vector<std::string>{"a"});
   change([&](Membership& membership) { membership.voters.erase(old); });
   change([&](Membership& membership) {
-    membership.learners.erase(anew);
-    membership.voters.insert(anew);
+    membership.learners.erase(new_node);
+    membership.voters.insert(new_node);
   });
   // If the replica of the old disk starts again, the others ignore it.
   cluster.Restart(lost);
@@ -414,7 +415,7 @@
   EXPECT_EQ(replica->commit_index(), LogIndex(2));
 }
 
-TEST(ReplicaTest, ALeaderWithAStalledDiskCommitsByTheOthers) {
+TEST(ReplicaTest, ALeaderWithAStalledDiskCommitsWithTheOtherVoters) {
   const SteadyTime now{Milliseconds(5'000)};
   const auto replica = MakeLeaderWithOldEntry(now);
   for (const char* other : {"n1.1", "n2.1"}) {
