--- a/libraries/routing/waiting_line.h
+++ b/libraries/routing/request_queue.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef LIBRARIES_ROUTING_WAITING_LINE_H_
-#define LIBRARIES_ROUTING_WAITING_LINE_H_
+#ifndef LIBRARIES_ROUTING_REQUEST_QUEUE_H_
+#define LIBRARIES_ROUTING_REQUEST_QUEUE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -19,7 +19,7 @@
 // requests are served first, but after kInteractivePerBackground of them in a
 // row one background request is served, to avoid starvation. Within a class the
 // request with the earliest deadline is served first.
-class WaitingLine {
+class RequestQueue {
  public:
   // Adds a request to the queue.
   void Add(RequestNumber request,
@@ -37,7 +37,7 @@
   // classes.
   void Serve(RequestNumber request);
 
-  std::size_t size() const { return this->places.size(); }
+  std::size_t size() const { return this->requests.size(); }
 
   // Returns the number of waiting requests that are ahead of a new one of this
   // class.
@@ -48,20 +48,20 @@
   static constexpr std::uint32_t kInteractivePerBackground = 8;
 
  private:
-  using Line = std::map<std::pair<SteadyTime, RequestNumber>, bool>;
-  struct Place {
+  using ClassQueue = std::map<std::pair<SteadyTime, RequestNumber>, bool>;
+  struct QueuedRequest {
     fleet::RequestClass request_class;
     SteadyTime deadline;
   };
 
-  Line& LineOf(fleet::RequestClass request_class);
+  ClassQueue& ClassQueueOf(fleet::RequestClass request_class);
 
-  Line interactive;
-  Line background;
-  std::map<RequestNumber, Place> places;
+  ClassQueue interactive;
+  ClassQueue background;
+  std::map<RequestNumber, QueuedRequest> requests;
   std::uint32_t interactive_in_row = 0;
 };
 
 }  // namespace sumac::routing
 
-#endif  // LIBRARIES_ROUTING_WAITING_LINE_H_
+#endif  // LIBRARIES_ROUTING_REQUEST_QUEUE_H_
--- a/libraries/routing/router.cc
+++ b/libraries/routing/router.cc
@@ -14,7 +14,7 @@
 constexpr Milliseconds kDefaultRetryAfter{250};
 // The time after which callers are asked to try again if the queue is full. The
 // queue drains within the run time of a few requests.
-constexpr Milliseconds kRetryAfterFullLine{40};
+constexpr Milliseconds kRetryAfterFullQueue{40};
 
 fleet::Decision DecisionAbout(const RequestInfo& request, WallTime wall_now) {
   return fleet::Decision{
@@ -82,7 +82,7 @@
     return this->RefuseLate(request, wall_now);
   }
   // A request is not sent ahead of requests that wait already.
-  if (this->per_service[request.service].line.CountAhead(
+  if (this->per_service[request.service].queue.CountAhead(
           request.request_class) == 0) {
     if (std::optional<SendTo> send =
             this->TrySend(request, {}, now, wall_now)) {
@@ -170,14 +170,14 @@
         kDefaultRetryAfter, wall_now);
   }
   PerService& state = this->per_service[request.service];
-  if (state.line.size() >= service.most_queued) {
+  if (state.queue.size() >= service.most_queued) {
     return this->MakeRefusal(
         request, ResultCode::kOverloaded, "line-full",
-        StrCat(state.line.size(), " requests of ", request.service.value(),
+        StrCat(state.queue.size(), " requests of ", request.service.value(),
                " wait already, as many as may wait at one entry."),
-        kRetryAfterFullLine, wall_now);
+        kRetryAfterFullQueue, wall_now);
   }
-  state.line.Add(request.number, request.request_class, request.deadline);
+  state.queue.Add(request.number, request.request_class, request.deadline);
   this->waiting_requests[request.number] = WaitingRequest{request, tried};
   return Wait{};
 }
@@ -204,7 +204,7 @@
     WallTime wall_now) {
   std::vector<std::pair<RequestNumber, SendTo>> ready;
   for (auto& [name, state] : this->per_service) {
-    while (const auto next = state.line.Next()) {
+    while (const auto next = state.queue.Next()) {
       const auto waiting = this->waiting_requests.find(*next);
       VERIFY(waiting != this->waiting_requests.end());
       std::optional<SendTo> send = this->TrySend(
@@ -212,7 +212,7 @@
       if (!send) {
         break;
       }
-      state.line.Serve(*next);
+      state.queue.Serve(*next);
       ready.emplace_back(*next, *std::move(send));
       this->waiting_requests.erase(waiting);
     }
@@ -225,7 +225,7 @@
   if (waiting == this->waiting_requests.end()) {
     return false;
   }
-  this->per_service[waiting->second.info.service].line.Remove(request);
+  this->per_service[waiting->second.info.service].queue.Remove(request);
   this->waiting_requests.erase(waiting);
   return true;
 }
--- a/libraries/routing/router.h
+++ b/libraries/routing/router.h
@@ -19,8 +19,8 @@
 #include "libraries/fleet/view.h"
 #include "libraries/routing/decision_ring.h"
 #include "libraries/routing/minion_set.h"
+#include "libraries/routing/request_queue.h"
 #include "libraries/routing/retry_budget.h"
-#include "libraries/routing/waiting_line.h"
 
 namespace sumac::routing {
 
@@ -131,7 +131,7 @@
 
  private:
   struct PerService {
-    WaitingLine line;
+    RequestQueue queue;
     RetryBudget retries;
   };
   struct WaitingRequest {
--- a/tests/libraries/routing/router_test.cc
+++ b/tests/libraries/routing/router_test.cc
@@ -249,21 +249,21 @@
   EXPECT_FALSE(this->router.decisions().Find(id));
 }
 
-TEST(WaitingLineTest, BackgroundIsNotStarved) {
-  WaitingLine line;
+TEST(RequestQueueTest, BackgroundIsNotStarved) {
+  RequestQueue queue;
   for (RequestNumber number = 1; number <= 20; ++number) {
-    line.Add(number, fleet::RequestClass::kInteractive, kStart);
+    queue.Add(number, fleet::RequestClass::kInteractive, kStart);
   }
-  line.Add(100, fleet::RequestClass::kBackground, kStart);
+  queue.Add(100, fleet::RequestClass::kBackground, kStart);
   int served_before = 0;
-  while (*line.Next() != 100) {
-    line.Serve(*line.Next());
+  while (*queue.Next() != 100) {
+    queue.Serve(*queue.Next());
     ++served_before;
   }
   EXPECT_EQ(served_before,
-            static_cast<int>(WaitingLine::kInteractivePerBackground));
-  line.Serve(100);
-  EXPECT_NE(*line.Next(), 100U);
+            static_cast<int>(RequestQueue::kInteractivePerBackground));
+  queue.Serve(100);
+  EXPECT_NE(*queue.Next(), 100U);
 }
 
 }  // namespace
