--- a/libraries/routing/minion_health.h
+++ b/libraries/routing/minion_health.h
@@ -50,10 +50,10 @@
   // Records the outcome of a try. `may_set_aside` is false if too many other
   // minions are set aside already; the minion then stays in use despite
   // failures.
-  void Note(TryOutcome outcome,
-            const HealthSettings& settings,
-            SteadyTime now,
-            bool may_set_aside = true);
+  void RecordOutcome(TryOutcome outcome,
+                     const HealthSettings& settings,
+                     SteadyTime now,
+                     bool may_set_aside = true);
 
   // Returns true while the minion is set aside.
   bool IsAside(SteadyTime now) const { return now < this->aside_until; }
@@ -61,16 +61,16 @@
   bool IsPaused(SteadyTime now) const { return now < this->paused_until; }
   // True once the minion has reported that it is leaving. A new incarnation of
   // the minion gets a new MinionHealth.
-  bool is_leaving() const { return this->has_said_leaving; }
+  bool is_leaving() const { return this->has_reported_leaving; }
   // True from the moment the minion is set aside until enough requests have
   // succeeded.
-  bool is_on_probation() const { return this->successes_owed > 0; }
+  bool is_on_probation() const { return this->successes_needed > 0; }
 
  private:
   std::uint32_t failures_in_row = 0;
   std::uint32_t times_aside = 0;
-  std::uint32_t successes_owed = 0;
-  bool has_said_leaving = false;
+  std::uint32_t successes_needed = 0;
+  bool has_reported_leaving = false;
   SteadyTime aside_until{};
   SteadyTime paused_until{};
 };
--- a/libraries/routing/minion_set.cc
+++ b/libraries/routing/minion_set.cc
@@ -207,7 +207,8 @@
   // is a full scan of the service.
   const bool may_set_aside =
       !IsFailure(outcome) || this->MaySetAside(minion, now);
-  minion.health.Note(outcome, this->settings.health, now, may_set_aside);
+  minion.health.RecordOutcome(outcome, this->settings.health, now,
+                              may_set_aside);
 }
 
 // Returns true unless too many minions of one of its services would be set
@@ -228,14 +229,15 @@
         const auto total =
             static_cast<double>(all.near.size() + all.far.size());
         return static_cast<double>(aside + 1) <=
-               total * this->settings.most_aside_share;
+               total * this->settings.max_aside_share;
       });
 }
 
-void MinionSet::NoteLeaving(const InstanceName& name, SteadyTime now) {
+void MinionSet::MarkLeaving(const InstanceName& name, SteadyTime now) {
   const auto found = this->minions.find(name);
   if (found != this->minions.end()) {
-    found->second.health.Note(TryOutcome::kLeaving, this->settings.health, now);
+    found->second.health.RecordOutcome(TryOutcome::kLeaving,
+                                       this->settings.health, now);
   }
 }
 
--- a/libraries/routing/minion_set.h
+++ b/libraries/routing/minion_set.h
@@ -30,7 +30,7 @@
   double slot_overcommit = 2;
   // The maximum share of a service's minions that may be set aside at once.
   // Beyond it, minions stay in use despite failures.
-  double most_aside_share = 0.5;
+  double max_aside_share = 0.5;
   HealthSettings health;
 };
 
@@ -83,7 +83,7 @@
 
   // Records that the minion reported, to a probe or in an answer, that it is
   // leaving.
-  void NoteLeaving(const InstanceName& minion, SteadyTime now);
+  void MarkLeaving(const InstanceName& minion, SteadyTime now);
 
   // Returns the names and addresses of all minions that may get work, for
   // probing.
--- a/tests/libraries/routing/router_test.cc
+++ b/tests/libraries/routing/router_test.cc
@@ -144,7 +144,7 @@
   this->router.Update(MakeView(1, {leaving, MakeMinion("m2")}));
   // The other minion reports itself that it is leaving, so that the entry knows
   // without a view from a controller.
-  this->router.minions().NoteLeaving(InstanceName("m2"), kStart);
+  this->router.minions().MarkLeaving(InstanceName("m2"), kStart);
   EXPECT_EQ(CodeOf(this->Admit(this->MakeRequest())), ResultCode::kNoMinion);
   // Its new incarnation has not reported that it is leaving.
   fleet::RoutedMinion anew = MakeMinion("m2");
