--- a/libraries/routing/minion_set.cc
+++ b/libraries/routing/minion_set.cc
@@ -11,12 +11,13 @@
 namespace {
 
 // The time after which a reported load is ignored.
-constexpr Milliseconds kReportedLoadLife{200};
+constexpr Milliseconds kReportedLoadValidity{200};
 // The maximum number of passed-over minions that a decision names.
-constexpr std::size_t kMostPassedOver = 4;
+constexpr std::size_t kMaxPassedOver = 4;
 
 // Returns the number of a minion's slots that this entry may use.
-std::uint32_t ShareOf(std::uint32_t slots, const SharingSettings& settings) {
+std::uint32_t AllowedRequests(std::uint32_t slots,
+                              const SharingSettings& settings) {
   const double even =
       static_cast<double>(slots) / std::max(settings.entries, 1U);
   const auto share =
@@ -39,7 +40,7 @@
       }
     }
     minion.routed = routed;
-    minion.most_in_flight = ShareOf(routed.slots, this->settings);
+    minion.max_in_flight = AllowedRequests(routed.slots, this->settings);
     for (const ServiceName& service : routed.services) {
       Candidates& candidates = this->services[service];
       const bool is_near = routed.data_centre == this->settings.data_centre;
@@ -55,9 +56,10 @@
          !minion.health.IsAside(now);
 }
 
-std::string MinionSet::WhyNot(const Minion& minion,
-                              const std::set<InstanceName>& excluded,
-                              SteadyTime now) const {
+std::string MinionSet::ExplainUnavailable(
+    const Minion& minion,
+    const std::set<InstanceName>& excluded,
+    SteadyTime now) const {
   if (!minion.routed.can_take_work) {
     return "it is leaving, silent or set aside by the controllers";
   }
@@ -73,20 +75,20 @@
   if (minion.health.IsPaused(now)) {
     return "it has just declined a request";
   }
-  const bool is_trial_taken =
+  const bool is_trial_in_flight =
       minion.health.is_on_probation() && minion.in_flight > 0;
-  if (is_trial_taken) {
+  if (is_trial_in_flight) {
     return "it comes back slowly, one request at a time";
   }
-  if (minion.in_flight >= minion.most_in_flight) {
+  if (minion.in_flight >= minion.max_in_flight) {
     return StrCat("it has ", minion.in_flight, " requests of ",
-                  minion.most_in_flight, " that this entry may have there");
+                  minion.max_in_flight, " that this entry may have there");
   }
   return "";
 }
 
 double MinionSet::LoadOf(const Minion& minion, SteadyTime now) const {
-  const bool is_fresh = now - minion.reported_at < kReportedLoadLife;
+  const bool is_fresh = now - minion.reported_at < kReportedLoadValidity;
   const std::uint32_t load =
       is_fresh ? std::max(minion.in_flight, minion.reported_load)
                : minion.in_flight;
@@ -102,8 +104,8 @@
   if (names.empty()) {
     return std::nullopt;
   }
-  const auto note = [&](const Minion& minion, std::string why) {
-    if (passed_over.size() < kMostPassedOver) {
+  const auto add_passed_over = [&](const Minion& minion, std::string why) {
+    if (passed_over.size() < kMaxPassedOver) {
       passed_over.push_back(
           fleet::Alternative{minion.routed.name.value(), std::move(why)});
     }
@@ -117,24 +119,24 @@
   for (std::size_t step = 0; step <= names.size(); ++step) {
     // Steps 2 and later visit each of the others once. The second random minion
     // may be the same as the first.
-    const std::size_t in_turn = (start + step - 1) % names.size();
-    const std::size_t index = step == 0 ? start : step == 1 ? second : in_turn;
+    const std::size_t in_order = (start + step - 1) % names.size();
+    const std::size_t index = step == 0 ? start : step == 1 ? second : in_order;
     const Minion& minion = this->minions.at(names[index]);
     if (&minion == best) {
       continue;
     }
-    std::string why = this->WhyNot(minion, excluded, now);
+    std::string why = this->ExplainUnavailable(minion, excluded, now);
     if (!why.empty()) {
-      note(minion, std::move(why));
+      add_passed_over(minion, std::move(why));
     } else if (best == nullptr) {
       best = &minion;
     } else if (this->LoadOf(minion, now) < this->LoadOf(*best, now)) {
-      note(*best, StrCat("load ", this->LoadOf(*best, now),
-                         " of its slots is higher"));
+      add_passed_over(*best, StrCat("load ", this->LoadOf(*best, now),
+                                    " of its slots is higher"));
       best = &minion;
     } else {
-      note(minion, StrCat("load ", this->LoadOf(minion, now),
-                          " of its slots is not lower"));
+      add_passed_over(minion, StrCat("load ", this->LoadOf(minion, now),
+                                     " of its slots is not lower"));
     }
     if (best != nullptr && step >= 1) {
       break;
--- a/libraries/routing/minion_set.h
+++ b/libraries/routing/minion_set.h
@@ -101,7 +101,7 @@
     std::uint32_t reported_load = 0;
     SteadyTime reported_at{};
     // The maximum number of requests that this entry may have there.
-    std::uint32_t most_in_flight = 1;
+    std::uint32_t max_in_flight = 1;
   };
 
   // The minions of one service: those in this entry's data centre and the
@@ -113,9 +113,9 @@
 
   bool IsUsable(const Minion& minion, SteadyTime now) const;
   bool MaySetAside(const Minion& minion, SteadyTime now) const;
-  std::string WhyNot(const Minion& minion,
-                     const std::set<InstanceName>& excluded,
-                     SteadyTime now) const;
+  std::string ExplainUnavailable(const Minion& minion,
+                                 const std::set<InstanceName>& excluded,
+                                 SteadyTime now) const;
   std::optional<InstanceName> ChooseFrom(
       const std::vector<InstanceName>& names,
       const std::set<InstanceName>& excluded,
