--- a/libraries/routing/retry_budget.cc
+++ b/libraries/routing/retry_budget.cc
@@ -5,15 +5,16 @@
 
 namespace sumac::routing {
 
-void RetryBudget::NoteFirstTry(double share) {
-  this->saved = std::min(this->saved + share, kMostSavings);
+void RetryBudget::AddFirstTry(double share) {
+  this->available_retries =
+      std::min(this->available_retries + share, kMaxRetries);
 }
 
 bool RetryBudget::TakeRetry() {
-  if (this->saved < 1) {
+  if (this->available_retries < 1) {
     return false;
   }
-  this->saved -= 1;
+  this->available_retries -= 1;
   return true;
 }
 
--- a/libraries/routing/retry_budget.h
+++ b/libraries/routing/retry_budget.h
@@ -9,18 +9,18 @@
 class RetryBudget {
  public:
   // Adds `share` of a retry to the budget, for a first try.
-  void NoteFirstTry(double share);
+  void AddFirstTry(double share);
 
   // Takes one retry from the budget; returns false if there is less than one.
   bool TakeRetry();
 
  private:
-  double saved = kFirstSavings;
+  double available_retries = kInitialRetries;
 
   // The initial budget, which allows a new service a few retries.
-  static constexpr double kFirstSavings = 10;
+  static constexpr double kInitialRetries = 10;
   // Limits the budget that a service accumulates while it needs few retries.
-  static constexpr double kMostSavings = 100;
+  static constexpr double kMaxRetries = 100;
 };
 
 }  // namespace sumac::routing
--- a/libraries/routing/router.cc
+++ b/libraries/routing/router.cc
@@ -76,8 +76,7 @@
                service->most_open_per_caller, " are allowed."),
         kDefaultRetryAfter, wall_now);
   }
-  this->per_service[request.service].retries.NoteFirstTry(
-      service->retry_budget);
+  this->per_service[request.service].retries.AddFirstTry(service->retry_budget);
   if (now >= request.deadline) {
     return this->RefuseLate(request, wall_now);
   }
