--- a/libraries/routing/decision_ring.cc
+++ b/libraries/routing/decision_ring.cc
@@ -9,13 +9,13 @@
 
 DecisionRing::DecisionRing(ProcessName process,
                            std::uint64_t start,
-                           std::size_t most)
-    : process(std::move(process)), start(start), most(most) {}
+                           std::size_t max_decisions)
+    : process(std::move(process)), start(start), max_decisions(max_decisions) {}
 
 const fleet::Decision& DecisionRing::Add(fleet::Decision decision) {
   decision.id = DecisionId(StrCat(this->process.value(), ".", this->start, "-",
                                   this->next_number++));
-  if (this->decisions.size() >= this->most) {
+  if (this->decisions.size() >= this->max_decisions) {
     this->decisions.pop_front();
   }
   this->decisions.push_back(std::move(decision));
--- a/libraries/routing/decision_ring.h
+++ b/libraries/routing/decision_ring.h
@@ -19,7 +19,9 @@
   // Decision ids have the form PROCESS.START-NUMBER and contain `process` and
   // `start`, so that any process can tell which entry to ask and no id is
   // reused after a restart. `most` is the maximum number of decisions kept.
-  DecisionRing(ProcessName process, std::uint64_t start, std::size_t most);
+  DecisionRing(ProcessName process,
+               std::uint64_t start,
+               std::size_t max_decisions);
 
   // Stores a decision, assigns its id, and returns it.
   const fleet::Decision& Add(fleet::Decision decision);
@@ -30,7 +32,7 @@
   // Returns up to `most` decisions about a subject, newest first.
   std::vector<fleet::Decision> FindAbout(fleet::SubjectKind kind,
                                          std::string_view subject,
-                                         std::size_t most) const;
+                                         std::size_t max_decisions) const;
 
   // Returns the process named in a routing decision's id, or nothing if the id
   // is not one of a routing decision.
@@ -39,7 +41,7 @@
  private:
   ProcessName process;
   std::uint64_t start;
-  std::size_t most;
+  std::size_t max_decisions;
   std::uint64_t next_number = 1;
   std::deque<fleet::Decision> decisions;
 };
--- a/libraries/routing/router.cc
+++ b/libraries/routing/router.cc
@@ -36,16 +36,16 @@
       random(seed) {}
 
 bool Router::Update(const fleet::View& view) {
-  if (view.version <= this->present.version) {
+  if (view.version <= this->current_view.version) {
     return false;
   }
-  this->present = view;
+  this->current_view = view;
   this->minion_set.Update(view);
   return true;
 }
 
 const fleet::Service* Router::FindService(const ServiceName& name) const {
-  const auto& services = this->present.services;
+  const auto& services = this->current_view.services;
   const auto found = std::find_if(
       services.begin(), services.end(),
       [&](const fleet::Service& item) { return item.name == name; });
@@ -55,7 +55,7 @@
 RouteResult Router::Admit(const RequestInfo& request,
                           SteadyTime now,
                           WallTime wall_now) {
-  ++this->open;
+  ++this->open_requests;
   std::uint32_t& open_here =
       this->open_by_caller[{request.service, request.caller}];
   ++open_here;
@@ -65,7 +65,7 @@
                              "service-not-declared",
                              StrCat("No service ", request.service.value(),
                                     " is declared at revision ",
-                                    this->present.revision.value(), "."),
+                                    this->current_view.revision.value(), "."),
                              Milliseconds(0), wall_now);
   }
   if (open_here > service->most_open_per_caller) {
@@ -76,12 +76,13 @@
                service->most_open_per_caller, " are allowed."),
         kDefaultRetryAfter, wall_now);
   }
-  this->per_service[request.service].retries.AddFirstTry(service->retry_budget);
+  this->service_states[request.service].retries.AddFirstTry(
+      service->retry_budget);
   if (now >= request.deadline) {
     return this->RefuseLate(request, wall_now);
   }
   // A request is not sent ahead of requests that wait already.
-  if (this->per_service[request.service].queue.CountAhead(
+  if (this->service_states[request.service].queue.CountAhead(
           request.request_class) == 0) {
     if (std::optional<SendTo> send =
             this->TrySend(request, {}, now, wall_now)) {
@@ -116,7 +117,7 @@
                " minions, as often as its service allows."),
         kDefaultRetryAfter, wall_now);
   }
-  if (has_run && !this->per_service[request.service].retries.TakeRetry()) {
+  if (has_run && !this->service_states[request.service].retries.TakeRetry()) {
     return this->MakeRefusal(
         request, failure, "retry-budget-spent",
         StrCat("Too many requests of ", request.service.value(),
@@ -148,11 +149,13 @@
   decision.outcome = "routed";
   decision.rule = choice->rule;
   decision.alternatives = choice->passed_over;
-  decision.inputs.push_back({"view version", StrCat(this->present.version)});
+  decision.inputs.push_back(
+      {"view version", StrCat(this->current_view.version)});
   decision.sentence = StrCat(
       "The request was sent to ", choice->minion.value(), " at ",
       choice->address, tried.empty() ? "." : " after another try failed.");
-  return SendTo{*std::move(choice), this->Keep(std::move(decision)).id};
+  return SendTo{*std::move(choice),
+                this->RecordDecision(std::move(decision)).id};
 }
 
 RouteResult Router::WaitOrRefuse(const RequestInfo& request,
@@ -168,7 +171,7 @@
                " can take work: all are gone, leaving, set aside or tried."),
         kDefaultRetryAfter, wall_now);
   }
-  PerService& state = this->per_service[request.service];
+  ServiceState& state = this->service_states[request.service];
   if (state.queue.size() >= service.most_queued) {
     return this->MakeRefusal(
         request, ResultCode::kOverloaded, "line-full",
@@ -189,8 +192,8 @@
 }
 
 void Router::FinishRequest(const RequestInfo& request) {
-  VERIFY(this->open > 0);
-  --this->open;
+  VERIFY(this->open_requests > 0);
+  --this->open_requests;
   const auto found =
       this->open_by_caller.find({request.service, request.caller});
   if (found != this->open_by_caller.end() && --found->second == 0) {
@@ -202,7 +205,7 @@
     SteadyTime now,
     WallTime wall_now) {
   std::vector<std::pair<RequestNumber, SendTo>> ready;
-  for (auto& [name, state] : this->per_service) {
+  for (auto& [name, state] : this->service_states) {
     while (const auto next = state.queue.Next()) {
       const auto waiting = this->waiting_requests.find(*next);
       VERIFY(waiting != this->waiting_requests.end());
@@ -224,7 +227,7 @@
   if (waiting == this->waiting_requests.end()) {
     return false;
   }
-  this->per_service[waiting->second.info.service].queue.Remove(request);
+  this->service_states[waiting->second.info.service].queue.Remove(request);
   this->waiting_requests.erase(waiting);
   return true;
 }
@@ -247,10 +250,10 @@
   decision.rule = std::move(rule);
   decision.sentence = sentence;
   return Refuse{code, std::move(sentence), retry_after,
-                this->Keep(std::move(decision)).id};
+                this->RecordDecision(std::move(decision)).id};
 }
 
-fleet::Decision& Router::Keep(fleet::Decision decision) {
+fleet::Decision& Router::RecordDecision(fleet::Decision decision) {
   this->unlogged.push_back(this->ring.Add(std::move(decision)));
   return this->unlogged.back();
 }
--- a/libraries/routing/router.h
+++ b/libraries/routing/router.h
@@ -77,7 +77,7 @@
   // Applies a view if it is newer than the present one. Returns true if it was
   // applied.
   bool Update(const fleet::View& view);
-  const fleet::View& view() const { return this->present; }
+  const fleet::View& view() const { return this->current_view; }
 
   // Returns the declared settings of a service, or null if it is not declared.
   const fleet::Service* FindService(const ServiceName& service) const;
@@ -127,10 +127,10 @@
   }
 
   std::size_t CountWaiting() const { return this->waiting_requests.size(); }
-  std::size_t CountOpen() const { return this->open; }
+  std::size_t CountOpen() const { return this->open_requests; }
 
  private:
-  struct PerService {
+  struct ServiceState {
     RequestQueue queue;
     RetryBudget retries;
   };
@@ -154,17 +154,17 @@
                      std::string sentence,
                      Milliseconds retry_after,
                      WallTime wall_now);
-  fleet::Decision& Keep(fleet::Decision decision);
+  fleet::Decision& RecordDecision(fleet::Decision decision);
 
-  fleet::View present;
+  fleet::View current_view;
   MinionSet minion_set;
   DecisionRing ring;
   std::mt19937_64 random;
-  std::map<ServiceName, PerService> per_service;
+  std::map<ServiceName, ServiceState> service_states;
   std::map<std::pair<ServiceName, CallerName>, std::uint32_t> open_by_caller;
   std::map<RequestNumber, WaitingRequest> waiting_requests;
   std::vector<fleet::Decision> unlogged;
-  std::size_t open = 0;
+  std::size_t open_requests = 0;
 };
 
 }  // namespace sumac::routing
