--- a/tests/libraries/routing/router_test.cc
+++ b/tests/libraries/routing/router_test.cc
@@ -67,14 +67,14 @@
   RequestNumber last_number = 0;
 };
 
-TEST_F(RouterTest, AnOlderViewIsNeverTaken) {
+TEST_F(RouterTest, AnOlderViewIsNeverApplied) {
   EXPECT_TRUE(this->router.Update(MakeView(5, {MakeMinion("m1")})));
   EXPECT_FALSE(this->router.Update(MakeView(4, {})));
   EXPECT_FALSE(this->router.Update(MakeView(5, {})));
   EXPECT_EQ(MinionOf(this->Admit(this->MakeRequest())), "m1");
 }
 
-TEST_F(RouterTest, FillsSlotsThenTheLineThenRefusesAtOnce) {
+TEST_F(RouterTest, FillsSlotsThenTheQueueThenRefusesAtOnce) {
   this->router.Update(MakeView(1, {MakeMinion("m1")}));
   EXPECT_EQ(MinionOf(this->Admit(this->MakeRequest())), "m1");
   EXPECT_EQ(MinionOf(this->Admit(this->MakeRequest())), "m1");
@@ -103,7 +103,7 @@
   EXPECT_EQ(ready[0].first, soon.number);
 }
 
-TEST_F(RouterTest, NobodyOvertakesTheLine) {
+TEST_F(RouterTest, ANewRequestIsNotSentAheadOfWaitingOnes) {
   this->router.Update(MakeView(1, {MakeMinion("m1")}));
   this->Admit(this->MakeRequest());
   this->Admit(this->MakeRequest());
@@ -138,7 +138,7 @@
   EXPECT_EQ(MinionOf(this->Admit(this->MakeRequest())), "far");
 }
 
-TEST_F(RouterTest, LeavingMinionsGetNothingWhoeverSaysSo) {
+TEST_F(RouterTest, LeavingMinionsGetNoRequests) {
   fleet::RoutedMinion leaving = MakeMinion("m1");
   leaving.can_take_work = false;
   this->router.Update(MakeView(1, {leaving, MakeMinion("m2")}));
@@ -147,9 +147,9 @@
   this->router.minions().MarkLeaving(InstanceName("m2"), kStart);
   EXPECT_EQ(CodeOf(this->Admit(this->MakeRequest())), ResultCode::kNoMinion);
   // Its new incarnation has not reported that it is leaving.
-  fleet::RoutedMinion anew = MakeMinion("m2");
-  anew.incarnation = Incarnation(2);
-  this->router.Update(MakeView(2, {anew}));
+  fleet::RoutedMinion restarted = MakeMinion("m2");
+  restarted.incarnation = Incarnation(2);
+  this->router.Update(MakeView(2, {restarted}));
   EXPECT_EQ(MinionOf(this->Admit(this->MakeRequest())), "m2");
 }
 
@@ -229,7 +229,7 @@
             ResultCode::kDeadlineDuringRun);
 }
 
-TEST_F(RouterTest, DecisionsAreKeptExplainedAndBounded) {
+TEST_F(RouterTest, DecisionsAreKeptUpToAMaximum) {
   this->router.Update(MakeView(1, {MakeMinion("m1")}));
   const RequestInfo request = this->MakeRequest();
   const RouteResult sent = this->Admit(request);
