--- a/libraries/routing/decision_ring.h
+++ b/libraries/routing/decision_ring.h
@@ -18,7 +18,8 @@
  public:
   // Decision ids have the form PROCESS.START-NUMBER and contain `process` and
   // `start`, so that any process can tell which entry to ask and no id is
-  // reused after a restart. `most` is the maximum number of decisions kept.
+  // reused after a restart. `max_decisions` is the maximum number of decisions
+  // kept.
   DecisionRing(ProcessName process,
                std::uint64_t start,
                std::size_t max_decisions);
@@ -29,10 +30,10 @@
   // Returns the decision with this id, if it is still kept.
   std::optional<fleet::Decision> Find(const DecisionId& id) const;
 
-  // Returns up to `most` decisions about a subject, newest first.
+  // Returns up to `limit` decisions about a subject, newest first.
   std::vector<fleet::Decision> FindAbout(fleet::SubjectKind kind,
                                          std::string_view subject,
-                                         std::size_t max_decisions) const;
+                                         std::size_t limit) const;
 
   // Returns the process named in a routing decision's id, or nothing if the id
   // is not one of a routing decision.
--- a/libraries/routing/router.cc
+++ b/libraries/routing/router.cc
@@ -12,8 +12,8 @@
 // The time after which callers are asked to try again if no better estimate is
 // known.
 constexpr Milliseconds kDefaultRetryAfter{250};
-// The time after which callers are asked to try again if the queue is full. The
-// queue drains within the run time of a few requests.
+// The time after which callers are asked to try again if the queue is full. A
+// full queue makes progress within the run time of a few requests.
 constexpr Milliseconds kRetryAfterFullQueue{40};
 
 fleet::Decision DecisionAbout(const RequestInfo& request, WallTime wall_now) {
--- a/tests/libraries/replication/membership_plan_test.cc
+++ b/tests/libraries/replication/membership_plan_test.cc
@@ -67,7 +67,7 @@
       {NodeId("c3.1"), {.is_silent = true}},
       {NodeId("c4.1"), {.is_caught_up = true}}};
   constexpr std::size_t kWanted = 3;
-  // A silent voter may only be cut off for a short time.
+  // A voter that is merely silent may be cut off for a short time only.
   EXPECT_FALSE(PlanNextMembers(members, health, kWanted));
   health[NodeId("c3.1")].is_lost = true;
   const auto without = PlanNextMembers(members, health, kWanted);
