--- a/libraries/relay/relay_link.cc
+++ b/libraries/relay/relay_link.cc
@@ -212,7 +212,7 @@
   return kj::mv(paf.promise);
 }
 
-void RelayLink::Forget(const WorkerId& worker) {
+void RelayLink::CloseConnectionsTo(const WorkerId& worker) {
   if (this->is_open()) {
     this->Enqueue(ForgetCall{worker}, ++this->last_id);
   }
--- a/libraries/relay/relay_link.h
+++ b/libraries/relay/relay_link.h
@@ -62,7 +62,7 @@
   // is kNotSent.
   kj::Promise<RelayAnswer> Call(CallBody body, Milliseconds worker_timeout);
   // Has the relay close its connections to a worker.
-  void Forget(const WorkerId& worker);
+  void CloseConnectionsTo(const WorkerId& worker);
 
  private:
   enum class State { kClosed, kOpening, kOpen };
--- a/libraries/relay/relay_routes.h
+++ b/libraries/relay/relay_routes.h
@@ -37,7 +37,7 @@
 
   // Records that a call to the worker through this relay got no answer.
   void RecordFailure(const WorkerId& worker, std::size_t relay, SteadyTime now);
-  void Forget(const WorkerId& worker) { this->routes.erase(worker); }
+  void RemoveWorker(const WorkerId& worker) { this->routes.erase(worker); }
 
  private:
   struct Route {
--- a/libraries/relay/relayed_calls.cc
+++ b/libraries/relay/relayed_calls.cc
@@ -174,12 +174,12 @@
       });
 }
 
-void RelayedCalls::Forget(const WorkerId& worker) {
-  this->routes->Forget(worker);
+void RelayedCalls::RemoveWorker(const WorkerId& worker) {
+  this->routes->RemoveWorker(worker);
   this->directly_called_workers.erase(worker);
   this->direct_calls.forget(worker);
   for (const auto& [controller, relay] : this->relays) {
-    relay.link->Forget(worker);
+    relay.link->CloseConnectionsTo(worker);
   }
 }
 
--- a/libraries/relay/relayed_calls.h
+++ b/libraries/relay/relayed_calls.h
@@ -57,7 +57,7 @@
       const scheduler::RenewOrder& order);
   kj::Promise<scheduler::OrderAnswer> Send(const scheduler::Order& order);
   // Removes the record of a worker and closes all connections to it.
-  void Forget(const WorkerId& worker);
+  void RemoveWorker(const WorkerId& worker);
 
   // The number of relays that can be used, and the counters of all relays of
   // this leadership.
--- a/services/sumacd/job_controller.cc
+++ b/services/sumacd/job_controller.cc
@@ -699,7 +699,7 @@
                            },
                        .forget =
                            [this](const WorkerId& worker) {
-                             this->relayed->Forget(worker);
+                             this->relayed->RemoveWorker(worker);
                            }});
   std::size_t begun = 0;
   for (const auto& [worker, session] : this->scheduler->sessions()) {
--- a/tests/libraries/relay/relay_link_test.cc
+++ b/tests/libraries/relay/relay_link_test.cc
@@ -120,8 +120,8 @@
   template <typename Condition>
   void WaitFor(Condition condition) {
     constexpr Milliseconds kStep{5};
-    constexpr int kMostSteps = 1'000;
-    for (int step = 0; step < kMostSteps && !condition(); ++step) {
+    constexpr int kMaxSteps = 1'000;
+    for (int step = 0; step < kMaxSteps && !condition(); ++step) {
       this->io.provider->getTimer()
           .afterDelay(ToKj(kStep))
           .wait(this->io.waitScope);
@@ -166,7 +166,7 @@
           .wait(this->io.waitScope);
   ASSERT_NE(renewed.report, nullptr);
   EXPECT_EQ(renewed.report->clock, scheduler::WorkerTime(5));
-  this->link->Forget(WorkerId("w-1"));
+  this->link->CloseConnectionsTo(WorkerId("w-1"));
   this->WaitFor([this] { return !this->workers.forgotten.empty(); });
 }
 
--- a/tests/libraries/relay/relayed_calls_test.cc
+++ b/tests/libraries/relay/relayed_calls_test.cc
@@ -82,9 +82,9 @@
   ~RelayedCallsTest() noexcept override {}
 
   void OpenRelay() {
-    constexpr int kMostSteps = 1'000;
+    constexpr int kMaxSteps = 1'000;
     constexpr Milliseconds kStep{5};
-    for (int step = 0; step < kMostSteps && this->calls->open_relays() == 0;
+    for (int step = 0; step < kMaxSteps && this->calls->open_relays() == 0;
          ++step) {
       this->calls->UpdateRelays({ProcessName("c2")}, SystemClock().SteadyNow());
       this->io.provider->getTimer()
