--- a/libraries/routing/minion_set.cc
+++ b/libraries/routing/minion_set.cc
@@ -119,8 +119,10 @@
   for (std::size_t step = 0; step <= names.size(); ++step) {
     // Steps 2 and later visit each of the others once. The second random minion
     // may be the same as the first.
-    const std::size_t in_order = (start + step - 1) % names.size();
-    const std::size_t index = step == 0 ? start : step == 1 ? second : in_order;
+    const std::size_t sequential_index = (start + step - 1) % names.size();
+    const std::size_t index = step == 0   ? start
+                              : step == 1 ? second
+                                          : sequential_index;
     const Minion& minion = this->minions.at(names[index]);
     if (&minion == best) {
       continue;
