--- a/libraries/relay/relay_link.cc
+++ b/libraries/relay/relay_link.cc
@@ -15,21 +15,25 @@
 namespace sumac::relay {
 namespace {
 
+// The minimum time between two requests to open the relay.
 constexpr Milliseconds kOpenInterval{500};
-// A relay that does not answer within this is given up: workers' leases outlast
-// several such times.
-constexpr Milliseconds kRelayLimit{1'000};
-// Renewals wait this long for others, so that a batch carries several; orders
-// leave at once.
-constexpr Milliseconds kGatherTime{10};
-// Beyond the time that a call takes its worker, twice if its connection turns
-// out to be closed, for the way to the relay and its turn there.
+// A relay that does not answer within this time is given up. Workers' leases
+// last several times as long.
+constexpr Milliseconds kRelayTimeout{1'000};
+// The time that renewals wait for others, so that a batch contains several.
+// Orders are sent at once.
+constexpr Milliseconds kBatchDelay{10};
+// The time allowed for an answer in addition to the worker's own, for the
+// transmission to the relay and the queue there.
 constexpr Milliseconds kAnswerSlack{2'000};
-constexpr int kTries = 2;
-// Without calls the relay's clock is read this often.
-constexpr Milliseconds kClockInterval{1'000};
-// A message of some hundred kilobytes; the largest that is taken is 64 MiB.
-constexpr std::size_t kMostCallsOfBatch = 512;
+// A relay calls a worker a second time if the connection turns out to be
+// closed.
+constexpr int kMaxTries = 2;
+// The interval at which the relay's clock is read while there are no calls.
+constexpr Milliseconds kClockReadInterval{1'000};
+// Keeps a message to a few hundred kilobytes; the receiver accepts up to 64
+// MiB.
+constexpr std::size_t kMaxCallsPerBatch = 512;
 
 bool IsOrder(const CallBody& body) {
   return !std::holds_alternative<RenewCall>(body) &&
@@ -38,7 +42,8 @@
 
 }  // namespace
 
-// The relay holds it, and may do so for longer than the link lives.
+// Receives the relay's answers. The relay holds a reference to the sink and may
+// keep it for longer than the link exists.
 class RelayLink::AnswerSink final : public wire::RelayAnswers::Server {
  public:
   explicit AnswerSink(RelayLink& link) : link(&link) {}
@@ -48,12 +53,12 @@
     }
   }
 
-  // Answers go nowhere from now on.
+  // Makes the sink drop all further answers.
   void Detach() { this->link = nullptr; }
 
   kj::Promise<void> take(TakeContext context) override {
     if (this->link != nullptr) {
-      this->link->Take(context.getParams().getAnswers());
+      this->link->HandleAnswers(context.getParams().getAnswers());
     }
     return kj::READY_NOW;
   }
@@ -73,7 +78,7 @@
       tasks(*this) {}
 
 RelayLink::~RelayLink() {
-  this->host.note_change = [] {};
+  this->host.on_change = [] {};
   this->Close("the leadership is over");
 }
 
@@ -90,7 +95,7 @@
   request.setEpoch(this->epoch.value());
   request.setAnswers(kj::mv(new_sink));
   auto opened = this->channel.Guard(
-      kRelayLimit,
+      kRelayTimeout,
       request.send().then(
           [](auto&& response)
               -> kj::Own<capnp::Response<wire::Peer::OpenRelayResults>> {
@@ -106,9 +111,9 @@
           this->Close(answer.message);
           return;
         }
-        this->TakeOpened(response->getRelay(),
-                         RelayTime(response->getClockMs()),
-                         DataCentre(wire::ToString(response->getDataCentre())));
+        this->FinishOpening(
+            response->getRelay(), RelayTime(response->getClockMs()),
+            DataCentre(wire::ToString(response->getDataCentre())));
       },
       [this, own_generation](kj::Exception&& exception) {
         if (own_generation == this->generation) {
@@ -117,24 +122,25 @@
       }));
 }
 
-void RelayLink::TakeOpened(wire::Relay::Client new_relay,
-                           RelayTime reading,
-                           DataCentre data_centre) {
+void RelayLink::FinishOpening(wire::Relay::Client new_relay,
+                              RelayTime reading,
+                              DataCentre data_centre) {
   this->relay = kj::mv(new_relay);
   this->relay_data_centre = std::move(data_centre);
   this->relay_clock = RelayClock();
   this->clock_read_at = this->clock.SteadyNow();
   this->answered_at = this->clock_read_at;
-  this->relay_clock.NoteReading(reading, this->clock_read_at);
+  this->relay_clock.RecordReading(reading, this->clock_read_at);
   this->state = State::kOpen;
   LogEvent(LogLevel::kInfo, "relay-opened",
            {{"relay", this->channel.address()},
             {"data_centre", this->relay_data_centre.value()},
             {"epoch", this->epoch.value()}});
-  this->host.note_change();
+  this->host.on_change();
 }
 
-// What has left may still be carried out; what has not never will.
+// Calls that were sent may still be carried out, so their outcome is unknown;
+// queued calls will never be sent and fail as such.
 void RelayLink::Close(const std::string& reason) {
   const bool was_open = this->state == State::kOpen;
   ++this->generation;
@@ -145,26 +151,27 @@
     this->sink = nullptr;
   }
   this->FailQueued();
-  auto lost = std::exchange(this->open, {});
+  auto lost = std::exchange(this->calls_by_id, {});
   for (auto& [id, call] : lost) {
     call.fulfiller->fulfill(
         RelayAnswer{id, scheduler::OrderResult::kRelayLost});
   }
-  this->done.lost += lost.size();
+  this->call_counts.lost += lost.size();
   if (was_open) {
     LogEvent(LogLevel::kWarning, "relay-closed",
              {{"relay", this->channel.address()},
               {"reason", reason},
               {"open_calls", lost.size()}});
-    this->host.note_change();
+    this->host.on_change();
   }
 }
 
-// NOTE: A loop that reads late may have the answers in its sockets, unread.
+// NOTE: When the event loop is late, answers may lie unread in its sockets, so
+// its lateness is added to the time limit.
 void RelayLink::CheckOpenCalls(SteadyTime now) {
   std::vector<std::uint64_t> overdue;
-  for (const auto& [id, call] : this->open) {
-    if (call.due + ReadLateness() >= now) {
+  for (const auto& [id, call] : this->calls_by_id) {
+    if (call.answer_deadline + ReadLateness() >= now) {
       continue;
     }
     if (this->answered_at <= call.made_at) {
@@ -174,36 +181,38 @@
     overdue.push_back(id);
   }
   for (const std::uint64_t id : overdue) {
-    this->LoseCall(id);
+    this->GiveUpCall(id);
   }
-  if (this->is_open() && now - this->clock_read_at >= kClockInterval) {
+  if (this->is_open() && now - this->clock_read_at >= kClockReadInterval) {
     KJ_IF_MAYBE (present, this->relay) {
       this->SendBatch(*present, {});
     }
   }
 }
 
-// One call without an answer among others that were answered says nothing
-// against the relay.
-void RelayLink::LoseCall(std::uint64_t id) {
-  ++this->done.lost;
+// Gives up a single call. The relay stays open, since it has answered others in
+// the meantime.
+void RelayLink::GiveUpCall(std::uint64_t id) {
+  ++this->call_counts.lost;
   this->Fulfill({id, scheduler::OrderResult::kRelayLost});
 }
 
-kj::Promise<RelayAnswer> RelayLink::Call(CallBody body, Milliseconds limit) {
+kj::Promise<RelayAnswer> RelayLink::Call(CallBody body,
+                                         Milliseconds worker_timeout) {
   if (!this->is_open()) {
     return RelayAnswer{0, scheduler::OrderResult::kNotSent};
   }
   const std::uint64_t id = ++this->last_id;
   const SteadyTime now = this->clock.SteadyNow();
   auto paf = kj::newPromiseAndFulfiller<RelayAnswer>();
-  this->open.emplace(id, OpenCall{kj::mv(paf.fulfiller), now,
-                                  now + kTries * limit + kAnswerSlack});
+  this->calls_by_id.emplace(
+      id, OpenCall{kj::mv(paf.fulfiller), now,
+                   now + kMaxTries * worker_timeout + kAnswerSlack});
   this->Enqueue(std::move(body), id);
   return kj::mv(paf.promise);
 }
 
-void RelayLink::Forget(const WorkerId& worker) {
+void RelayLink::CloseConnectionsTo(const WorkerId& worker) {
   if (this->is_open()) {
     this->Enqueue(ForgetCall{worker}, ++this->last_id);
   }
@@ -215,24 +224,24 @@
   this->ScheduleFlush(is_urgent);
 }
 
-// Orders of one pass leave together, with all renewals that wait.
+// Orders of one planning pass are sent together, with all queued renewals.
 void RelayLink::ScheduleFlush(bool is_urgent) {
-  if (is_urgent && !std::exchange(this->is_flush_near, true)) {
+  if (is_urgent && !std::exchange(this->is_urgent_flush_scheduled, true)) {
     this->tasks.add(kj::evalLater([this] {
-      this->is_flush_near = false;
+      this->is_urgent_flush_scheduled = false;
       this->Flush();
     }));
   }
   if (!is_urgent && !std::exchange(this->is_flush_scheduled, true)) {
-    this->tasks.add(this->timer.afterDelay(ToKj(kGatherTime)).then([this] {
+    this->tasks.add(this->timer.afterDelay(ToKj(kBatchDelay)).then([this] {
       this->is_flush_scheduled = false;
       this->Flush();
     }));
   }
 }
 
-// NOTE: The lease is checked as the calls leave: a process that was suspended
-// must send nothing when it goes on.
+// NOTE: The lease is checked when the calls are sent, since a process that was
+// suspended must not send them after it resumes without a lease.
 void RelayLink::Flush() {
   if (this->queue.empty()) {
     return;
@@ -255,7 +264,7 @@
 
 void RelayLink::SendQueue(wire::Relay::Client& present, SteadyTime lease_end) {
   const std::optional<RelayTime> expires =
-      this->relay_clock.EarliestAt(lease_end, this->clock.SteadyNow());
+      this->relay_clock.LowerBoundAt(lease_end, this->clock.SteadyNow());
   if (!expires) {
     this->Close("its clock is not known any more");
     return;
@@ -264,7 +273,7 @@
   for (RelayCall& call : std::exchange(this->queue, {})) {
     call.expires = *expires;
     batch.push_back(std::move(call));
-    if (batch.size() == kMostCallsOfBatch) {
+    if (batch.size() == kMaxCallsPerBatch) {
       this->SendBatch(present, batch);
       batch.clear();
     }
@@ -274,22 +283,22 @@
   }
 }
 
-// Without calls it only reads the relay's clock.
+// Sends a batch; one without calls only reads the relay's clock.
 void RelayLink::SendBatch(wire::Relay::Client& present,
                           const std::vector<RelayCall>& calls) {
   auto request = present.carryRequest();
   WriteCalls(calls, request.initCalls());
-  this->done.calls += calls.size();
-  ++this->done.batches;
+  this->call_counts.calls += calls.size();
+  ++this->call_counts.batches;
   this->clock_read_at = this->clock.SteadyNow();
-  auto carried =
-      this->channel.Guard(kRelayLimit, request.send().then([](auto&& response) {
-        return RelayTime(response.getClockMs());
-      }));
+  auto carried = this->channel.Guard(kRelayTimeout,
+                                     request.send().then([](auto&& response) {
+                                       return RelayTime(response.getClockMs());
+                                     }));
   this->tasks.add(carried.then(
       [this, own_generation = this->generation](RelayTime reading) {
         if (own_generation == this->generation) {
-          this->relay_clock.NoteReading(reading, this->clock.SteadyNow());
+          this->relay_clock.RecordReading(reading, this->clock.SteadyNow());
         }
       },
       [this, own_generation = this->generation](kj::Exception&& exception) {
@@ -299,13 +308,13 @@
       }));
 }
 
-void RelayLink::Take(wire::RelayedAnswers::Reader answers) {
-  this->relay_clock.NoteReading(RelayTime(answers.getClockMs()),
-                                this->clock.SteadyNow());
+void RelayLink::HandleAnswers(wire::RelayedAnswers::Reader answers) {
+  this->relay_clock.RecordReading(RelayTime(answers.getClockMs()),
+                                  this->clock.SteadyNow());
   this->answered_at = this->clock.SteadyNow();
-  ++this->done.answer_batches;
+  ++this->call_counts.answer_batches;
   for (const auto item : answers.getAnswers()) {
-    ++this->done.answers;
+    ++this->call_counts.answers;
     RelayAnswer answer = ReadAnswer(item);
     answer.is_refused_by_relay =
         answer.result == scheduler::OrderResult::kNotSent;
@@ -314,10 +323,10 @@
 }
 
 void RelayLink::Fulfill(RelayAnswer&& answer) {
-  const auto found = this->open.find(answer.id);
-  if (found != this->open.end()) {
+  const auto found = this->calls_by_id.find(answer.id);
+  if (found != this->calls_by_id.end()) {
     found->second.fulfiller->fulfill(std::move(answer));
-    this->open.erase(found);
+    this->calls_by_id.erase(found);
   }
 }
 
--- a/libraries/relay/relay_link.h
+++ b/libraries/relay/relay_link.h
@@ -24,16 +24,16 @@
 namespace sumac::relay {
 
 // A leader's side of one relay: gathers calls to workers, sends them in
-// batches, and hands the answers back. Lives as long as one leadership and
-// belongs to the core's event loop.
+// batches, and returns the answers. Exists for one leadership and belongs to
+// the core's event loop.
 class RelayLink : private kj::TaskSet::ErrorHandler {
  public:
-  // What the link needs of its leader.
+  // The functions that the leader provides.
   struct Host {
-    // When the leader's lease ends; nothing while it has none.
+    // Returns the end of the leader's lease, or nothing while it has none.
     std::function<std::optional<SteadyTime>()> lease_end;
-    // The relay can be used from now on, or no more.
-    std::function<void()> note_change;
+    // Called when the relay has become usable or unusable.
+    std::function<void()> on_change;
   };
 
   RelayLink(rpc::Channel& channel,
@@ -44,23 +44,25 @@
   RelayLink(const RelayLink&) = delete;
   RelayLink& operator=(const RelayLink&) = delete;
 
-  // Asks the controller to be a relay, unless it is one or was asked of late.
+  // Asks the controller to be a relay, unless it is one already or was asked
+  // recently.
   void OpenIfDue(SteadyTime now);
-  // Gives up calls that are overdue, and the relay if it has answered none
-  // since; keeps its clock known while there are no calls.
+  // Gives up overdue calls, and the relay if it has sent no answer since an
+  // overdue call was made. Reads the relay's clock while there are no calls.
   void CheckOpenCalls(SteadyTime now);
 
   bool is_open() const { return this->state == State::kOpen; }
-  // Where the relay stands, as it says.
+  // The data centre of the relay, as the relay reported it.
   const DataCentre& data_centre() const { return this->relay_data_centre; }
-  const RelayCounts& counts() const { return this->done; }
-  std::size_t open_calls() const { return this->open.size(); }
+  const RelayCounts& counts() const { return this->call_counts; }
+  std::size_t open_calls() const { return this->calls_by_id.size(); }
 
-  // Has the relay make a call that takes a worker up to `limit`; the promise
-  // never fails. Without a relay the result is kNotSent.
-  kj::Promise<RelayAnswer> Call(CallBody body, Milliseconds limit);
+  // Has the relay make a call for which the worker may take up to
+  // `worker_timeout`. The promise never fails; without an open relay the result
+  // is kNotSent.
+  kj::Promise<RelayAnswer> Call(CallBody body, Milliseconds worker_timeout);
   // Has the relay close its connections to a worker.
-  void Forget(const WorkerId& worker);
+  void CloseConnectionsTo(const WorkerId& worker);
 
  private:
   enum class State { kClosed, kOpening, kOpen };
@@ -68,15 +70,15 @@
   struct OpenCall {
     kj::Own<kj::PromiseFulfiller<RelayAnswer>> fulfiller;
     SteadyTime made_at{};
-    // Without an answer by then the relay is at fault.
-    SteadyTime due{};
+    // The time after which a missing answer is attributed to the relay.
+    SteadyTime answer_deadline{};
   };
 
   void taskFailed(kj::Exception&& exception) override;
 
-  void TakeOpened(wire::Relay::Client relay,
-                  RelayTime reading,
-                  DataCentre data_centre);
+  void FinishOpening(wire::Relay::Client relay,
+                     RelayTime reading,
+                     DataCentre data_centre);
   void Close(const std::string& reason);
   void Enqueue(CallBody body, std::uint64_t id);
   void ScheduleFlush(bool is_urgent);
@@ -85,8 +87,8 @@
   void SendQueue(wire::Relay::Client& relay, SteadyTime lease_end);
   void SendBatch(wire::Relay::Client& relay,
                  const std::vector<RelayCall>& calls);
-  void LoseCall(std::uint64_t id);
-  void Take(wire::RelayedAnswers::Reader answers);
+  void GiveUpCall(std::uint64_t id);
+  void HandleAnswers(wire::RelayedAnswers::Reader answers);
   void Fulfill(RelayAnswer&& answer);
 
   rpc::Channel& channel;
@@ -95,23 +97,23 @@
   Host host;
   SystemClock clock;
   State state = State::kClosed;
-  // Counts openings, so that what is late of one does not touch the next.
+  // Counts openings, so that late events of one opening do not affect the next.
   std::uint64_t generation = 0;
   SteadyTime opened_at{};
   DataCentre relay_data_centre;
   RelayClock relay_clock;
   SteadyTime clock_read_at{};
-  // When it last answered calls.
+  // The time at which the relay last answered calls.
   SteadyTime answered_at{};
   kj::Maybe<wire::Relay::Client> relay;
-  // Takes the answers of this opening.
+  // Receives the answers of the present opening.
   AnswerSink* sink = nullptr;
   std::uint64_t last_id = 0;
   std::vector<RelayCall> queue;
-  std::unordered_map<std::uint64_t, OpenCall> open;
-  bool is_flush_near = false;
+  std::unordered_map<std::uint64_t, OpenCall> calls_by_id;
+  bool is_urgent_flush_scheduled = false;
   bool is_flush_scheduled = false;
-  RelayCounts done;
+  RelayCounts call_counts;
   kj::TaskSet tasks;
 };
 
--- a/libraries/relay/relay_service.cc
+++ b/libraries/relay/relay_service.cc
@@ -14,11 +14,13 @@
 namespace sumac::relay {
 namespace {
 
-// Answers leave at once, but for those that come within this after others: a
-// batch costs the leader more than an answer in it.
-constexpr Milliseconds kGatherTime{10};
-// A report may list hundreds of ends, and a message is taken up to 64 MiB.
-constexpr std::size_t kMostAnswersOfBatch = 256;
+// The minimum time between two batches of answers. An answer after a longer
+// pause is sent at once; others are gathered, since a batch costs the leader
+// more than a single answer in it.
+constexpr Milliseconds kBatchDelay{10};
+// Limits the size of a message, which the leader accepts up to 64 MiB: a single
+// report may list hundreds of ends.
+constexpr std::size_t kMaxAnswersPerBatch = 256;
 
 }  // namespace
 
@@ -40,7 +42,7 @@
   for (const auto item : batch.getCalls()) {
     absl::StatusOr<RelayCall> call = ReadCall(item, texts, this->epoch);
     if (call.ok()) {
-      this->Make(*std::move(call));
+      this->MakeCall(*std::move(call));
       continue;
     }
     LogEvent(LogLevel::kError, "relayed-call-malformed",
@@ -53,39 +55,42 @@
   return kj::READY_NOW;
 }
 
-// NOTE: What is left of the time is asked again right before the call leaves,
-// since it may wait for its connection and this machine may be suspended.
-void RelayService::Make(RelayCall call) {
+// Makes a call, unless its deadline has passed or a later leadership is known.
+// NOTE: The remaining time is checked again right before the call is sent,
+// since the call may wait for its connection and this machine may be suspended.
+void RelayService::MakeCall(RelayCall call) {
   const SteadyTime expires{Milliseconds(call.expires.value())};
-  const Milliseconds left = expires - this->clock.SteadyNow();
+  const Milliseconds time_left = expires - this->clock.SteadyNow();
   if (const auto* forget = std::get_if<ForgetCall>(&call.body)) {
     this->workers.calls.forget(forget->worker);
     return;
   }
-  if (left <= Milliseconds(0) || !this->host.is_current(this->epoch)) {
+  if (time_left <= Milliseconds(0) || !this->host.is_current(this->epoch)) {
     this->Answer({call.id, scheduler::OrderResult::kNotSent});
     return;
   }
   std::visit(
-      [this, &call, left](auto& body) {
+      [this, &call, time_left](auto& body) {
         using Body = std::decay_t<decltype(body)>;
         if constexpr (std::is_same_v<Body, RenewCall>) {
-          body.order.longest_wait = left;
+          body.order.longest_wait = time_left;
           this->MakeRenewal(call.id, this->workers.calls.renew(body.order));
         } else if constexpr (std::is_same_v<Body, ReportCall>) {
-          body.order.longest_wait = left;
+          body.order.longest_wait = time_left;
           this->MakeRenewal(call.id,
                             this->workers.calls.request_report(body.order));
         } else if constexpr (!std::is_same_v<Body, ForgetCall>) {
-          this->MakeOrder(call.id, std::move(body), left);
+          this->MakeOrder(call.id, std::move(body), time_left);
         }
       },
       call.body);
 }
 
 template <typename Order>
-void RelayService::MakeOrder(std::uint64_t id, Order order, Milliseconds left) {
-  order.longest_wait = left;
+void RelayService::MakeOrder(std::uint64_t id,
+                             Order order,
+                             Milliseconds time_left) {
+  order.longest_wait = time_left;
   this->tasks.add(this->workers.calls.send(std::move(order))
                       .then([this, id](const scheduler::OrderAnswer& answer) {
                         this->Answer({id, answer.result, answer.clock});
@@ -111,39 +116,39 @@
 }
 
 void RelayService::ScheduleFlush() {
-  if (this->is_flush_scheduled || this->is_batch_open || this->is_cut_off ||
-      this->queue.empty()) {
+  if (this->is_flush_scheduled || this->is_batch_in_flight ||
+      this->is_leader_unreachable || this->queue.empty()) {
     return;
   }
   this->is_flush_scheduled = true;
   const SteadyTime now = this->clock.SteadyNow();
-  const Milliseconds pause = std::clamp(this->flushed_at + kGatherTime - now,
-                                        Milliseconds(0), kGatherTime);
+  const Milliseconds pause = std::clamp(this->flushed_at + kBatchDelay - now,
+                                        Milliseconds(0), kBatchDelay);
   this->tasks.add(this->timer.afterDelay(ToKj(pause)).then([this] {
     this->is_flush_scheduled = false;
     this->Flush();
   }));
 }
 
-// One batch is under way at a time, so that a leader that reads late gets fewer
-// and larger ones.
+// Sends a batch of answers. Only one batch is in flight at a time, so that a
+// leader that is slow to read gets fewer and larger batches.
 void RelayService::Flush() {
   this->flushed_at = this->clock.SteadyNow();
   auto request = this->answers.takeRequest();
   auto batch = request.initAnswers();
   batch.setClockMs(this->flushed_at.time_since_epoch().count());
-  const std::size_t count = std::min(this->queue.size(), kMostAnswersOfBatch);
+  const std::size_t count = std::min(this->queue.size(), kMaxAnswersPerBatch);
   const auto end = this->queue.begin() + static_cast<std::ptrdiff_t>(count);
   WriteAnswers({this->queue.data(), count}, batch);
   this->queue.erase(this->queue.begin(), end);
-  this->is_batch_open = true;
+  this->is_batch_in_flight = true;
   this->tasks.add(request.send().ignoreResult().then(
       [this] {
-        this->is_batch_open = false;
+        this->is_batch_in_flight = false;
         this->ScheduleFlush();
       },
       [this](kj::Exception&& exception) {
-        this->is_cut_off = true;
+        this->is_leader_unreachable = true;
         LogEvent(LogLevel::kWarning, "relay-cut-off",
                  {{"epoch", this->epoch.value()},
                   {"error", exception.getDescription().cStr()}});
--- a/libraries/relay/relayed_calls.h
+++ b/libraries/relay/relayed_calls.h
@@ -24,39 +24,43 @@
 
 namespace sumac::relay {
 
-// A leader's calls to workers, most of which other controllers make for it;
-// those of a worker without a relay it makes by itself. Lives as long as one
-// leadership and belongs to the core's event loop.
+// Makes a leader's calls to workers. Other controllers, as relays, make most of
+// them on its behalf; the leader itself calls workers that have no relay.
+// Exists for one leadership and belongs to the core's event loop.
 class RelayedCalls {
  public:
-  // What it needs of its leader.
+  // The functions that the leader provides.
   struct Host {
-    // The connection to another controller; nothing for an unknown name.
+    // Returns the connection to another controller, or null for an unknown
+    // name.
     std::function<rpc::Channel*(const ProcessName&)> find;
-    // When the leader's lease ends; nothing while it has none.
+    // Returns the end of the leader's lease, or nothing while it has none.
     std::function<std::optional<SteadyTime>()> lease_end;
-    // Where a worker stands.
+    // Returns the data centre of a worker.
     std::function<DataCentre(const WorkerId&)> data_centre_of;
   };
 
-  RelayedCalls(scheduler::WorkerCalls own,
+  RelayedCalls(scheduler::WorkerCalls direct_calls,
                kj::Timer& timer,
                LeaderEpoch epoch,
                Host host);
   RelayedCalls(const RelayedCalls&) = delete;
   RelayedCalls& operator=(const RelayedCalls&) = delete;
 
-  // Takes in which other controllers may be relays, and looks after those that
-  // are. Called often.
-  void Sync(const std::set<ProcessName>& controllers, SteadyTime now);
+  // Sets the controllers that may be relays, opens new relays and checks the
+  // open calls of the present ones. Called often.
+  void UpdateRelays(const std::set<ProcessName>& controllers, SteadyTime now);
 
+  // Each of these makes a call to a worker, through its relay or directly.
   kj::Promise<scheduler::RenewAnswer> Renew(const scheduler::RenewOrder& order);
   kj::Promise<scheduler::RenewAnswer> RequestReport(
       const scheduler::RenewOrder& order);
   kj::Promise<scheduler::OrderAnswer> Send(const scheduler::Order& order);
-  void Forget(const WorkerId& worker);
+  // Removes the record of a worker and closes all connections to it.
+  void RemoveWorker(const WorkerId& worker);
 
-  // How many relays can be used, and what all of them have done.
+  // The number of relays that can be used, and the counters of all relays of
+  // this leadership.
   std::size_t open_relays() const;
   RelayCounts TotalCounts() const;
 
@@ -67,33 +71,34 @@
   };
 
   void Open(const ProcessName& controller);
-  void NoteChange(std::size_t number);
+  void UpdateRoute(std::size_t number);
   RelayLink* FindLink(const WorkerId& worker, std::size_t& number);
   kj::Promise<RelayAnswer> Call(const WorkerId& worker,
                                 CallBody body,
-                                Milliseconds limit,
+                                Milliseconds worker_timeout,
                                 RelayLink& link,
                                 std::size_t number);
-  kj::Promise<scheduler::RenewAnswer> Relayed(const WorkerId& worker,
-                                              CallBody body,
-                                              Milliseconds limit,
-                                              RelayLink& link,
-                                              std::size_t number);
+  kj::Promise<scheduler::RenewAnswer> CallForReport(const WorkerId& worker,
+                                                    CallBody body,
+                                                    Milliseconds worker_timeout,
+                                                    RelayLink& link,
+                                                    std::size_t number);
 
-  scheduler::WorkerCalls own;
+  scheduler::WorkerCalls direct_calls;
   kj::Timer& timer;
   LeaderEpoch epoch;
   Host host;
   SystemClock clock;
-  // Answers that are under way may outlive this by a moment.
+  // Shared with the continuations of open calls, which may briefly outlive this
+  // object.
   std::shared_ptr<RelayRoutes> routes = std::make_shared<RelayRoutes>();
-  // Workers to which the leader itself may have connections.
-  std::unordered_set<WorkerId> own_workers;
+  // The workers to which the leader itself may have connections.
+  std::unordered_set<WorkerId> directly_called_workers;
   std::map<ProcessName, Relay> relays;
-  // The links by their numbers; nothing for those that are gone.
+  // The links by their numbers; null for those that were removed.
   std::vector<RelayLink*> links;
-  // Of links that are gone.
-  RelayCounts past;
+  // The counters of links that were removed.
+  RelayCounts removed_counts;
 };
 
 }  // namespace sumac::relay
--- a/libraries/replication/replica.cc
+++ b/libraries/replication/replica.cc
@@ -37,9 +37,9 @@
       committed_index(start.snapshot.meta.index),
       delivered_index(start.snapshot.meta.index),
       written_index(this->log.last_index()),
-      // NOTE: A voter that restarts has forgotten when it last heard the
-      // leader. It counts as having just heard it, or its vote could break a
-      // lease that the leader still holds.
+      // NOTE: A restart loses the time of the last message from the leader.
+      // The voter assumes that one has just arrived, since its vote could
+      // otherwise break a lease that the leader still holds.
       last_leader_contact(now),
       latest_now(now),
       random(start.seed) {
@@ -69,9 +69,9 @@
     return;
   }
   if (this->hand_over_to && now >= this->hand_over_deadline) {
-    // NOTE: Once TimeoutNow is out, its receiver may start an election that
-    // passes the lease at any later moment of this term, so this term can't be
-    // resumed.
+    // NOTE: Once TimeoutNow is sent, its receiver may at any later moment of
+    // this term start an election that ignores the lease, so leadership of this
+    // term can't be resumed.
     if (this->has_sent_timeout_now) {
       this->BecomeFollower(this->hard_state.term, std::nullopt);
       this->ResetElectionTimer(now);
@@ -79,8 +79,8 @@
     }
     this->hand_over_to.reset();
   }
-  if (std::exchange(this->needs_commit_news, false)) {
-    this->TellCommitIndex(now);
+  if (std::exchange(this->needs_commit_broadcast, false)) {
+    this->SendCommitIndex(now);
   }
   if (now - this->last_heartbeat >= this->settings.heartbeat_interval) {
     this->last_heartbeat = now;
@@ -114,7 +114,7 @@
     return;
   }
   if (message.term < this->hard_state.term) {
-    // An old leader learns of the newer term from this refusal and steps down.
+    // The refusal contains the newer term, which makes an old leader step down.
     if (std::holds_alternative<AppendRequest>(message.body) ||
         std::holds_alternative<SnapshotChunk>(message.body)) {
       this->Send(message.from, AppendAnswer{.is_accepted = false});
@@ -220,7 +220,7 @@
   return std::exchange(this->output, Output{});
 }
 
-void Replica::NoteWritten(LogIndex index, SteadyTime now) {
+void Replica::HandleLogWritten(LogIndex index, SteadyTime now) {
   this->latest_now = now;
   this->written_index = std::min(index, this->log.last_index());
   if (this->current_role == Role::kLeader) {
@@ -323,7 +323,7 @@
   this->leader_start_index = this->log.last_index();
 }
 
-bool Replica::IsLeaderFresh(SteadyTime now) const {
+bool Replica::HasRecentLeader(SteadyTime now) const {
   if (this->current_role == Role::kLeader) {
     return true;
   }
@@ -341,11 +341,11 @@
                                 Term term,
                                 const VoteRequest& request,
                                 SteadyTime now) {
-  // NOTE: While a leader is fresh no vote is given, not even in a newer term:
-  // the leader's lease rests on this. Only a hand-over, for which the leader
-  // gave up its lease, passes.
+  // NOTE: Until the election timeout after the last message from a leader, no
+  // vote is granted, not even in a newer term: the leader's lease depends on
+  // this. The exception is a hand-over, for which the leader gave up its lease.
   const bool is_member = this->membership().is_voter(this->own_id);
-  if (!is_member || (this->IsLeaderFresh(now) && !request.is_hand_over)) {
+  if (!is_member || (this->HasRecentLeader(now) && !request.is_hand_over)) {
     this->Send(from, VoteAnswer{request.is_pre_vote, false});
     return;
   }
@@ -408,7 +408,7 @@
   this->ResetElectionTimer(now);
   AppendAnswer answer{.sent_at = request.sent_at};
   if (request.previous_index < this->log.snapshot().index) {
-    // All up to the snapshot is committed, so it matches.
+    // All entries up to the snapshot are committed, so they match.
     answer.is_accepted = true;
     answer.match_index = this->log.snapshot().index;
     this->Send(from, answer);
@@ -426,8 +426,8 @@
                           request.entries.size());
   this->AppendFollowerEntries(std::move(request.entries));
   this->AdvanceCommit(std::min(request.commit_index, last_new));
-  // A leader's commit index covers all that went before only once it lies in
-  // its own term.
+  // A leader's commit index covers all earlier committed entries only once it
+  // lies in the leader's own term.
   if (request.is_under_lease && this->committed_index >= request.commit_index &&
       this->log.TermAt(this->committed_index) == this->hard_state.term) {
     this->is_state_verified = true;
@@ -476,8 +476,8 @@
   this->output.entries_to_write.push_back(entry);
   this->log.Append(std::move(entry));
   this->MaybeCommit(now);
-  // Sent with the next output, so that all proposals of one turn share a
-  // message.
+  // The entry is sent with the next output, so that all proposals of one
+  // iteration of the loop share a message.
   this->latest_now = now;
   this->needs_broadcast = true;
 }
@@ -489,7 +489,7 @@
 void Replica::MaybeCommit(SteadyTime now) {
   const LogIndex agreed =
       this->leading->QuorumIndex(this->membership(), this->written_index);
-  // Only entries of the own term are committed by counting (Raft,
+  // Counting copies commits only entries of the leader's own term (Raft,
   // section 5.4.2).
   if (agreed <= this->committed_index ||
       this->log.TermAt(agreed) != this->hard_state.term) {
@@ -497,7 +497,7 @@
   }
   this->AdvanceCommit(agreed);
   this->is_state_verified = true;
-  this->needs_commit_news = true;
+  this->needs_commit_broadcast = true;
   if (this->is_membership_committed() &&
       !this->membership().is_voter(this->own_id)) {
     this->BecomeFollower(this->hard_state.term, std::nullopt);
@@ -514,10 +514,10 @@
   }
 }
 
-// Tells members that nothing else is under way to how far the log is committed,
-// so that they apply it with this tick and not with the next heartbeat. Under
-// load entries carry the same news.
-void Replica::TellCommitIndex(SteadyTime now) {
+// Sends the commit index to members to which no other message is in flight, so
+// that they apply the committed entries on this tick rather than at the next
+// heartbeat. Under load, messages with entries contain the commit index.
+void Replica::SendCommitIndex(SteadyTime now) {
   for (auto& [node, progress] : this->leading->members()) {
     const bool is_idle = progress.is_matched &&
                          progress.messages_in_flight == 0 &&
@@ -535,7 +535,8 @@
   const bool is_stalled =
       now - progress.last_answer_at > this->settings.election_timeout;
   if (is_heartbeat && is_stalled) {
-    // Whatever was under way is lost; look for the matching position again.
+    // All messages in flight are considered lost; the search for the matching
+    // position starts again.
     progress.is_matched = false;
     progress.messages_in_flight = 0;
     progress.next_index = std::max(progress.match_index.Next(),
@@ -551,10 +552,11 @@
     }
     return;
   }
-  const std::size_t most =
-      progress.is_matched ? this->settings.most_messages_in_flight : 1;
+  const std::size_t max_in_flight =
+      progress.is_matched ? this->settings.max_messages_in_flight : 1;
   const bool has_entries = progress.next_index <= this->log.last_index();
-  if (is_heartbeat || (has_entries && progress.messages_in_flight < most)) {
+  if (is_heartbeat ||
+      (has_entries && progress.messages_in_flight < max_in_flight)) {
     this->SendEntries(node, progress, now);
   }
 }
@@ -568,12 +570,12 @@
                         .commit_index = this->committed_index,
                         .is_under_lease = this->HoldsLease(now),
                         .sent_at = now};
-  const std::size_t most =
-      progress.is_matched ? this->settings.most_messages_in_flight : 1;
-  if (progress.messages_in_flight < most) {
+  const std::size_t max_in_flight =
+      progress.is_matched ? this->settings.max_messages_in_flight : 1;
+  if (progress.messages_in_flight < max_in_flight) {
     request.entries = this->log.Read(progress.next_index,
-                                     this->settings.most_entries_per_message,
-                                     this->settings.most_bytes_per_message);
+                                     this->settings.max_entries_per_message,
+                                     this->settings.max_bytes_per_message);
   }
   if (!request.entries.empty()) {
     ++progress.messages_in_flight;
@@ -594,7 +596,7 @@
   });
 }
 
-// Sends the next piece of the newest snapshot.
+// Sends the next chunk of the newest snapshot.
 void Replica::SendSnapshot(const NodeId& node,
                            MemberProgress& progress,
                            SteadyTime now) {
@@ -605,7 +607,7 @@
   }
   const std::uint64_t offset = progress.snapshot_offset.value_or(0);
   progress.snapshot_offset = offset;
-  progress.piece_sent_at = now;
+  progress.chunk_sent_at = now;
   SnapshotChunk chunk{.meta = meta, .offset = offset, .sent_at = now};
   if (offset < this->snapshot_state.size()) {
     chunk.data = this->snapshot_state.substr(
@@ -615,21 +617,21 @@
   this->Send(node, std::move(chunk));
 }
 
-// A piece that was lost is sent again. One that is only slow is not: each
-// answer to a piece brings the next, so a piece that goes out twice doubles all
-// that follow it.
+// Sends the next chunk again if it is considered lost, else an empty chunk. A
+// chunk that is only slow is not sent again: each answer to a chunk triggers
+// the next one, so sending one chunk twice would double all that follow it.
 void Replica::SendSnapshotHeartbeat(const NodeId& node,
                                     MemberProgress& progress,
                                     SteadyTime now) {
   const bool is_superseded =
       progress.snapshot_index != this->log.snapshot().index;
   const bool is_lost =
-      now - progress.piece_sent_at > this->settings.election_timeout;
+      now - progress.chunk_sent_at > this->settings.election_timeout;
   if (is_superseded || is_lost) {
     this->SendSnapshot(node, progress, now);
     return;
   }
-  // An empty piece says no more than that the leader is there.
+  // An empty chunk only shows that the leader is alive.
   this->Send(node, SnapshotChunk{.meta = this->log.snapshot(),
                                  .offset = *progress.snapshot_offset,
                                  .sent_at = now});
@@ -702,9 +704,9 @@
 
 void Replica::InstallIncomingSnapshot() {
   const SnapshotMeta meta = this->incoming_snapshot->meta;
-  // NOTE: Entries after the snapshot stay when they are of the same history:
-  // they may have been acknowledged, and an acknowledged entry must not be
-  // forgotten (Raft, section 7).
+  // NOTE: Entries after the snapshot are kept if they belong to the same
+  // history: they may have been acknowledged, and an acknowledged entry must
+  // not be lost (Raft, section 7).
   const bool is_same_history = this->log.has_term(meta.index) &&
                                this->log.TermAt(meta.index) == meta.term;
   this->log.CompactTo(meta);
@@ -741,12 +743,15 @@
     this->SendTo(from, *progress, false, now);
     return;
   }
-  const bool is_piece_taken = answer.next_offset > *progress->snapshot_offset;
-  // Only the answer to the last piece tells that the member lost what it had.
-  const bool has_begun_anew = answer.next_offset < *progress->snapshot_offset &&
-                              answer.sent_at >= progress->piece_sent_at;
+  const bool is_chunk_accepted =
+      answer.next_offset > *progress->snapshot_offset;
+  // A smaller offset means that the member lost the chunks it had, but only in
+  // the answer to the last chunk sent; other answers may be late.
+  const bool has_restarted_transfer =
+      answer.next_offset < *progress->snapshot_offset &&
+      answer.sent_at >= progress->chunk_sent_at;
   if (answer.index == progress->snapshot_index &&
-      (is_piece_taken || has_begun_anew)) {
+      (is_chunk_accepted || has_restarted_transfer)) {
     progress->snapshot_offset = answer.next_offset;
     this->SendSnapshot(from, *progress, now);
   }
--- a/libraries/routing/decision_ring.h
+++ b/libraries/routing/decision_ring.h
@@ -13,33 +13,36 @@
 
 namespace sumac::routing {
 
-// The latest routing decisions of one entry, bounded in number.
+// Keeps the latest routing decisions of one entry, up to a maximum number.
 class DecisionRing {
  public:
-  // `process` and `start` go into the ids, PROCESS.START-NUMBER, so that any
-  // process can tell where to ask and an id is never used again after a
-  // restart.
-  DecisionRing(ProcessName process, std::uint64_t start, std::size_t most);
-
-  // Keeps a decision, gives it its id, and returns it.
+  // Decision ids have the form PROCESS.START-NUMBER and contain `process` and
+  // `start`, so that any process can tell which entry to ask and no id is
+  // reused after a restart. `max_decisions` is the maximum number of decisions
+  // kept.
+  DecisionRing(ProcessName process,
+               std::uint64_t start,
+               std::size_t max_decisions);
+
+  // Stores a decision, assigns its id, and returns it.
   const fleet::Decision& Add(fleet::Decision decision);
 
-  // The decision with this id, if it is still kept.
+  // Returns the decision with this id, if it is still kept.
   std::optional<fleet::Decision> Find(const DecisionId& id) const;
 
-  // The decisions about a subject, newest first, at most `most`.
+  // Returns up to `limit` decisions about a subject, newest first.
   std::vector<fleet::Decision> FindAbout(fleet::SubjectKind kind,
                                          std::string_view subject,
-                                         std::size_t most) const;
+                                         std::size_t limit) const;
 
-  // The process named in a routing decision's id, or nothing when it is not
-  // one.
+  // Returns the process named in a routing decision's id, or nothing if the id
+  // is not one of a routing decision.
   static std::optional<ProcessName> ProcessOf(const DecisionId& id);
 
  private:
   ProcessName process;
   std::uint64_t start;
-  std::size_t most;
+  std::size_t max_decisions;
   std::uint64_t next_number = 1;
   std::deque<fleet::Decision> decisions;
 };
--- a/libraries/routing/minion_set.cc
+++ b/libraries/routing/minion_set.cc
@@ -10,12 +10,14 @@
 namespace sumac::routing {
 namespace {
 
-// A reported load older than this says nothing any more.
-constexpr Milliseconds kReportedLoadLife{200};
-// A decision names this many of the minions that were passed over.
-constexpr std::size_t kMostPassedOver = 4;
+// The time after which a reported load is ignored.
+constexpr Milliseconds kReportedLoadValidity{200};
+// The maximum number of passed-over minions that a decision names.
+constexpr std::size_t kMaxPassedOver = 4;
 
-std::uint32_t ShareOf(std::uint32_t slots, const SharingSettings& settings) {
+// Returns the number of a minion's slots that this entry may use.
+std::uint32_t AllowedRequests(std::uint32_t slots,
+                              const SharingSettings& settings) {
   const double even =
       static_cast<double>(slots) / std::max(settings.entries, 1U);
   const auto share =
@@ -38,7 +40,7 @@
       }
     }
     minion.routed = routed;
-    minion.most_in_flight = ShareOf(routed.slots, this->settings);
+    minion.max_in_flight = AllowedRequests(routed.slots, this->settings);
     for (const ServiceName& service : routed.services) {
       Candidates& candidates = this->services[service];
       const bool is_near = routed.data_centre == this->settings.data_centre;
@@ -54,9 +56,10 @@
          !minion.health.IsAside(now);
 }
 
-std::string MinionSet::WhyNot(const Minion& minion,
-                              const std::set<InstanceName>& excluded,
-                              SteadyTime now) const {
+std::string MinionSet::ExplainUnavailable(
+    const Minion& minion,
+    const std::set<InstanceName>& excluded,
+    SteadyTime now) const {
   if (!minion.routed.can_take_work) {
     return "it is leaving, silent or set aside by the controllers";
   }
@@ -72,20 +75,20 @@
   if (minion.health.IsPaused(now)) {
     return "it has just declined a request";
   }
-  const bool is_trial_taken =
+  const bool is_trial_in_flight =
       minion.health.is_on_probation() && minion.in_flight > 0;
-  if (is_trial_taken) {
+  if (is_trial_in_flight) {
     return "it comes back slowly, one request at a time";
   }
-  if (minion.in_flight >= minion.most_in_flight) {
+  if (minion.in_flight >= minion.max_in_flight) {
     return StrCat("it has ", minion.in_flight, " requests of ",
-                  minion.most_in_flight, " that this entry may have there");
+                  minion.max_in_flight, " that this entry may have there");
   }
   return "";
 }
 
 double MinionSet::LoadOf(const Minion& minion, SteadyTime now) const {
-  const bool is_fresh = now - minion.reported_at < kReportedLoadLife;
+  const bool is_fresh = now - minion.reported_at < kReportedLoadValidity;
   const std::uint32_t load =
       is_fresh ? std::max(minion.in_flight, minion.reported_load)
                : minion.in_flight;
@@ -101,39 +104,41 @@
   if (names.empty()) {
     return std::nullopt;
   }
-  const auto note = [&](const Minion& minion, std::string why) {
-    if (passed_over.size() < kMostPassedOver) {
+  const auto add_passed_over = [&](const Minion& minion, std::string why) {
+    if (passed_over.size() < kMaxPassedOver) {
       passed_over.push_back(
           fleet::Alternative{minion.routed.name.value(), std::move(why)});
     }
   };
   std::uniform_int_distribution<std::size_t> position(0, names.size() - 1);
   const Minion* best = nullptr;
-  // Two random looks first; when neither can take it, the rest in turn from a
-  // random place.
+  // Compares two random minions first. If neither is available, tries the
+  // others in order from a random position.
   const std::size_t start = position(random);
   const std::size_t second = position(random);
   for (std::size_t step = 0; step <= names.size(); ++step) {
-    // Steps 2 and on go round all others once; the second look may have been at
-    // the first again.
-    const std::size_t in_turn = (start + step - 1) % names.size();
-    const std::size_t index = step == 0 ? start : step == 1 ? second : in_turn;
+    // Steps 2 and later visit each of the others once. The second random minion
+    // may be the same as the first.
+    const std::size_t sequential_index = (start + step - 1) % names.size();
+    const std::size_t index = step == 0   ? start
+                              : step == 1 ? second
+                                          : sequential_index;
     const Minion& minion = this->minions.at(names[index]);
     if (&minion == best) {
       continue;
     }
-    std::string why = this->WhyNot(minion, excluded, now);
+    std::string why = this->ExplainUnavailable(minion, excluded, now);
     if (!why.empty()) {
-      note(minion, std::move(why));
+      add_passed_over(minion, std::move(why));
     } else if (best == nullptr) {
       best = &minion;
     } else if (this->LoadOf(minion, now) < this->LoadOf(*best, now)) {
-      note(*best, StrCat("load ", this->LoadOf(*best, now),
-                         " of its slots is higher"));
+      add_passed_over(*best, StrCat("load ", this->LoadOf(*best, now),
+                                    " of its slots is higher"));
       best = &minion;
     } else {
-      note(minion, StrCat("load ", this->LoadOf(minion, now),
-                          " of its slots is not lower"));
+      add_passed_over(minion, StrCat("load ", this->LoadOf(minion, now),
+                                     " of its slots is not lower"));
     }
     if (best != nullptr && step >= 1) {
       break;
@@ -202,15 +207,17 @@
     minion.reported_load = *reported_load;
     minion.reported_at = now;
   }
-  // Only a failure asks how many others are aside, which looks at all of the
-  // service.
+  // The number of minions set aside is only counted after a failure, since that
+  // is a full scan of the service.
   const bool may_set_aside =
       !IsFailure(outcome) || this->MaySetAside(minion, now);
-  minion.health.Note(outcome, this->settings.health, now, may_set_aside);
+  minion.health.RecordOutcome(outcome, this->settings.health, now,
+                              may_set_aside);
 }
 
-// When many fail at once it is seldom their fault, and with all of them aside
-// nobody would be served.
+// Returns true unless too many minions of one of its services would be set
+// aside. When many fail at once the cause is seldom the minions, and with all
+// of them set aside no request would be served.
 bool MinionSet::MaySetAside(const Minion& minion, SteadyTime now) const {
   return std::all_of(
       minion.routed.services.begin(), minion.routed.services.end(),
@@ -226,14 +233,15 @@
         const auto total =
             static_cast<double>(all.near.size() + all.far.size());
         return static_cast<double>(aside + 1) <=
-               total * this->settings.most_aside_share;
+               total * this->settings.max_aside_share;
       });
 }
 
-void MinionSet::NoteLeaving(const InstanceName& name, SteadyTime now) {
+void MinionSet::MarkLeaving(const InstanceName& name, SteadyTime now) {
   const auto found = this->minions.find(name);
   if (found != this->minions.end()) {
-    found->second.health.Note(TryOutcome::kLeaving, this->settings.health, now);
+    found->second.health.RecordOutcome(TryOutcome::kLeaving,
+                                       this->settings.health, now);
   }
 }
 
--- a/libraries/routing/retry_budget.h
+++ b/libraries/routing/retry_budget.h
@@ -4,23 +4,23 @@
 
 namespace sumac::routing {
 
-// Keeps retries to a share of first tries, so that a broken service is not made
-// worse by them.
+// Limits retries to a share of first tries, so that they do not overload a
+// failing service further.
 class RetryBudget {
  public:
-  // Counts a first try, which earns `share` of a retry.
-  void NoteFirstTry(double share);
+  // Adds `share` of a retry to the budget, for a first try.
+  void AddFirstTry(double share);
 
-  // Takes one retry if there is one.
+  // Takes one retry from the budget; returns false if there is less than one.
   bool TakeRetry();
 
  private:
-  double saved = kFirstSavings;
+  double available_retries = kInitialRetries;
 
-  // Lets a service that has just begun retry a few times, and bounds what a
-  // quiet one saves up.
-  static constexpr double kFirstSavings = 10;
-  static constexpr double kMostSavings = 100;
+  // The initial budget, which allows a new service a few retries.
+  static constexpr double kInitialRetries = 10;
+  // Limits the budget that a service accumulates while it needs few retries.
+  static constexpr double kMaxRetries = 100;
 };
 
 }  // namespace sumac::routing
--- a/tests/libraries/relay/relay_codec_test.cc
+++ b/tests/libraries/relay/relay_codec_test.cc
@@ -32,10 +32,11 @@
           .ticket = "ticket"};
 }
 
-// Writes calls and reads them again.
+// Writes calls into a message that tests read back.
 class RelayCodecTest : public testing::Test {
  protected:
-  // NOTE: kj's destructors may throw; a test's may not.
+  // NOTE: Destructors of kj may throw, the destructor of a gtest fixture may
+  // not.
   ~RelayCodecTest() noexcept override {}
 
   wire::RelayedCalls::Reader Write(const std::vector<RelayCall>& calls) {
@@ -47,7 +48,7 @@
   capnp::MallocMessageBuilder message;
 };
 
-TEST_F(RelayCodecTest, AStartComesThroughWhole) {
+TEST_F(RelayCodecTest, AStartIsReadBackUnchanged) {
   std::vector<RelayCall> calls;
   calls.push_back({.id = 5, .expires = RelayTime(99), .body = StartOf(4, "x")});
   const auto batch = this->Write(calls);
@@ -86,7 +87,7 @@
   EXPECT_FALSE(ReadCall(batch.getCalls()[1], {}, kEpoch).ok());
 }
 
-TEST_F(RelayCodecTest, AnAnswerOfALaterVersionProvesNothing) {
+TEST_F(RelayCodecTest, UnknownValuesInAnAnswerGiveAnUnknownResult) {
   constexpr std::uint16_t kLater = 900;
   auto builder = this->message.initRoot<wire::RelayedAnswer>();
   builder.setResult(kLater);
@@ -124,7 +125,7 @@
   return report;
 }
 
-RC_GTEST_PROP(RelayCodecPropertyTest, AReportComesThroughWhole, ()) {
+RC_GTEST_PROP(RelayCodecPropertyTest, AReportIsReadBackUnchanged, ()) {
   std::vector<RelayAnswer> answers(1);
   answers[0].result = scheduler::OrderResult::kDone;
   answers[0].report = std::make_unique<scheduler::RenewReport>(AnyReport());
@@ -138,17 +139,17 @@
   RC_ASSERT(read.report->clock == wanted.clock);
   RC_ASSERT(read.report->has_more_ends == wanted.has_more_ends);
   RC_ASSERT(read.report->running.size() == wanted.running.size());
-  for (std::size_t place = 0; place < wanted.running.size(); ++place) {
-    const scheduler::RunningReport& one = read.report->running[place];
-    const scheduler::RunningReport& other = wanted.running[place];
+  for (std::size_t position = 0; position < wanted.running.size(); ++position) {
+    const scheduler::RunningReport& one = read.report->running[position];
+    const scheduler::RunningReport& other = wanted.running[position];
     RC_ASSERT(one.task == other.task && one.run == other.run);
     RC_ASSERT(one.checkpoint == other.checkpoint);
     RC_ASSERT(one.percent == other.percent && one.load == other.load);
   }
   RC_ASSERT(read.report->ended.size() == wanted.ended.size());
-  for (std::size_t place = 0; place < wanted.ended.size(); ++place) {
-    const scheduler::EndReport& one = read.report->ended[place];
-    const scheduler::EndReport& other = wanted.ended[place];
+  for (std::size_t position = 0; position < wanted.ended.size(); ++position) {
+    const scheduler::EndReport& one = read.report->ended[position];
+    const scheduler::EndReport& other = wanted.ended[position];
     RC_ASSERT(one.number == other.number && one.task == other.task);
     RC_ASSERT(one.run == other.run && one.cause == other.cause);
     RC_ASSERT(one.checkpoint == other.checkpoint);
--- a/tests/libraries/relay/relayed_calls_test.cc
+++ b/tests/libraries/relay/relayed_calls_test.cc
@@ -16,7 +16,7 @@
 namespace sumac::relay {
 namespace {
 
-// Workers that count who asks them.
+// Calls to workers that succeed at once and are counted in `count`.
 scheduler::WorkerCalls CountingCalls(int& count) {
   const auto renew =
       [&count](
@@ -29,7 +29,7 @@
           .forget = [](const WorkerId&) {}};
 }
 
-// A relay that takes every call and makes none while `sends` is false.
+// A relay that accepts all calls, but makes none while `sends` is false.
 class FakePeer final : public wire::Peer::Server {
  public:
   FakePeer(int& count, const bool& sends, kj::Timer& timer)
@@ -77,15 +77,16 @@
             .data_centre_of = [](const WorkerId&) { return DataCentre("a"); }});
   }
 
-  // NOTE: kj's destructors may throw; a test's may not.
+  // NOTE: Destructors of kj may throw, the destructor of a gtest fixture may
+  // not.
   ~RelayedCallsTest() noexcept override {}
 
   void OpenRelay() {
-    constexpr int kMostSteps = 1'000;
+    constexpr int kMaxSteps = 1'000;
     constexpr Milliseconds kStep{5};
-    for (int step = 0; step < kMostSteps && this->calls->open_relays() == 0;
+    for (int step = 0; step < kMaxSteps && this->calls->open_relays() == 0;
          ++step) {
-      this->calls->Sync({ProcessName("c2")}, SystemClock().SteadyNow());
+      this->calls->UpdateRelays({ProcessName("c2")}, SystemClock().SteadyNow());
       this->io.provider->getTimer()
           .afterDelay(ToKj(kStep))
           .wait(this->io.waitScope);
@@ -116,14 +117,14 @@
   this->OpenRelay();
   EXPECT_EQ(this->Renew(), scheduler::OrderResult::kDone);
   EXPECT_EQ(this->by_relay, 1);
-  this->calls->Sync({}, SystemClock().SteadyNow());
+  this->calls->UpdateRelays({}, SystemClock().SteadyNow());
   EXPECT_EQ(this->Renew(), scheduler::OrderResult::kDone);
   EXPECT_EQ(this->by_leader, 2);
 }
 
-// A relay that is late, or has no connection to spare, would hold up its
-// workers until their leases end.
-TEST_F(RelayedCallsTest, AWorkerWhoseRelaySendsNothingIsCalledAnotherWay) {
+// A relay that is late or has no free connection would otherwise block the
+// calls to its workers until their leases end.
+TEST_F(RelayedCallsTest, AWorkerWhoseRelaySendsNothingIsCalledDirectly) {
   this->OpenRelay();
   this->relay_sends = false;
   EXPECT_EQ(this->Renew(), scheduler::OrderResult::kNotSent);
--- a/tests/libraries/replication/membership_plan_test.cc
+++ b/tests/libraries/replication/membership_plan_test.cc
@@ -37,14 +37,14 @@
                                {{kNew, {.is_caught_up = true}}, {kOld, {}}}));
 }
 
-TEST(MembershipPlanTest, ALearnerThatLostItsDiskAgainGivesWay) {
+TEST(MembershipPlanTest, ALearnerThatLostItsDiskAgainIsReplaced) {
   const NodeId later("c3.1790000009999");
   const Membership members = WithLearner(MakeMembers(), later);
   EXPECT_EQ(members.learners, std::set<NodeId>{later});
   EXPECT_TRUE(members.is_voter(kOld));
 }
 
-TEST(MembershipPlanTest, AGroupThatLooksAfterItsSizeGrowsOnlyToIt) {
+TEST(MembershipPlanTest, AGroupGrowsOnlyToItsWantedSize) {
   Membership members{{NodeId("c1.1"), NodeId("c2.1")},
                      {NodeId("c3.1"), NodeId("c4.1")}};
   std::map<NodeId, MemberHealth> health;
@@ -67,7 +67,7 @@
       {NodeId("c3.1"), {.is_silent = true}},
       {NodeId("c4.1"), {.is_caught_up = true}}};
   constexpr std::size_t kWanted = 3;
-  // Silence alone may be a short cut.
+  // A voter that is merely silent may be cut off for a short time only.
   EXPECT_FALSE(PlanNextMembers(members, health, kWanted));
   health[NodeId("c3.1")].is_lost = true;
   const auto without = PlanNextMembers(members, health, kWanted);
--- a/tests/libraries/replication/replica_property_test.cc
+++ b/tests/libraries/replication/replica_property_test.cc
@@ -10,8 +10,8 @@
 namespace sumac::replication {
 namespace {
 
-// What a random history is made of; each step does one of these to one node or
-// message.
+// The steps of a random history. Each step affects one node, one message or the
+// whole group.
 enum class Step {
   kTick,
   kDeliver,
@@ -55,15 +55,15 @@
                                           {4, Step::kThaw}});
 }
 
-void Carry(Cluster& cluster,
-           Step step,
-           int& next_command,
-           std::string& history) {
+void ApplyStep(Cluster& cluster,
+               Step step,
+               int& next_command,
+               std::string& history) {
   const auto node = *rc::gen::inRange<std::size_t>(0, kNodes);
-  const auto place = *rc::gen::inRange<std::size_t>(0, 8);
+  const auto position = *rc::gen::inRange<std::size_t>(0, 8);
   history += kStepNames[static_cast<std::size_t>(step)];
   history += " " + std::to_string(node);
-  history += "/" + std::to_string(place);
+  history += "/" + std::to_string(position);
   history += "; ";
   Cluster::Node& chosen = cluster.nodes[node];
   switch (step) {
@@ -71,20 +71,20 @@
       cluster.Tick(Milliseconds(*rc::gen::element(10, 50, 200, 900)));
       break;
     case Step::kDeliver:
-      cluster.Deliver(place);
+      cluster.Deliver(position);
       break;
     case Step::kDeliverAll:
       cluster.Settle();
       break;
     case Step::kDrop:
-      cluster.Drop(place);
+      cluster.Drop(position);
       break;
     case Step::kDuplicate:
-      cluster.Duplicate(place);
+      cluster.Duplicate(position);
       break;
     case Step::kReorder:
-      if (place < cluster.network.size()) {
-        std::swap(cluster.network[place], cluster.network.front());
+      if (position < cluster.network.size()) {
+        std::swap(cluster.network[position], cluster.network.front());
       }
       break;
     case Step::kPropose:
@@ -129,19 +129,19 @@
   }
 }
 
-RC_GTEST_PROP(ReplicaPropertyTest, HoldsItsPromisesInAnyHistory, ()) {
+RC_GTEST_PROP(ReplicaPropertyTest, KeepsItsInvariantsInAnyHistory, ()) {
   Cluster cluster(kNodes, *rc::gen::inRange<std::uint64_t>(1, 1'000'000));
   int next_command = 0;
   std::string history;
   constexpr int kSteps = 300;
   for (int step = 0; step < kSteps; ++step) {
-    Carry(cluster, PickStep(), next_command, history);
+    ApplyStep(cluster, PickStep(), next_command, history);
     const std::string problem = cluster.CheckInvariants();
     if (!problem.empty()) {
       RC_FAIL(history + problem);
     }
   }
-  // Once the faults end, the work goes on.
+  // After the faults end, the group must make progress again.
   for (std::size_t node = 0; node < kNodes; ++node) {
     cluster.SetCut(node, false);
     cluster.nodes[node].is_frozen = false;
@@ -149,9 +149,9 @@
       cluster.Restart(node);
     }
   }
-  // A leader in the middle of a hand-over takes no proposal, but not for long.
+  // A leader accepts no proposal during a hand-over.
   bool is_proposed = false;
-  // NOTE: Each round lets 20 ms pass, and a hand-over may take 300 ms.
+  // NOTE: Each round takes at least 20 ms, and a hand-over up to 300 ms.
   constexpr int kRounds = 25;
   for (int round = 0; round < kRounds && !is_proposed; ++round) {
     const auto leader = cluster.ElectLeader();
--- a/tests/libraries/replication/replica_test.cc
+++ b/tests/libraries/replication/replica_test.cc
@@ -46,14 +46,15 @@
   EXPECT_FALSE(cluster.nodes[*old_leader].replica->HoldsLease(cluster.now));
 }
 
-TEST(ReplicaTest, AFrozenLeaderHoldsNoLeaseWhenItWakes) {
+TEST(ReplicaTest, AFrozenLeaderHoldsNoLeaseWhenItResumes) {
   Cluster cluster(3);
   const auto old_leader = cluster.ElectLeader();
   ASSERT_TRUE(old_leader);
   cluster.nodes[*old_leader].is_frozen = true;
   cluster.PassTime(Milliseconds(30'000));
   cluster.nodes[*old_leader].is_frozen = false;
-  // Before anything else reaches it.
+  // The lease must have expired even before any other event reaches the
+  // replica.
   EXPECT_FALSE(cluster.nodes[*old_leader].replica->HoldsLease(cluster.now));
 }
 
@@ -63,16 +64,17 @@
   ASSERT_TRUE(leader);
   const std::size_t second = (*leader + 1) % 3;
   const std::size_t third = (*leader + 2) % 3;
-  // The third hears nothing of the leader and wants an election; the second,
-  // which heard the leader a moment ago, restarts and has forgotten it.
+  // The third voter is cut off from the leader and requests a vote. The second
+  // voter, which had a message from the leader shortly before, restarts and
+  // loses the time of that message.
   cluster.SetCut(*leader, true);
   cluster.PassTime(Milliseconds(10));
   cluster.Crash(second);
   cluster.Restart(second);
-  Message ask{
+  Message vote_request{
       cluster.nodes[third].id, cluster.nodes[second].id, Term(99),
       VoteRequest{.last_index = LogIndex(1'000), .last_term = Term(99)}};
-  cluster.nodes[second].replica->Receive(ask, cluster.now);
+  cluster.nodes[second].replica->Receive(vote_request, cluster.now);
   const Output output = cluster.nodes[second].replica->TakeOutput();
   ASSERT_EQ(output.messages.size(), 1U);
   EXPECT_FALSE(std::get<VoteAnswer>(output.messages[0].body).is_granted);
@@ -117,14 +119,15 @@
   cluster.Pump(*leader);
   std::deque<Message> held;
   std::erase_if(cluster.network, [&](const Message& message) {
-    const bool is_it = std::holds_alternative<TimeoutNow>(message.body);
-    if (is_it) {
+    const bool is_timeout_now =
+        std::holds_alternative<TimeoutNow>(message.body);
+    if (is_timeout_now) {
       held.push_back(message);
     }
-    return is_it;
+    return is_timeout_now;
   });
   ASSERT_EQ(held.size(), 1U);
-  // The leader may not go on with this term, for the message may still arrive.
+  // The leader may not resume this term, since the message may still arrive.
   cluster.PassTime(Milliseconds(700));
   EXPECT_NE(cluster.nodes[*leader].replica->role(), Role::kLeader);
   cluster.network.push_back(held.front());
@@ -157,8 +160,8 @@
   EXPECT_EQ(cluster.CheckInvariants(), "");
 }
 
-// A group whose laggard takes a snapshot in over a link that is slower than the
-// heartbeats; with what went over.
+// A group in which a lagging member receives a snapshot over a link that is
+// slower than the heartbeats. Counts the snapshot bytes sent.
 class SnapshotTransfer {
  public:
   SnapshotTransfer() : cluster(3) {
@@ -181,7 +184,8 @@
     }
   }
 
-  // What goes to or comes from the laggard takes `one_way`.
+  // Advances the clock by `time`. Messages to and from the lagging member take
+  // `one_way`.
   void PassTime(Milliseconds time, Milliseconds one_way) {
     constexpr Milliseconds kStep{10};
     const NodeId& slow = this->cluster.nodes[this->laggard].id;
@@ -204,7 +208,7 @@
     }
   }
 
-  std::size_t HeldByLaggard() const {
+  std::size_t AppliedByLaggard() const {
     return this->cluster.nodes[this->laggard].applied.size();
   }
 
@@ -229,13 +233,13 @@
   std::deque<std::pair<SteadyTime, Message>> on_the_way;
 };
 
-// With a copy at each heartbeat, each of which brought a next piece of its own,
-// this transfer sent several times the snapshot, and a busy leader did not get
-// to the end of it.
-TEST(ReplicaTest, ASnapshotGoesOverALinkSlowerThanHeartbeatsOnce) {
+// Sending the chunk again at each heartbeat would trigger a further chunk for
+// every copy. The transfer would send several times the size of the snapshot,
+// and a busy leader would not finish it.
+TEST(ReplicaTest, ASnapshotIsSentOnceOverALinkSlowerThanHeartbeats) {
   SnapshotTransfer transfer;
   transfer.PassTime(Milliseconds(20'000), Milliseconds(180));
-  EXPECT_GE(transfer.HeldByLaggard(), 300U);
+  EXPECT_GE(transfer.AppliedByLaggard(), 300U);
   const std::size_t size =
       transfer.cluster.nodes[transfer.laggard].snapshot.state.size();
   EXPECT_GT(size, 2'000U);
@@ -243,24 +247,24 @@
   EXPECT_EQ(transfer.cluster.CheckInvariants(), "");
 }
 
-TEST(ReplicaTest, ASnapshotThatIsSupersededGoesOverAnew) {
+TEST(ReplicaTest, ASupersededSnapshotIsSentAgain) {
   SnapshotTransfer transfer;
   transfer.PassTime(Milliseconds(900), Milliseconds(60));
   transfer.ProposeMany(50);
   transfer.cluster.Compact(transfer.leader);
   transfer.PassTime(Milliseconds(20'000), Milliseconds(60));
-  EXPECT_GE(transfer.HeldByLaggard(), 350U);
+  EXPECT_GE(transfer.AppliedByLaggard(), 350U);
   EXPECT_EQ(transfer.cluster.CheckInvariants(), "");
 }
 
-TEST(ReplicaTest, AMemberThatRestartsInTheMiddleOfASnapshotGetsItAnew) {
+TEST(ReplicaTest, AMemberThatRestartsDuringASnapshotGetsItAgain) {
   SnapshotTransfer transfer;
   transfer.PassTime(Milliseconds(900), Milliseconds(60));
-  ASSERT_LT(transfer.HeldByLaggard(), 300U);
+  ASSERT_LT(transfer.AppliedByLaggard(), 300U);
   transfer.cluster.Crash(transfer.laggard);
   transfer.cluster.Restart(transfer.laggard);
   transfer.PassTime(Milliseconds(20'000), Milliseconds(60));
-  EXPECT_GE(transfer.HeldByLaggard(), 300U);
+  EXPECT_GE(transfer.AppliedByLaggard(), 300U);
   EXPECT_EQ(transfer.cluster.CheckInvariants(), "");
 }
 
@@ -298,11 +302,11 @@
   ASSERT_TRUE(leader);
   const std::size_t lost = (*leader + 1) % 3;
   cluster.Crash(lost);
-  // The same process comes back with a new disk, so under a new incarnation.
-  const std::size_t blank = cluster.AddNode(NodeId("n9.2"));
+  // The same process returns with a new disk and therefore a new incarnation.
+  const std::size_t new_position = cluster.AddNode(NodeId("n9.2"));
   cluster.PassTime(Milliseconds(30'000));
-  EXPECT_EQ(cluster.nodes[blank].replica->role(), Role::kFollower);
-  EXPECT_EQ(cluster.nodes[blank].replica->term(), Term(0));
+  EXPECT_EQ(cluster.nodes[new_position].replica->role(), Role::kFollower);
+  EXPECT_EQ(cluster.nodes[new_position].replica->term(), Term(0));
 }
 
 TEST(ReplicaTest, ALostDiskComesBackAsALearnerAndThenVotes) {
@@ -314,8 +318,8 @@
   const std::size_t lost = (*leader + 1) % 3;
   const NodeId old = cluster.nodes[lost].id;
   cluster.Crash(lost);
-  const NodeId anew("n9.2");
-  const std::size_t blank = cluster.AddNode(anew);
+  const NodeId new_node("n9.2");
+  const std::size_t new_position = cluster.AddNode(new_node);
   Replica& replica = *cluster.nodes[*leader].replica;
   const auto change = [&](auto edit) {
     Membership membership = replica.membership();
@@ -324,19 +328,19 @@
     cluster.PassTime(Milliseconds(1'000));
     ASSERT_EQ(cluster.CheckInvariants(), "");
   };
-  change([&](Membership& membership) { membership.learners.insert(anew); });
-  EXPECT_EQ(cluster.nodes[blank].applied, std::vector<std::string>{"a"});
+  change([&](Membership& membership) { membership.learners.insert(new_node); });
+  EXPECT_EQ(cluster.nodes[new_position].applied, std::vector<std::string>{"a"});
   change([&](Membership& membership) { membership.voters.erase(old); });
   change([&](Membership& membership) {
-    membership.learners.erase(anew);
-    membership.voters.insert(anew);
+    membership.learners.erase(new_node);
+    membership.voters.insert(new_node);
   });
-  // The old disk's replica, should it ever wake, is heard by nobody.
+  // If the replica of the old disk starts again, the others ignore it.
   cluster.Restart(lost);
   const Term term = replica.term();
   cluster.PassTime(Milliseconds(10'000));
   EXPECT_EQ(replica.term(), term);
-  // The new one's vote counts.
+  // The vote of the new replica counts.
   cluster.Crash(*leader);
   EXPECT_TRUE(cluster.ElectLeader());
   EXPECT_EQ(cluster.CheckInvariants(), "");
@@ -360,7 +364,8 @@
   EXPECT_TRUE(cluster.nodes[other].replica->has_verified_state());
 }
 
-// A replica of three that has one entry of term 2 and has just won term 4.
+// Returns one replica of three that has one entry of term 2 and has just won
+// the election of term 4.
 std::unique_ptr<Replica> MakeLeaderWithOldEntry(SteadyTime now) {
   const Membership membership{{NodeId("n0.1"), NodeId("n1.1"), NodeId("n2.1")},
                               {}};
@@ -390,12 +395,12 @@
                              AppendAnswer{true, LogIndex(index), now}},
                      now);
   };
-  // A majority holds the entry of term 2 now, and yet a later leader could
+  // A majority holds the entry of term 2 now, but a later leader could still
   // overwrite it (Raft, figure 8).
   acknowledge(1);
   EXPECT_EQ(replica->commit_index(), LogIndex(0));
   acknowledge(2);
-  replica->NoteWritten(LogIndex(2), now);
+  replica->HandleLogWritten(LogIndex(2), now);
   EXPECT_EQ(replica->commit_index(), LogIndex(2));
 }
 
@@ -406,11 +411,11 @@
                            AppendAnswer{true, LogIndex(2), now}},
                    now);
   EXPECT_EQ(replica->commit_index(), LogIndex(0));
-  replica->NoteWritten(LogIndex(2), now);
+  replica->HandleLogWritten(LogIndex(2), now);
   EXPECT_EQ(replica->commit_index(), LogIndex(2));
 }
 
-TEST(ReplicaTest, ALeaderWithAStalledDiskCommitsByTheOthers) {
+TEST(ReplicaTest, ALeaderWithAStalledDiskCommitsWithTheOtherVoters) {
   const SteadyTime now{Milliseconds(5'000)};
   const auto replica = MakeLeaderWithOldEntry(now);
   for (const char* other : {"n1.1", "n2.1"}) {
--- a/tests/libraries/routing/router_test.cc
+++ b/tests/libraries/routing/router_test.cc
@@ -67,14 +67,14 @@
   RequestNumber last_number = 0;
 };
 
-TEST_F(RouterTest, AnOlderViewIsNeverTaken) {
+TEST_F(RouterTest, AnOlderViewIsNeverApplied) {
   EXPECT_TRUE(this->router.Update(MakeView(5, {MakeMinion("m1")})));
   EXPECT_FALSE(this->router.Update(MakeView(4, {})));
   EXPECT_FALSE(this->router.Update(MakeView(5, {})));
   EXPECT_EQ(MinionOf(this->Admit(this->MakeRequest())), "m1");
 }
 
-TEST_F(RouterTest, FillsSlotsThenTheLineThenRefusesAtOnce) {
+TEST_F(RouterTest, FillsSlotsThenTheQueueThenRefusesAtOnce) {
   this->router.Update(MakeView(1, {MakeMinion("m1")}));
   EXPECT_EQ(MinionOf(this->Admit(this->MakeRequest())), "m1");
   EXPECT_EQ(MinionOf(this->Admit(this->MakeRequest())), "m1");
@@ -103,7 +103,7 @@
   EXPECT_EQ(ready[0].first, soon.number);
 }
 
-TEST_F(RouterTest, NobodyOvertakesTheLine) {
+TEST_F(RouterTest, ANewRequestIsNotSentAheadOfWaitingOnes) {
   this->router.Update(MakeView(1, {MakeMinion("m1")}));
   this->Admit(this->MakeRequest());
   this->Admit(this->MakeRequest());
@@ -138,22 +138,23 @@
   EXPECT_EQ(MinionOf(this->Admit(this->MakeRequest())), "far");
 }
 
-TEST_F(RouterTest, LeavingMinionsGetNothingWhoeverSaysSo) {
+TEST_F(RouterTest, LeavingMinionsGetNoRequests) {
   fleet::RoutedMinion leaving = MakeMinion("m1");
   leaving.can_take_work = false;
   this->router.Update(MakeView(1, {leaving, MakeMinion("m2")}));
-  // The other one says so itself, to an entry that hears from no controller.
-  this->router.minions().NoteLeaving(InstanceName("m2"), kStart);
+  // The other minion reports itself that it is leaving, so that the entry knows
+  // without a view from a controller.
+  this->router.minions().MarkLeaving(InstanceName("m2"), kStart);
   EXPECT_EQ(CodeOf(this->Admit(this->MakeRequest())), ResultCode::kNoMinion);
-  // A new start has not said so.
-  fleet::RoutedMinion anew = MakeMinion("m2");
-  anew.incarnation = Incarnation(2);
-  this->router.Update(MakeView(2, {anew}));
+  // Its new incarnation has not reported that it is leaving.
+  fleet::RoutedMinion restarted = MakeMinion("m2");
+  restarted.incarnation = Incarnation(2);
+  this->router.Update(MakeView(2, {restarted}));
   EXPECT_EQ(MinionOf(this->Admit(this->MakeRequest())), "m2");
 }
 
 TEST_F(RouterTest, AMinionThatFailsIsSetAsideAndComesBackSlowly) {
-  // Of two, one may be set aside; the other does not answer for the service.
+  // One of two minions may be set aside; the other can't take work.
   fleet::RoutedMinion other = MakeMinion("m2");
   other.can_take_work = false;
   this->router.Update(MakeView(1, {MakeMinion("m1"), other}));
@@ -171,7 +172,7 @@
   RequestInfo second = this->MakeRequest("f");
   second.deadline = later + Milliseconds(1'000);
   EXPECT_TRUE(std::holds_alternative<Wait>(this->Admit(second, later)));
-  // It fails again: aside at once, and for longer.
+  // A further failure sets it aside at once, and for longer.
   this->router.FinishTry(InstanceName("m1"), TryOutcome::kBroken, std::nullopt,
                          later);
   EXPECT_EQ(this->router.minions().CountAside(later + Milliseconds(1'500)), 1U);
@@ -228,7 +229,7 @@
             ResultCode::kDeadlineDuringRun);
 }
 
-TEST_F(RouterTest, DecisionsAreKeptExplainedAndBounded) {
+TEST_F(RouterTest, DecisionsAreKeptUpToAMaximum) {
   this->router.Update(MakeView(1, {MakeMinion("m1")}));
   const RequestInfo request = this->MakeRequest();
   const RouteResult sent = this->Admit(request);
@@ -248,21 +249,21 @@
   EXPECT_FALSE(this->router.decisions().Find(id));
 }
 
-TEST(WaitingLineTest, BackgroundIsNotStarved) {
-  WaitingLine line;
+TEST(RequestQueueTest, BackgroundIsNotStarved) {
+  RequestQueue queue;
   for (RequestNumber number = 1; number <= 20; ++number) {
-    line.Add(number, fleet::RequestClass::kInteractive, kStart);
+    queue.Add(number, fleet::RequestClass::kInteractive, kStart);
   }
-  line.Add(100, fleet::RequestClass::kBackground, kStart);
+  queue.Add(100, fleet::RequestClass::kBackground, kStart);
   int served_before = 0;
-  while (*line.Next() != 100) {
-    line.Serve(*line.Next());
+  while (*queue.Next() != 100) {
+    queue.Serve(*queue.Next());
     ++served_before;
   }
   EXPECT_EQ(served_before,
-            static_cast<int>(WaitingLine::kInteractivePerBackground));
-  line.Serve(100);
-  EXPECT_NE(*line.Next(), 100U);
+            static_cast<int>(RequestQueue::kInteractivePerBackground));
+  queue.Serve(100);
+  EXPECT_NE(*queue.Next(), 100U);
 }
 
 }  // namespace
