--- a/libraries/scheduler/near_wait.h
+++ b/libraries/scheduler/near_wait.h
@@ -11,20 +11,20 @@
 namespace sumac::scheduler {
 
 // Decides how long steps wait for room near their data while there is room only
-// far from it. A far run takes a multiple of a near one, at least twice as long
-// by the platform's terms, and keeps its room for as long. So a step waits for
-// what a far run would lose at least, which is one near run: whatever happens
-// then, it has lost no more than twice what knowing the future would have
-// spared it. Pure.
+// far from it. A far run takes a multiple of a near run, at least twice as long
+// by the platform's terms, and occupies its room for as long. A step therefore
+// waits for the minimum loss of a far run, which is the duration of one near
+// run. Whatever happens then, the loss is at most twice that of a decision with
+// knowledge of the future. Pure.
 class NearWait {
  public:
-  // True while the step should go on waiting. The wait begins with the first
-  // call; `near_run` is how long a task of it takes near its data.
+  // Returns true while the step should keep waiting. The wait begins with the
+  // first call; `near_run` is how long a task of the step takes near its data.
   bool ShouldWait(const jobs::StepId& step,
                   Milliseconds near_run,
                   SteadyTime now);
 
-  // Forgets steps of jobs that are finished.
+  // Removes the steps of finished jobs.
   void DropFinished(const jobs::JobsState& state);
 
  private:
--- a/libraries/scheduler/pace_control.cc
+++ b/libraries/scheduler/pace_control.cc
@@ -7,25 +7,27 @@
 namespace {
 
 constexpr std::uint32_t kFullPercent = 100;
-// A tail above this share of its target slows the fillers, in thousandths; the
-// figure is rough, so there is room to the target itself.
+// A tail above this share of its target, in thousandths, slows the fillers
+// down. The figure is rough, so a margin to the target is left.
 constexpr std::int64_t kHighPermille = 850;
-// A tail this far over its target stops them at once.
+// A tail above this share of its target stops the fillers at once.
 constexpr std::int64_t kStopPermille = 1'300;
-// A tail below this lets them work faster.
+// A tail below this share of its target lets the fillers speed up.
 constexpr std::int64_t kLowPermille = 650;
-// Workers report a mean over half a second: a change shows after that.
+// The time until a change of pace shows in the reports: workers report a mean
+// over half a second.
 constexpr Milliseconds kSettleTime{600};
-// Between two steps up.
+// The minimum time between two increases of the pace.
 constexpr Milliseconds kStepUpTime{1'000};
 constexpr std::uint32_t kStepUpPercent = 10;
-// Less than this is no use to anyone.
+// A pace below this is too slow to be useful, so the fillers are stopped
+// instead.
 constexpr std::uint32_t kLeastPercent = 10;
-// A pace this far below one that was too fast is the highest that is tried.
+// The ceiling is set this far below a pace that was too fast.
 constexpr std::uint32_t kBelowTooFast = 5;
-// By how much that bound rises with each step that would pass it.
+// How far the ceiling rises with each increase that would exceed it.
 constexpr std::uint32_t kCeilingStep = 3;
-// Pairs of images that are remembered; bounds memory.
+// The maximum number of pairs of images that are remembered; bounds memory.
 constexpr std::size_t kMostPairs = 1'000;
 
 }  // namespace
@@ -59,8 +61,8 @@
     const auto ceiling = this->ceilings.find(images);
     std::uint32_t next = std::min(kFullPercent, pace.percent + kStepUpPercent);
     if (ceiling != this->ceilings.end() && next > ceiling->second) {
-      // At the ceiling: raise it a little instead, to find out if it still
-      // holds.
+      // Raises the ceiling a little instead of passing it, to test whether it
+      // still holds.
       ceiling->second = std::min(kFullPercent, ceiling->second + kCeilingStep);
       next = std::max(pace.percent, ceiling->second);
     }
--- a/libraries/scheduler/placement.cc
+++ b/libraries/scheduler/placement.cc
@@ -8,8 +8,8 @@
 namespace sumac::scheduler {
 namespace {
 
-// One worker in so many of a service, and one at least, is risked at a time on
-// tasks that may crash it.
+// Of each service, one worker in this many, and at least one, may run tasks at
+// a time that could crash it.
 constexpr std::size_t kWorkersOfTrial = 4;
 
 }  // namespace
@@ -37,7 +37,7 @@
         .push_back(&session);
   }
   for (Pool& pool : this->pools) {
-    // A pool of which nothing good is left uses what it has.
+    // A pool without a healthy worker uses its quarantined ones.
     if (pool.workers.empty()) {
       pool.workers.swap(pool.quarantined);
     }
@@ -95,11 +95,12 @@
   return pool->trials < std::max<std::size_t>(workers / kWorkersOfTrial, 1);
 }
 
-// In a rush hundreds of steps wait for a full pool, and each of them would look
-// at every worker in every turn.
+// Under overload hundreds of steps wait for a full pool. Without this record
+// each of them would scan every worker in every planning pass.
 void Placement::NoteFailure(const PlacementRequest& request) const {
   const jobs::StepSpec& step = request.step();
-  // The members of a gang hold room for each other while they are placed.
+  // Gangs are left out: their members reserve room only while the gang is being
+  // placed, so a failure need not hold for the rest of the pass.
   const bool is_plain = step.required_label.empty() && !step.is_gang &&
                         step.most_per_worker == 0 &&
                         request.rack.value().empty() &&
@@ -109,7 +110,8 @@
   if (pool == nullptr) {
     return;
   }
-  // A few suffice: what asks for less is noted as it fails.
+  // A few entries suffice, since a smaller need replaces the larger ones when
+  // it fails.
   constexpr std::size_t kMostNeeds = 8;
   std::vector<jobs::Resources>& failed = pool->failed_needs;
   const jobs::Resources need = CountedNeed(step);
@@ -189,14 +191,16 @@
     const bool has_failed_there = request.memory != nullptr &&
                                   request.memory->failed_on.contains(worker.id);
     const bool is_far = !IsNear(step, worker);
-    // Fillers slow down what serves users beside them.
+    // Fillers slow down user-serving runs on the same worker.
     const std::uint32_t disturbed = step.is_filler ? session->serving_runs()
                                     : step.latency_target > Milliseconds(0)
                                         ? session->filler_runs()
                                         : 0;
     const std::size_t at_risk = request.is_suspect ? session->runs().size() : 0;
-    // The smaller the better: not where it failed, not on a slow worker, little
-    // to lose, near its data, little to disturb, tight fit.
+    // The smallest rank wins. The criteria, the most important first: the task
+    // has not failed on the worker, the worker is not slow, few runs are lost
+    // if it crashes, the task's data is near, few runs are disturbed, little
+    // room is left over.
     const std::tuple rank(has_failed_there, session->is_slow, at_risk, is_far,
                           disturbed,
                           session->Room().millicores - need.millicores);
--- a/libraries/scheduler/placement.h
+++ b/libraries/scheduler/placement.h
@@ -19,20 +19,21 @@
 
 namespace sumac::scheduler {
 
-// What a task's worker must have and should have.
+// The requirements and preferences for a task's worker.
 struct PlacementRequest {
   const jobs::Job* job = nullptr;
   jobs::TaskId task;
-  // What is known of the task's earlier runs; nothing for none.
+  // The history of the task's earlier runs; null if there is none.
   const TaskMemory* memory = nullptr;
-  // Only workers of this rack, where it is not empty.
+  // If not empty, only workers of this rack are considered.
   Rack rack;
-  // Not on this worker, where it is not empty.
+  // If not empty, this worker is excluded.
   WorkerId other_than;
-  // It may crash its worker, and goes where the fewest runs are lost with it.
+  // The task may crash its worker, so a worker on which few other runs would be
+  // lost is preferred.
   bool is_suspect = false;
-  // Only workers that the queue's placement policy admits; nothing for a queue
-  // without one.
+  // If not null, only workers that the queue's placement policy admits are
+  // considered; null for a queue without a policy.
   const PlacementAdvice* advice = nullptr;
 
   const jobs::StepSpec& step() const {
@@ -40,78 +41,83 @@
   }
 };
 
-// Chooses workers for tasks, among those that take work in one turn of the
-// scheduler. Pure.
+// Chooses workers for tasks, among those that accept work in one planning pass
+// of the scheduler. Pure.
 class Placement {
  public:
   using Sessions = std::map<WorkerId, WorkerSession>;
 
   explicit Placement(const WorkerHealth& health) : health(health) {}
 
-  // Begins a turn: finds which workers take work at `now`. The sessions must
-  // stay until the next turn.
+  // Begins a planning pass: determines which workers accept work at `now`. The
+  // sessions must outlive the pass.
   void BeginTurn(Sessions& sessions, SteadyTime now);
 
-  // True unless no worker of the service can have room for `need`. It looks at
-  // no single worker, since most tasks that wait find no room anywhere.
+  // Returns false only if no worker of the service can have room for `need`.
+  // Checks no single worker, since most waiting tasks find no room anywhere.
   bool HasRoom(const ServiceName& service, const jobs::Resources& need) const;
 
-  // The best worker for the task, or nothing if none has room.
+  // Returns the best worker for the task, or null if none has room.
   WorkerSession* Choose(const PlacementRequest& request) const;
 
-  // True if the worker is near the task's data, or its place does not matter.
+  // Returns true if the worker is near the task's data, or if the step names no
+  // location of its data.
   static bool IsNear(const jobs::StepSpec& step, const jobs::Worker& worker);
-  // True if some good worker near the task's data will have room for it once
-  // what runs there has ended.
+  // Returns true if some healthy worker near the task's data will have room for
+  // the task once the worker's present runs have ended.
   bool MayBeNear(const PlacementRequest& request) const;
 
-  // The racks that have workers of the service, and the workers that take work.
+  // The racks that have workers of the service, and the service's workers that
+  // accept work.
   std::set<Rack> RacksOf(const ServiceName& service) const;
   const std::vector<WorkerSession*>& WorkersOf(
       const ServiceName& service) const;
-  // Workers that have room for the task whatever a policy says, those with most
-  // room first.
+  // Returns the workers that have room for the task, regardless of any
+  // placement policy, those with the most room first.
   std::vector<WorkerId> ListRoom(const PlacementRequest& request) const;
 
-  // True if the worker can hold the task now, whatever a policy says.
+  // Returns true if the worker can run the task now, regardless of any
+  // placement policy.
   static bool Fits(const PlacementRequest& request,
                    const WorkerSession& session);
 
-  // True if nothing is known against the worker.
+  // Returns true if the worker is neither quarantined nor slow.
   bool IsGood(const WorkerSession& session) const;
 
-  // True if one more worker of the service may be risked on a trial.
+  // Returns true if one more worker of the service may be used for a trial.
   bool HasTrialPlace(const ServiceName& service) const;
-  // Takes in that a trial began on a worker of the service in this turn.
+  // Records that a trial began on a worker of the service in this pass.
   void NoteTrial(const ServiceName& service) { ++this->PoolOf(service).trials; }
 
-  // What a task of the step takes of its worker's room.
+  // Returns the resources that a task of the step is counted with on its
+  // worker. Processor time of fillers is not counted.
   static jobs::Resources CountedNeed(const jobs::StepSpec& step);
 
  private:
   struct Pool {
     std::vector<WorkerSession*> workers;
-    // Those that are kept from work because of how their runs went.
+    // Workers that are excluded because of failed or stalled runs.
     std::vector<WorkerSession*> quarantined;
-    // Workers with a run on trial.
+    // The number of workers with a run on trial.
     std::size_t trials = 0;
-    // The most that one worker had left of each resource when the turn began.
+    // For each resource, the most that any one worker had free at the start of
+    // the pass.
     jobs::Resources most_room;
-    // Needs for which this turn found no room on any worker. Rooms only shrink
-    // within a turn, so nothing that needs as much finds any.
+    // Needs for which this pass found no room on any worker. Free room only
+    // shrinks within a pass, so an equal or larger need finds none either.
     mutable std::vector<jobs::Resources> failed_needs;
   };
 
-  // The pool of a service, made if it is new.
+  // Returns the pool of a service, creating it if needed.
   Pool& PoolOf(const ServiceName& service);
   Pool& PoolOf(WorkerSession& session);
-  // Nothing for a service that had no worker yet.
+  // Returns null for a service that has had no worker yet.
   const Pool* FindPool(const ServiceName& service) const;
   void NoteFailure(const PlacementRequest& request) const;
 
   const WorkerHealth& health;
   SteadyTime now{};
-  // Emptied in each turn and kept, so that a turn allocates nothing.
+  // Cleared in each pass but kept, so that a pass allocates no memory.
   std::vector<Pool> pools;
   std::unordered_map<ServiceName, std::size_t> pool_numbers;
 };
--- a/libraries/scheduler/placement_advice.cc
+++ b/libraries/scheduler/placement_advice.cc
@@ -7,13 +7,13 @@
 namespace sumac::scheduler {
 namespace {
 
-// Workers in one question: about as many as the time that a job may take is
-// reckoned with.
+// The maximum number of workers in one question: about as many as the allowed
+// time of a job is calculated with.
 constexpr std::size_t kMostInQuestion = 30;
-// Before another question, after one without an answer.
+// The pause after a question that got no answer.
 constexpr Milliseconds kPauseAfterFailure{300};
-// Taken off a ticket's time: its answer was on the way, and the start that
-// brings it will be.
+// Subtracted from a ticket's validity, for the time that its answer took and
+// the start that carries it will take.
 constexpr Milliseconds kTicketMargin{250};
 
 }  // namespace
--- a/libraries/scheduler/placement_advice.h
+++ b/libraries/scheduler/placement_advice.h
@@ -17,45 +17,46 @@
 
 namespace sumac::scheduler {
 
-// What a placement policy said about steps and workers. A policy admits some
-// workers to a step, and that does not change; each admission comes with a
-// ticket that ends. The policy's service takes one question at a time, so
+// The answers of a placement policy about steps and workers. A policy admits
+// some workers to a step, which does not change; each admission comes with a
+// ticket that expires. The policy's service accepts one question at a time, so
 // questions are asked one after the other, the most urgent step first. Pure.
 class PlacementAdvice {
  public:
-  // Begins a turn of the scheduler: nothing is wanted yet.
+  // Begins a planning pass, in which no question is wanted yet.
   void BeginTurn() { this->wanted.reset(); }
 
-  // True while a question could be asked and none is wanted yet in this turn.
+  // Returns true while a question could be asked and none is wanted yet in this
+  // pass.
   bool MayWant(SteadyTime now) const {
     return !this->is_open && !this->wanted && now >= this->pause_until;
   }
 
-  // The ticket for the step's tasks on the worker, or nothing while none is
-  // known that holds at `now`.
+  // Returns the ticket for the step's tasks on the worker, or null if no known
+  // ticket is valid at `now`.
   const std::string* FindTicket(const jobs::StepId& step,
                                 const WorkerId& worker,
                                 SteadyTime now) const;
 
-  // Takes in that tasks of the step find no place among the workers that are
-  // known to be admitted. `workers` have room for them, the best first; the
-  // steps come in the order of their urgency, and the first about which there
-  // is something to ask is asked about. `policy` is the queue's.
+  // Requests a question about a step whose tasks find no place among the
+  // workers known to be admitted. `workers` have room for them, the best first.
+  // `policy` is the queue's. Call it for the steps in the order of their
+  // urgency: the first step with workers to ask about determines the question.
   void Want(const jobs::StepId& step,
             const std::vector<WorkerId>& workers,
             const jobs::PlacementPolicy& policy,
             SteadyTime now);
 
-  // The next question, while none is open; it counts as open until its answer
-  // is taken.
+  // Returns the next question if none is open. The question counts as open
+  // until its answer is handled.
   std::optional<AdviceQuestion> NextQuestion(SteadyTime now);
   void TakeAnswer(const AdviceQuestion& question,
                   const AdviceAnswer& answer,
                   SteadyTime now);
 
-  // Takes in that a worker refused a ticket.
+  // Removes a ticket that the worker refused.
   void DropTicket(const jobs::StepId& step, const WorkerId& worker);
-  // Forgets steps of jobs that are finished.
+  // Removes the steps of finished jobs.
   void DropFinished(const jobs::JobsState& state);
 
  private:
@@ -71,7 +72,7 @@
   std::map<jobs::StepId, StepAdvice> steps;
   std::optional<AdviceQuestion> wanted;
   bool is_open = false;
-  // No question before this, after one that failed.
+  // No question is asked before this time, after one that failed.
   SteadyTime pause_until{};
 };
 
--- a/libraries/scheduler/sharing.cc
+++ b/libraries/scheduler/sharing.cc
@@ -6,13 +6,13 @@
 namespace sumac::scheduler {
 namespace {
 
-// The pace, in hundredths, of a filler that disturbs nobody.
+// The pace of a filler that disturbs no other run, in hundredths.
 constexpr std::uint32_t kFullPace = 100;
 
 }  // namespace
 
-// What the last report shows of fillers beside runs that serve users; nothing
-// where they do not stand side by side.
+// Returns the effect of fillers on user-serving runs by the worker's last
+// report; nothing if the worker does not run both.
 std::optional<SharingReport> Sharing::Measure(
     const WorkerSession& session) const {
   constexpr std::int64_t kPermille = 1'000;
@@ -41,7 +41,7 @@
   return report;
 }
 
-// Where a filler begins beside a run that serves, what is known of their images
+// When a filler begins beside a serving run, the known ceiling for their images
 // sets its pace.
 void Sharing::Begin(WorkerSession& session, SteadyTime now) {
   const std::optional<SharingReport> report = this->Measure(session);
@@ -104,7 +104,7 @@
   Run* run = session.FindRun(order.task, order.run);
   if (run != nullptr && result != OrderResult::kDone &&
       run->pace == order.percent) {
-    // It may still have its old pace.
+    // The run may still have its old pace.
     run->pace.reset();
   }
 }
--- a/libraries/scheduler/sharing.h
+++ b/libraries/scheduler/sharing.h
@@ -16,8 +16,8 @@
 
 namespace sumac::scheduler {
 
-// Keeps runs that fill what others leave from slowing down runs that serve
-// users on the same worker: follows the workers' reports and orders paces.
+// Keeps fillers (runs that use spare capacity) from slowing down user-serving
+// runs on the same worker: evaluates the workers' reports and orders paces.
 // Pure.
 class Sharing {
  public:
@@ -25,17 +25,19 @@
 
   explicit Sharing(const jobs::JobsState& state) : state(state) {}
 
-  // Takes in that a run was added to the worker.
+  // Sets the fillers' pace after a run was added to the worker.
   void Begin(WorkerSession& session, SteadyTime now);
 
-  // Takes in the worker's last report. If the pace of its fillers changes, why.
+  // Evaluates the worker's last report. Returns the reason if the pace of the
+  // worker's fillers changes.
   std::optional<std::string> TakeReport(WorkerSession& session, SteadyTime now);
 
-  // Orders for the fillers that were told another pace than their worker's.
+  // Returns orders for the fillers whose last ordered pace differs from their
+  // worker's.
   static std::vector<PaceOrder> NextOrders(Sessions& sessions,
                                            LeaderEpoch epoch);
 
-  // Takes in what became of an order.
+  // Handles the result of an order.
   static void TakeAnswer(WorkerSession& session,
                          const PaceOrder& order,
                          OrderResult result);
--- a/libraries/scheduler/stragglers.cc
+++ b/libraries/scheduler/stragglers.cc
@@ -21,13 +21,14 @@
   return found;
 }
 
-// How a run gets on, or nothing for one whose progress says nothing about its
-// worker: members of a gang wait for each other, and fillers for the others.
+// Returns the progress of a run, or nothing if its progress does not depend on
+// its worker alone: members of a gang wait for each other, and fillers yield to
+// other runs.
 std::optional<RunProgress> Stragglers::ProgressOf(const WorkerSession& session,
                                                   const Run& run) const {
-  // A long-running task takes about this long until it is at work.
+  // The expected time until a long-running task is up and running.
   constexpr Milliseconds kLongRunningStart{1'500};
-  // Most are told by what the session holds, before their jobs are looked up.
+  // The session's own data excludes most runs before their jobs are looked up.
   const bool is_at_its_end = run.percent >= kWholePercent;
   if (run.phase != RunPhase::kRunning || run.is_filler || is_at_its_end) {
     return std::nullopt;
@@ -72,7 +73,7 @@
     if (pace == RunPace::kStalled) {
       this->health.NoteStalled(worker, now);
     } else if (pace == RunPace::kSlow || pace == RunPace::kVerySlow) {
-      // The submitter's estimate alone says too little.
+      // The submitter's estimate alone is too unreliable.
       const jobs::Job* job = this->state.FindJob(run.task.step.job);
       if (!this->run_times.IsKnown(job->queue)) {
         continue;
@@ -84,8 +85,8 @@
     }
     suspects.push_back({&run, *progress, pace});
   }
-  // One slow run may be a long task; runs of several jobs show that it is the
-  // worker.
+  // A single slow run may just be a long task; slow runs of several jobs
+  // indicate a slow worker.
   is_slow = is_slow || (slow_jobs.size() > 1 && suspects.size() > normal);
   if (is_slow) {
     this->health.NoteSlow(worker, now);
@@ -102,7 +103,7 @@
                                    const Run& run,
                                    const RunProgress& progress,
                                    RunPace pace) const {
-  // What a stop, its report and another start take.
+  // The overhead of a stop, its report and another start.
   constexpr Milliseconds kRestart{700};
   const jobs::Job* job = this->state.FindJob(run.task.step.job);
   const TaskMemory* memory = this->tasks.Find(run.task);
--- a/libraries/scheduler/stragglers.h
+++ b/libraries/scheduler/stragglers.h
@@ -20,22 +20,24 @@
 
 namespace sumac::scheduler {
 
-// A run that does not get on, and for whose task a better worker has room.
+// A run that is stalled or slow and for whose task a better worker has room.
 struct Straggler {
   WorkerSession* session;
   Run* run;
   RunPace pace;
 };
 
-// Finds runs that stand still or crawl, by the progress that workers report,
-// and tells the workers' health what they show. Pure.
+// Finds runs that are stalled or very slow, by the progress that workers
+// report, and records what they show about the workers' health. Pure.
 class Stragglers {
  public:
   using Sessions = std::map<WorkerId, WorkerSession>;
-  // The placement policy's advice for a job's queue; nothing without one.
+  // Returns the placement policy's advice for a job's queue; null if the queue
+  // has no policy.
   using AdviceFor = std::function<const PlacementAdvice*(const jobs::Job&)>;
 
-  // A run of a task is given up `most_moves` times at most.
+  // `most_moves` is the maximum number of times that a run of one task is given
+  // up.
   Stragglers(const jobs::JobsState& state,
              const RunTimes& run_times,
              const TaskTable& tasks,
@@ -51,7 +53,7 @@
         advice_for(std::move(advice_for)),
         most_moves(most_moves) {}
 
-  // The stragglers by the last reports.
+  // Returns the stragglers according to the last reports.
   std::vector<Straggler> Find(Sessions& sessions, SteadyTime now);
 
  private:
--- a/libraries/scheduler/worker_health.cc
+++ b/libraries/scheduler/worker_health.cc
@@ -6,30 +6,34 @@
 namespace sumac::scheduler {
 namespace {
 
-// Failures and successes count for this long.
+// How long failures and successes count.
 constexpr Milliseconds kWindow{6'000};
-// A worker that failed tasks of this many jobs that failed nowhere else, and
-// more than this share of its runs (in thousandths), is taken for bad.
+// A worker is considered bad if it failed tasks of this many jobs that failed
+// on no other worker, and if these failures exceed this share of its runs (in
+// thousandths).
 constexpr std::size_t kFailedJobsOfTheBad = 2;
 constexpr std::size_t kFailedPermilleOfTheBad = 300;
 constexpr std::size_t kPermille = 1'000;
-// A bad worker gets no work for the first of these at first, and twice as long
-// each time it turns out bad again.
+// The first quarantine of a bad worker lasts the shortest time. Each further
+// one lasts twice as long as the one before, up to the longest time.
 constexpr Milliseconds kShortestQuarantine{2'000};
 constexpr Milliseconds kLongestQuarantine{8'000};
-// A worker is taken for slow for this long after a run there was.
+// How long a worker is considered slow after it was last seen to be slow.
 constexpr Milliseconds kSlowTime{2'500};
-// Jobs whose failures are remembered; bounds memory.
+// The number of jobs whose failures are remembered; bounds memory.
 constexpr std::size_t kMostJobs = 2'000;
 
-// Too little time to judge a run by.
+// Runs younger than this are not judged.
 constexpr Milliseconds kShortestJudged{500};
-// A run that did not get on for this long, and for a quarter of what it should
-// take, stands still: reports come each second and round to hundredths.
+// A run is stalled if it made no progress for this long and for a quarter of
+// its expected duration. Workers report once a second and round progress to
+// hundredths.
 constexpr Milliseconds kShortestStall{1'300};
 constexpr int kStallDivisor = 4;
-// Tasks of one queue differ by some factor of two, some by more; the second
-// factor is beyond what tasks themselves do.
+// How many times its expected duration a run must be predicted to take to be
+// slow or very slow. Tasks of one queue commonly differ by a factor of two,
+// some by more; the second factor is beyond the variation of the tasks
+// themselves.
 constexpr int kSlowFactor = 3;
 constexpr int kVerySlowFactor = 6;
 constexpr std::int64_t kWholePercent = 100;
@@ -48,7 +52,7 @@
   if (progress.elapsed < kShortestJudged) {
     return RunPace::kUnknown;
   }
-  // A run that has not shown any progress yet counts with half a hundredth.
+  // A run without any reported progress counts as half a hundredth done.
   const std::int64_t doubled_percent =
       std::max<std::int64_t>(2 * std::int64_t{progress.percent}, 1);
   const Milliseconds whole =
@@ -98,7 +102,7 @@
       ++failures;
     }
   }
-  // After a quarantine one more job is enough.
+  // After a quarantine, failures of one further job are enough.
   const std::size_t enough = record.quarantines > 0 ? 1 : kFailedJobsOfTheBad;
   const std::size_t runs = failures + record.successes.size();
   return jobs.size() >= enough &&
@@ -109,7 +113,7 @@
   Record& record = this->workers[worker];
   this->DropOld(record, now);
   record.successes.push_back(now);
-  // One that does its work again is trusted again.
+  // A worker that succeeds without failures is trusted again.
   if (record.failures.empty()) {
     record.quarantines = 0;
   }
--- a/libraries/scheduler/worker_health.h
+++ b/libraries/scheduler/worker_health.h
@@ -13,55 +13,57 @@
 
 namespace sumac::scheduler {
 
-// How one run gets on.
+// The progress of one run.
 struct RunProgress {
   Milliseconds elapsed{0};
-  // Of its work, in hundredths.
+  // The share of the run's work that is done, in hundredths.
   std::uint32_t percent = 0;
-  // Since its percent last changed, up to the last report.
+  // The time from the last change of `percent` to the last report.
   Milliseconds since_change{0};
-  // What a run of this kind should take; 0 if that is not known.
+  // The expected duration of a run of this kind; 0 if unknown.
   Milliseconds expected{0};
 };
 
 enum class RunPace {
-  // Too little was seen to tell.
+  // There is too little data to judge.
   kUnknown,
   kNormal,
-  // It will take several times as long as it should: the task may be a long
-  // one, or the worker slow.
+  // The run will take several times its expected duration: either the task is
+  // long or the worker is slow.
   kSlow,
-  // It will take so many times as long that the worker must be slow.
+  // The run will take so many times its expected duration that the worker must
+  // be slow.
   kVerySlow,
-  // It does not get on at all.
+  // The run makes no progress at all.
   kStalled,
 };
 
-// Judges a run by its progress.
+// Classifies a run by its progress.
 RunPace JudgeProgress(const RunProgress& progress);
 
-// What runs tell about the workers that they run on: one that fails the tasks
-// of several jobs, or on which runs stand still, is kept from new work for a
-// while and then tried again; one on which runs are slow is taken last.
-// Failures of a job that fails on several workers are the job's own. Pure.
+// Tracks the health of workers by the outcome and progress of their runs. A
+// worker that fails tasks of several jobs, or on which runs stall, gets no new
+// work for a while (quarantine) and is then tried again. A worker on which runs
+// are slow is chosen last. Failures of a job that fails on several workers are
+// attributed to the job. Pure.
 class WorkerHealth {
  public:
-  // Takes in how a run ended, or how it is seen to get on.
+  // Record how a run on the worker ended, or how its progress was judged.
   void NoteDone(const WorkerId& worker, SteadyTime now);
   void NoteFailure(const WorkerId& worker, const JobId& job, SteadyTime now);
   void NoteStalled(const WorkerId& worker, SteadyTime now);
   void NoteSlow(const WorkerId& worker, SteadyTime now);
 
-  // Forgets a worker.
+  // Removes the record of a worker.
   void Forget(const WorkerId& worker) { this->workers.erase(worker); }
 
-  // True while nothing should be started there.
+  // Returns true while no task should be started on the worker.
   bool IsQuarantined(const WorkerId& worker, SteadyTime now) const;
-  // True while it is known to be slow.
+  // Returns true while the worker is considered slow.
   bool IsSlow(const WorkerId& worker, SteadyTime now) const;
 
  private:
-  // False for sure if no worker is kept from work or known to be slow.
+  // Returns false only if no worker is quarantined or slow.
   bool MayHaveSetAside(SteadyTime now) const {
     return now < this->latest_set_aside;
   }
@@ -71,10 +73,10 @@
   };
   struct Record {
     std::deque<Failure> failures;
-    // Runs that ended done within the window.
+    // When runs ended done, within the window.
     std::deque<SteadyTime> successes;
     SteadyTime quarantined_until{};
-    // How often it was quarantined without a success since.
+    // The number of quarantines since the worker's last recovery.
     int quarantines = 0;
     SteadyTime slow_until{};
   };
@@ -83,10 +85,11 @@
   void DropOld(Record& record, SteadyTime now);
   bool IsBad(const Record& record) const;
 
-  // When the last worker that is set aside now is so no more.
+  // The time from which no worker is quarantined or slow any more, as far as is
+  // known now.
   SteadyTime latest_set_aside{};
   std::unordered_map<WorkerId, Record> workers;
-  // Where tasks of a job failed lately.
+  // The workers on which tasks of a job failed recently.
   std::map<JobId, std::set<WorkerId>> failed_on;
 };
 
