--- a/libraries/scheduler/run_times.cc
+++ b/libraries/scheduler/run_times.cc
@@ -7,9 +7,10 @@
 namespace sumac::scheduler {
 namespace {
 
-// Runs of a queue that must have been seen before their mean counts.
+// The number of runs of a queue from which their mean is used.
 constexpr std::uint32_t kEnoughSeen = 10;
-// The weight of a new run in the mean, once there are many.
+// The minimum weight of a new run in the mean, which applies once there are
+// many runs.
 constexpr double kNewest = 0.05;
 
 }  // namespace
@@ -32,7 +33,8 @@
   if (seen == this->queues.end() || seen->second.count < kEnoughSeen) {
     return step.estimate;
   }
-  // Half and half: the mean knows the queue, the estimate knows the job.
+  // The mean reflects the queue, the estimate reflects the job; both count
+  // half.
   const auto mean =
       Milliseconds(static_cast<std::int64_t>(seen->second.mean_ms));
   const Milliseconds bounded = std::clamp(step.estimate, mean / 2, mean * 2);
--- a/libraries/scheduler/run_times.h
+++ b/libraries/scheduler/run_times.h
@@ -11,24 +11,25 @@
 
 namespace sumac::scheduler {
 
-// What tasks of each queue really took. Submitters' estimates are far off on
-// some queues; what was seen is used once there is enough of it.
+// The observed run times of each queue's tasks. Submitters' estimates are far
+// off on some queues, so observed times are used once there are enough of them.
 class RunTimes {
  public:
-  // Takes in a run that ended done.
+  // Records the duration of a run that ended done.
   void Note(const QueueName& queue, Milliseconds took);
 
-  // How long one task of a step probably takes.
+  // Returns the expected duration of one task of a step.
   Milliseconds Expect(const QueueName& queue, const jobs::StepSpec& step) const;
 
-  // True once enough runs of the queue were seen for Expect to be near.
+  // Returns true once enough runs of the queue were observed for Expect to be
+  // accurate.
   bool IsKnown(const QueueName& queue) const;
 
-  // How long the steps of an occurrence that are not done take one after the
-  // other, by their longest chain.
+  // Returns the length of the longest chain of steps of an occurrence that are
+  // not done yet.
   Milliseconds RemainingChain(const jobs::Job& job,
                               std::uint32_t occurrence) const;
-  // The same for all steps.
+  // Returns the length of the longest chain of all steps.
   Milliseconds WholeChain(const QueueName& queue,
                           const jobs::JobSpec& spec) const;
 
--- a/libraries/scheduler/urgency.cc
+++ b/libraries/scheduler/urgency.cc
@@ -4,13 +4,14 @@
 namespace sumac::scheduler {
 namespace {
 
-// A late job earns a little until it has taken three times its time.
+// A late job is still worth a little until this many times its objective has
+// passed.
 constexpr int kWorthlessAfter = 3;
-// What comes to a job's run times on a busy leader: starts and reports that
-// wait, and the commit of its ends.
+// The usual overhead on top of a job's run times on a busy leader: starts and
+// reports that wait, and the commit of the ends of its runs.
 constexpr Milliseconds kUsualDelay{400};
 
-// By when a job is to be done, from when it was due.
+// The time within which a job should be done, counted from when it was due.
 Milliseconds ObjectiveOf(const jobs::QueueDeclaration& queue,
                          Milliseconds chain) {
   return Milliseconds(static_cast<std::int64_t>(
--- a/libraries/scheduler/waiting_cause.cc
+++ b/libraries/scheduler/waiting_cause.cc
@@ -12,7 +12,8 @@
   return step.required_label.empty() || worker.has_label(step.required_label);
 }
 
-// How many tasks of the step this room holds beside those that run there.
+// Returns how many more tasks of the step fit into `room`, if `running` of them
+// already run on the worker.
 std::uint32_t CountPlaces(const jobs::StepSpec& step,
                           jobs::Resources room,
                           std::uint32_t running) {
@@ -39,7 +40,7 @@
   });
 }
 
-// Counts the worker under the first wish that excludes it.
+// Counts the worker under the first requirement that excludes it.
 void CountWorker(const PlacementRequest& request,
                  const WorkerSession& session,
                  SteadyTime now,
@@ -72,7 +73,8 @@
   if (cause.places > 0) {
     return step.is_gang ? WaitingReason::kGang : WaitingReason::kNear;
   }
-  // What is nearest to a place decides.
+  // Workers that are excluded by a later check are closer to a place, so the
+  // last check that excludes any worker determines the reason.
   return cause.not_admitted > 0   ? WaitingReason::kPolicy
          : cause.without_room > 0 ? WaitingReason::kRoom
          : cause.at_limit > 0     ? WaitingReason::kLimit
--- a/libraries/scheduler/waiting_cause.h
+++ b/libraries/scheduler/waiting_cause.h
@@ -12,25 +12,27 @@
 
 namespace sumac::scheduler {
 
-// What keeps a step that is due from a place.
+// The reason why a due step has no place.
 enum class WaitingReason {
-  // It may still run on a worker that has not answered this leader.
+  // The step may still run on a worker that has not answered this leader.
   kUnseen,
-  // No worker of its service takes work.
+  // No worker of the step's service accepts work.
   kNoWorker,
-  // No worker of its service has the label that it requires.
+  // No worker of the step's service has the required label.
   kLabel,
-  // No worker that is left could hold a task of it even if nothing ran there.
+  // No remaining worker could hold a task of the step even if it were idle.
   kTooSmall,
-  // All workers that are left hold as many of its tasks as one may.
+  // All remaining workers run the maximum number of the step's tasks per
+  // worker.
   kLimit,
-  // No worker that is left has room now.
+  // No remaining worker has enough free room now.
   kRoom,
-  // The placement policy admits none of those that have room.
+  // The placement policy admits none of the workers that have room.
   kPolicy,
-  // There is room for some members of the gang and not for all.
+  // There is room for some members of the gang, but not for all.
   kGang,
-  // There is room only far from its data, and it still waits for some near.
+  // There is room only far from the step's data, and the step still waits for
+  // room near it.
   kNear,
 };
 
@@ -41,8 +43,8 @@
 
 std::string_view NameOf(WaitingReason reason);
 
-// Why a step has no place, with the workers of its service that take work, each
-// counted under the first wish that excludes it.
+// Why a step has no place. Counts the workers of its service that accept work,
+// each under the first requirement that excludes it.
 struct WaitingCause {
   WaitingReason reason = WaitingReason::kNoWorker;
   std::uint32_t workers = 0;
@@ -51,20 +53,22 @@
   std::uint32_t at_limit = 0;
   std::uint32_t without_room = 0;
   std::uint32_t not_admitted = 0;
-  // Members of a gang, or single tasks, that would find room now; counted up to
-  // the step's count.
+  // The number of tasks (or members of a gang) for which there is room now, up
+  // to the step's count.
   std::uint32_t places = 0;
-  // The fleet's workers, of any service and with nothing running, could hold
-  // the step: one task of it, or a whole gang.
+  // Whether the workers of the whole fleet, of any service and with nothing
+  // running, could hold the step: one task of it, or a whole gang.
   bool is_feasible = false;
-  // At least half of the processor room of its service's workers is free.
+  // Whether at least half of the processor capacity of the service's workers is
+  // free.
   bool is_half_free = false;
 
   std::string ToText() const;
 };
 
-// Finds why a step has no place. `may_run_unseen` as in WaitingReason::kUnseen.
-// It walks over all workers, so it is for a few steps now and then. Pure.
+// Determines why a step has no place. `may_run_unseen`: see
+// WaitingReason::kUnseen. Scans all workers, so it should be called for a few
+// steps at a time only. Pure.
 WaitingCause FindWaitingCause(const PlacementRequest& request,
                               const Placement& placement,
                               const Placement::Sessions& fleet,
--- a/libraries/scheduler/waiting_jobs.cc
+++ b/libraries/scheduler/waiting_jobs.cc
@@ -15,13 +15,13 @@
   }
 }
 
-// Adds the jobs that are new, and all active ones now and then: a job of which
-// a change went unnoticed waits for that long at most.
+// Adds new jobs, and periodically all active ones: a job whose change was
+// missed is delayed by at most that interval.
 void WaitingJobs::Gather(SteadyTime now) {
   if (now - this->looked_at_all >= this->full_look_interval) {
     this->looked_at_all = now;
     this->next_job = 0;
-    // Run times are learned and declarations change.
+    // Learned run times and declarations may have changed.
     for (auto& [sequence, known] : this->waiting) {
       known.clear();
     }
--- a/libraries/scheduler/waiting_jobs.h
+++ b/libraries/scheduler/waiting_jobs.h
@@ -17,26 +17,27 @@
 
 namespace sumac::scheduler {
 
-// One occurrence of a job that may have something to start.
+// One occurrence of a job that may have tasks to start.
 struct DueOccurrence {
   const jobs::Job* job = nullptr;
   std::uint32_t occurrence = 0;
-  // Whether it could still be in time when it was ordered.
+  // Its lateness when the occurrences were ordered.
   Lateness lateness = Lateness::kInTime;
-  // No task of it had begun.
+  // Whether none of its tasks had begun.
   bool is_new = false;
 };
 
-// The active jobs of which a task may have to be started, and their order.
-// Answers the load of many long-running jobs beside a rush of short ones: a job
-// leaves once all that can start has a place, and comes back when one of its
-// runs is gone or an end of it is on record, so that a pass costs by what waits
-// and not by all that is active (with 350 workers and 136 long-running jobs a
-// third less processor time for the leader). Pure.
+// The active jobs that may have tasks to start, in their order of urgency.
+// Handles many long-running jobs beside a load spike of short ones: a job
+// leaves the set once every task that can start is placed, and returns when one
+// of its runs is gone or the end of a run is committed. The cost of a planning
+// pass thus depends on the waiting jobs and not on all active ones; with 350
+// workers and 136 long-running jobs the leader uses a third less processor
+// time. Pure.
 class WaitingJobs {
  public:
-  // All active jobs are looked at every `full_look_interval`, and in between
-  // only those of which something changed.
+  // All active jobs are considered once in every `full_look_interval`, and in
+  // between only the jobs that changed.
   WaitingJobs(const jobs::JobsState& state,
               const RunTimes& run_times,
               bool orders_by_slack,
@@ -46,15 +47,16 @@
         orders_by_slack(orders_by_slack),
         full_look_interval(full_look_interval) {}
 
-  // Takes in that a run of the job is gone or an end of it is on record.
+  // Adds the job again after one of its runs is gone or the end of a run is
+  // committed.
   void Reconsider(const JobId& id);
 
-  // The occurrences that are due, of the jobs that wait or are new, the most
-  // urgent first.
+  // Returns the due occurrences of the waiting and new jobs, the most urgent
+  // first.
   std::vector<DueOccurrence> Order(SteadyTime now, WallTime wall_now);
 
-  // Takes in which of the ordered jobs, by their numbers, still lack a place
-  // for some task; the others wait no longer.
+  // Removes the ordered jobs that no longer wait. `unplaced` holds the numbers
+  // of those that still have a task without a place.
   template <typename Numbers = std::set<std::uint64_t>>
   void Settle(const Numbers& unplaced, WallTime wall_now) {
     ActiveJobs active(this->state);
@@ -66,24 +68,25 @@
   }
 
   std::size_t size() const { return this->waiting.size(); }
-  // How many jobs waited when they were last ordered, as seen from one queue.
+  // Returns how many jobs waited when they were last ordered, from the view of
+  // one queue.
   WaitingCounts CountFor(const QueueName& queue) const;
-  // How late the occurrences were that were last ordered.
+  // Returns the lateness of the occurrences that were last ordered.
   const LatenessCounts& lateness_counts() const { return this->lateness; }
-  // The jobs that waited then, by queue; without those that are never late.
+  // Returns the jobs that waited when they were last ordered, by queue, without
+  // those that are never late.
   const std::map<QueueName, QueueWaiting>& waiting_of_queues() const {
     return this->of_queues;
   }
 
  private:
-  // Looks active jobs up by their numbers, in rising order, at the cost of one
-  // walk.
+  // Finds active jobs by ascending numbers in a single traversal.
   class ActiveJobs {
    public:
     explicit ActiveJobs(const jobs::JobsState& state)
         : next(state.active_jobs().begin()), end(state.active_jobs().end()) {}
 
-    // Nothing if the job is not active.
+    // Returns null if the job is not active.
     const jobs::Job* Find(std::uint64_t sequence) {
       while (this->next != this->end && this->next->first < sequence) {
         ++this->next;
@@ -98,11 +101,12 @@
     std::map<std::uint64_t, const jobs::Job*>::const_iterator end;
   };
 
-  // True if each occurrence of the job is due.
+  // Returns true if every occurrence of the job is due.
   static bool AreAllDue(const jobs::Job& job, WallTime wall_now) {
     return job.DueAt(job.spec.occurrences() - 1) <= wall_now;
   }
-  // What is known of an occurrence's urgency; works it out if it is not.
+  // Returns the basis of an occurrence's urgency, computing it if it is not
+  // cached in `known`.
   const UrgencyBasis& BasisOf(const jobs::Job& job,
                               std::uint32_t occurrence,
                               std::vector<UrgencyBasis>& known) const;
@@ -112,15 +116,15 @@
   const RunTimes& run_times;
   bool orders_by_slack;
   Milliseconds full_look_interval;
-  // By the jobs' numbers, with the urgency of each occurrence that was due;
-  // none where it has to be worked out (again).
+  // The waiting jobs by number, with the cached basis of each due occurrence;
+  // empty where it must be computed (again).
   std::map<std::uint64_t, std::vector<UrgencyBasis>> waiting;
-  // Jobs that waited when they were last ordered, by queue.
+  // The number of jobs that waited when they were last ordered, by queue.
   std::map<QueueName, std::size_t> counts;
-  // Their occurrences that were due, by lateness.
+  // The lateness of their due occurrences.
   LatenessCounts lateness;
   std::map<QueueName, QueueWaiting> of_queues;
-  // Jobs numbered from here on have not been looked at.
+  // Jobs with this number and above have not been considered yet.
   std::uint64_t next_job = 0;
   SteadyTime looked_at_all{};
 };
--- a/libraries/scheduler/waiting_table.h
+++ b/libraries/scheduler/waiting_table.h
@@ -12,44 +12,45 @@
 
 namespace sumac::scheduler {
 
-// A step that is due and has no place for some of its tasks.
+// A due step that has no place for some of its tasks.
 struct WaitingStep {
   WaitingCause cause;
-  // How many of its tasks wait.
+  // The number of the step's tasks that wait.
   std::uint32_t tasks = 0;
   SteadyTime since{};
-  // That it waits long, or without need, was told already.
+  // Whether the long wait, and the wait without need, were already reported.
   bool is_told = false;
   bool is_alarmed = false;
 };
 
-// What a review of one step leads to.
+// The new finding from the review of one step.
 enum class WaitingNews { kNone, kWaitsLong, kWaitsWithoutNeed };
 
-// Keeps why steps wait and since when, from one review to the next. A review
-// looks at the most urgent steps only, so that it stays small beside a pass
-// however many wait. Pure.
+// Records why steps wait and since when, from one review to the next. A review
+// covers only the most urgent steps, so that its cost stays small beside a
+// planning pass however many steps wait. Pure.
 class WaitingTable {
  public:
-  // Steps are reviewed this often: fine enough beside the three seconds after
-  // which a wait is told.
+  // The time between reviews; fine enough for the three seconds after which a
+  // wait is reported.
   static constexpr Milliseconds kInterval{1'000};
-  // Steps looked at in one review. Each costs a look at every worker, some
-  // microseconds with 50 of them.
+  // The maximum number of steps in one review. Each costs a scan of all
+  // workers, some microseconds with 50 workers.
   static constexpr std::size_t kMostSteps = 128;
-  // A step that could run waits this long at most while there is room, by the
-  // platform's rules.
+  // The longest time, by the platform's rules, that a step that could run may
+  // wait while there is room.
   static constexpr Milliseconds kLongWait{3'000};
 
-  // True if it is time for a review.
+  // Returns true if a review is due.
   bool IsDue(SteadyTime now) const {
     return now - this->reviewed_at >= kInterval;
   }
-  // Begins a review; steps that are not noted in it wait no longer.
+  // Begins a review. Steps that are not recorded in it count as no longer
+  // waiting.
   void Begin(SteadyTime now);
-  // True while the review may take in more.
+  // Returns true while more steps can be recorded in the review.
   bool HasRoom() const { return this->current.size() < kMostSteps; }
-  // Takes in that tasks of a step wait, and tells what is new about that.
+  // Records that tasks of a step wait, and returns what is new about the wait.
   WaitingNews Note(const jobs::StepId& step,
                    std::uint32_t tasks,
                    const WaitingCause& cause);
@@ -57,7 +58,7 @@
   const std::map<jobs::StepId, WaitingStep>& steps() const {
     return this->current;
   }
-  // How many tasks waited for this reason at the last review.
+  // Returns how many tasks waited for this reason at the last review.
   std::uint64_t CountTasks(WaitingReason reason) const;
 
  private:
