--- a/libraries/scheduler/admission.cc
+++ b/libraries/scheduler/admission.cc
@@ -6,8 +6,9 @@
 namespace sumac::scheduler {
 namespace {
 
-// A new reading counts for a half when the loop gets later, since a sudden rush
-// fills it within two or three readings, and for an eighth when it gets better.
+// The weight of a new reading is one half while the lateness rises, since a
+// sudden load spike fills the loop within two or three readings, and one eighth
+// while it falls.
 constexpr int kRise = 2;
 constexpr int kFall = 8;
 
--- a/libraries/scheduler/admission.h
+++ b/libraries/scheduler/admission.h
@@ -9,81 +9,84 @@
 
 namespace sumac::scheduler {
 
-// A span of lateness in which a leader takes on less and less of one kind of
-// work: all of it up to where it begins, and none from where it ends.
+// A range of lateness over which a leader accepts a decreasing share of one
+// kind of work: all of it up to `all_up_to`, none from `none_from` on.
 struct LatenessRange {
   Milliseconds all_up_to{0};
   Milliseconds none_from{0};
 
-  // The share that is taken on at a lateness, from 0 to 1.
+  // Returns the share of the work that is accepted at a lateness, from 0 to 1.
   double ShareAt(Milliseconds late) const;
 };
 
-// From which lateness of its own loop a leader takes on less work. What earns
-// least goes first, so that the window of starts holds the lateness before
-// callers are turned away.
+// The lateness of its event loop from which a leader accepts less work. The
+// least valuable work is cut first, so that limiting the open starts keeps the
+// lateness in bounds before callers are refused.
 struct AdmissionSettings {
-  // Starts for jobs that can't be in time any more: only on a leader that has
-  // time to spare. On an idle one the loop is 0 to 5 ms late.
+  // Starts for jobs that can no longer be in time, which only a leader with
+  // time to spare orders. On an idle leader the loop is 0 to 5 ms late.
   LatenessRange late_starts{Milliseconds(10), Milliseconds(60)};
-  // Starts for the others. An order counts as unanswered after 400 ms, and
-  // settling it costs more than it did.
+  // Starts for the other jobs. An order counts as unanswered after 400 ms, and
+  // resolving an unanswered order costs more than the order did.
   LatenessRange starts{Milliseconds(40), Milliseconds(160)};
-  // New jobs. Taking one costs a twentieth of what its starts and ends cost,
-  // and the leader chooses best among those that it knows. Followers wait 450
-  // ms for a heartbeat, and a leader that loses its place to a rush serves
-  // nobody for seconds.
+  // New jobs. Accepting one costs a twentieth of what its starts and ends cost,
+  // and the more jobs the leader knows, the better it can choose among them.
+  // Followers wait 450 ms for a heartbeat, and a leader that loses its
+  // leadership under load serves nobody for seconds.
   LatenessRange jobs{Milliseconds(110), Milliseconds(250)};
-  // Starts that may be unanswered at once: on a leader that is in time, and on
-  // one that is as late as above. A rack that went dark takes some hundred of
-  // them until its silence is noticed.
+  // The maximum number of unanswered starts on a leader that is in time, and on
+  // one as late as the ranges above allow. A rack that fails leaves some
+  // hundred of them unanswered until its silence is detected.
   std::size_t most_open_starts = 600;
   std::size_t fewest_open_starts = 16;
-  // Starts that one pass orders at most: some 25 ms of a third of a core. A
-  // pass that ordered a whole backlog of thousands at once would hold memory
-  // and connections for all of them before the first answer is read.
+  // The maximum number of starts that one planning pass orders: some 25 ms of a
+  // third of a core. A pass that ordered a whole backlog of thousands at once
+  // would hold memory and connections for all of them before the first answer
+  // is read.
   std::size_t most_starts_of_pass = 250;
-  // Jobs that a leader which is in time takes in a row before it looks at the
-  // share again, so that one stall refuses nobody.
+  // The number of jobs that a leader that was in time accepts in a row before
+  // the share applies, so that a single stall of the loop refuses nobody.
   double burst = 4;
-  // When a caller who was refused should come back: a rush that makes a leader
-  // a little late is over in the one time, one that fills it in the other.
+  // When a refused caller should retry. A load spike that makes a leader only a
+  // little late is over within the short time, one that saturates it within the
+  // long time.
   Milliseconds short_retry{1'000};
   Milliseconds long_retry{2'000};
 };
 
-// Answers a rush that brings more jobs than the leader has processor time for:
-// the later its loop is, the smaller a share of new jobs it takes, so that
-// heartbeats, renewals and what it has accepted go on. What is refused has not
-// run. Pure.
+// Limits the load on a leader that receives more jobs than it has processor
+// time for: the later its event loop is, the smaller the share of new jobs that
+// it accepts, so that heartbeats, lease renewals and the jobs already accepted
+// proceed. A refused job has not run. Pure.
 class Admission {
  public:
   explicit Admission(AdmissionSettings settings = {}) : settings(settings) {}
 
-  // Takes in how long what has come waited until the loop read it.
+  // Records how long a received message waited until the event loop read it.
   void NoteLateness(Milliseconds late);
 
-  // Decides about one new job; the jobs that are taken are spread evenly over
-  // those that come.
+  // Returns true if one new job is accepted. The accepted jobs are spread
+  // evenly over those that arrive.
   bool Take();
 
-  // How many starts the next pass may order while `open_starts` are unanswered:
-  // a late leader starts less, and keeps what runs.
+  // Returns how many starts the next planning pass may order while
+  // `open_starts` are unanswered. A late leader starts fewer tasks and keeps
+  // those that run.
   StartAllowance AllowStarts(std::size_t open_starts) const;
 
-  // When a caller who is refused now should come back.
+  // Returns when a caller that is refused now should retry.
   Milliseconds RetryAfter() const;
 
   Milliseconds lateness() const { return this->smoothed; }
 
  private:
-  // How many more starts may be open at the present lateness.
+  // Returns how many more starts may be open at the present lateness.
   std::size_t StartsLeft(const LatenessRange& range,
                          std::size_t open_starts) const;
 
   AdmissionSettings settings;
   Milliseconds smoothed{0};
-  // Jobs that may be taken before the next one is refused.
+  // The number of jobs that may be accepted before the next one is refused.
   double credit = this->settings.burst;
 };
 
--- a/libraries/scheduler/arrival_rate.cc
+++ b/libraries/scheduler/arrival_rate.cc
@@ -6,13 +6,13 @@
 namespace sumac::scheduler {
 namespace {
 
-// The present rate is read from this time. Short, since a rush lasts a few
-// seconds and an instance needs one and a half to move.
+// The time over which the present rate is measured. It is short, since a load
+// spike lasts a few seconds and an instance needs one and a half to move.
 constexpr Milliseconds kWindow{700};
-// Growth is read from two times of this length, one after the other: longer,
-// since the difference of two counts is noisier than either.
+// The length of the two consecutive times from which growth is measured. They
+// are longer, since the difference of two counts is noisier than either.
 constexpr Milliseconds kTrendWindow{1'000};
-// Fewer arrivals are taken for chance.
+// Fewer arrivals than this are considered random.
 constexpr std::size_t kFewest = 4;
 constexpr std::int64_t kPermille = 1'000;
 
--- a/libraries/scheduler/arrival_rate.h
+++ b/libraries/scheduler/arrival_rate.h
@@ -9,26 +9,27 @@
 
 namespace sumac::scheduler {
 
-// How a rate of arrivals is read.
+// How a rate of arrivals is extrapolated.
 struct ForecastSettings {
-  // How far ahead a rising rate is carried on: what it takes to move an
-  // instance, and to have it announced and renewed. 0 looks back only.
+  // How far ahead a rising rate is extrapolated: the time that it takes to move
+  // an instance, and to have it announced and renewed. 0 disables
+  // extrapolation.
   Milliseconds horizon{1'800};
-  // The most that the forecast may be of what was seen, in thousandths.
+  // The maximum ratio of the forecast to the observed rate, in thousandths.
   std::int64_t most_growth_permille = 2'000;
 };
 
-// How much work arrives for one service: what its jobs will keep busy if they
-// go on arriving as they do. Tells a rush before its backlog does, and while it
-// grows carries its growth on.
+// Measures how much work arrives for one service: the capacity that its jobs
+// will use if they keep arriving at this rate. Detects a load spike before it
+// shows in the backlog, and extrapolates its growth.
 class ArrivalRate {
  public:
-  // Takes in a job that will use `millicore_time` (thousandths of a core times
+  // Records a job that will use `millicore_time` (thousandths of a core times
   // milliseconds).
   void Add(std::int64_t millicore_time, SteadyTime now);
 
-  // The cores, in thousandths, that arrivals will keep busy after the horizon;
-  // 0 while there are too few to tell.
+  // Returns the thousandths of a core that arriving jobs will keep busy after
+  // the horizon; 0 if there are too few arrivals to tell.
   std::int64_t MillicoresBusy(const ForecastSettings& settings, SteadyTime now);
 
  private:
@@ -41,7 +42,7 @@
     std::size_t count = 0;
   };
 
-  // What arrived from `oldest` ago until `newest` ago.
+  // Sums up the arrivals of age `oldest` to `newest`.
   Window Between(Milliseconds oldest,
                  Milliseconds newest,
                  SteadyTime now) const;
--- a/libraries/scheduler/demand_meter.cc
+++ b/libraries/scheduler/demand_meter.cc
@@ -7,7 +7,7 @@
 
 namespace sumac::scheduler {
 
-// Counts the jobs that were accepted since the last look.
+// Counts the jobs that were accepted since the last call.
 void DemandMeter::NoteArrivals(SteadyTime now) {
   const auto& active = this->state.active_jobs();
   for (auto item = active.lower_bound(this->next_arrival); item != active.end();
@@ -30,7 +30,7 @@
   }
 }
 
-// Adds what the steps of one occurrence need that could run now.
+// Adds the needs of one occurrence's steps that run or could run now.
 void DemandMeter::AddOccurrence(const jobs::Job& job,
                                 std::uint32_t occurrence,
                                 WallTime wall_now,
--- a/libraries/scheduler/demand_meter.h
+++ b/libraries/scheduler/demand_meter.h
@@ -14,12 +14,12 @@
 
 namespace sumac::scheduler {
 
-// Measures what the tasks of each service need: those that run, those that
-// could, and those of the jobs that are arriving. Pure.
+// Measures the resources that the tasks of each service need: the running
+// tasks, those that could run, and those of arriving jobs. Pure.
 class DemandMeter {
  public:
-  // Jobs numbered from `first_own_sequence` on were accepted under this leader;
-  // earlier ones do not count as arrivals.
+  // Jobs with the number `first_own_sequence` and above were accepted under
+  // this leader; earlier ones do not count as arrivals.
   DemandMeter(const jobs::JobsState& state,
               const RunTimes& run_times,
               ForecastSettings forecast,
@@ -44,7 +44,7 @@
   ForecastSettings forecast;
   std::uint64_t first_own_sequence;
   std::map<ServiceName, ArrivalRate> arrivals;
-  // Jobs numbered below this have been counted as arrivals.
+  // Jobs below this number have been counted as arrivals.
   std::uint64_t next_arrival = 0;
 };
 
--- a/libraries/scheduler/loop_pacer.cc
+++ b/libraries/scheduler/loop_pacer.cc
@@ -6,8 +6,9 @@
 namespace sumac::scheduler {
 namespace {
 
-// A new pass counts for a quarter: a rush shows within some passes, and one
-// pass that a stopped process made long does not slow down the next ten.
+// A new pass has a weight of one quarter: a load spike shows within a few
+// passes, while one pass that was long because the process was stopped does not
+// slow down the next ten.
 constexpr int kSmoothing = 4;
 
 }  // namespace
@@ -23,15 +24,15 @@
                     this->settings.longest);
 }
 
-// Twice the lateness: the end was seen that late, too, and a worker that is
-// asked again at once would answer into the same queue.
+// Twice the lateness: the end was read that late, too, and the answer of a
+// worker that is asked again at once would only join the same queue.
 Milliseconds LoopPacer::ReportPause() const {
   return std::min(this->settings.shortest_report_pause + 2 * this->late,
                   this->settings.longest_report_pause);
 }
 
-// A part of the lateness, since a commit stands between each step of a job and
-// the next.
+// A quarter of the lateness, since each step of a job waits for a commit after
+// the previous one.
 Milliseconds LoopPacer::CommitPause() const {
   return std::min(this->settings.shortest_commit_pause + this->late / 4,
                   this->settings.longest_commit_pause);
--- a/libraries/scheduler/loop_pacer.h
+++ b/libraries/scheduler/loop_pacer.h
@@ -8,59 +8,63 @@
 
 namespace sumac::scheduler {
 
-// How long a leader gathers work of one kind before it does it all at once.
+// How long a leader collects work of one kind before it processes it in one
+// batch.
 struct PacerSettings {
-  // Between two passes of the scheduler on an idle leader. A start waits for
-  // half of it in the mean, which is little beside tasks of a second; each pass
-  // looks at all workers, so shorter pauses cost processor time without
-  // starting anything earlier.
+  // The pause between two planning passes on an idle leader. A start waits for
+  // half of it in the mean, which is little beside tasks of a second. Each pass
+  // scans all workers, so a shorter pause costs processor time without starting
+  // anything earlier.
   Milliseconds shortest{10};
-  // Bounds how late a start can be for the sake of the pace.
+  // Bounds the delay of a start that is due to the pause.
   Milliseconds longest{100};
-  // The pause is this many times as long as a pass takes, so that passes use a
-  // quarter of the loop at most and calls, heartbeats and commits get the rest.
+  // The pause as a multiple of the duration of a pass: passes use at most a
+  // quarter of the loop, and calls, heartbeats and commits get the rest.
   int rest_per_work = 3;
-  // After a worker's report of ends, before it is asked again: ends that come
-  // close to each other share a report and a commit.
+  // The pause after a worker's report of ended runs before it is asked again,
+  // so that ends that come close to each other share a report and a commit.
   Milliseconds shortest_report_pause{15};
-  // A worker ends some four tasks a second in a rush, so that a longer pause
-  // gathers two ends a report, and a step that waits for one of them goes on an
-  // eighth of a second later in the mean.
+  // The maximum of that pause. A worker ends some four tasks a second under
+  // peak load, so a longer pause collects two ends in a report and delays a
+  // step that waits for one of them by an eighth of a second in the mean.
   Milliseconds longest_report_pause{250};
-  // Before commands that came meanwhile are sent to the other controllers
-  // together. Small beside the time that a disk takes to keep them.
+  // The pause in which commands are collected before they are sent to the other
+  // controllers together. It is small beside the time that a disk takes to
+  // store them.
   Milliseconds shortest_commit_pause{5};
   Milliseconds longest_commit_pause{40};
 };
 
-// Answers a rush on a leader whose processor is nearly used up. A pass costs
-// about the same whether it starts one task or fifty, a report and a round of
-// commits whether they tell of one end or five; so a leader that is late
-// gathers more of them first, and carries more tasks with the same time: with
-// three quarters of the processor time it needs in a rush, 1,050 starts a
-// second instead of 830, and 0.81 of what was asked earned instead of 0.70
-// (mean of five simulated days of 350 workers). Pure.
+// Adapts a leader's batching to its load. A planning pass costs about the same
+// whether it starts one task or fifty, and a report and a round of commits
+// whether they carry one end or five, so a late leader collects more work for
+// each and handles more tasks in the same time. With three quarters of the
+// processor time that it needs under peak load it orders 1,050 starts a second
+// instead of 830, and earns 0.81 of the requested worth instead of 0.70 (mean
+// of five simulated days of 350 workers). Pure.
 class LoopPacer {
  public:
   explicit LoopPacer(PacerSettings settings = {}) : settings(settings) {}
 
-  // Takes in how long a pass took by the clock, the time that the loop stood
-  // still without the processor included.
+  // Records the elapsed time of a pass, including the time in which the loop
+  // was not scheduled on a processor.
   void NotePass(std::chrono::microseconds took);
 
-  // Takes in how long what has come waits now until the loop reads it.
+  // Records how long received messages currently wait until the loop reads
+  // them.
   void NoteLateness(Milliseconds late) { this->late = late; }
 
-  // How long to gather news before the next pass.
+  // Returns how long to collect changes before the next pass.
   Milliseconds PassPause() const;
-  // How long to leave a worker alone that has just reported ends.
+  // Returns how long to wait before asking a worker again that has just
+  // reported ends.
   Milliseconds ReportPause() const;
-  // How long to gather commands before they are committed.
+  // Returns how long to collect commands before they are committed.
   Milliseconds CommitPause() const;
 
  private:
   PacerSettings settings;
-  // How long passes take, smoothed.
+  // The smoothed duration of passes.
   std::chrono::microseconds smoothed{0};
   Milliseconds late{0};
 };
--- a/libraries/scheduler/refusal_reason.h
+++ b/libraries/scheduler/refusal_reason.h
@@ -8,13 +8,13 @@
 
 // Why a new job was refused.
 enum class RefusalReason {
-  // The declared number of jobs is active.
+  // The declared maximum number of jobs is active.
   kOverload,
   // More jobs wait than can be begun.
   kBacklog,
-  // It would begin too late to be in time.
+  // The job would begin too late to be in time.
   kTooLate,
-  // The leader's loop is late.
+  // The leader's event loop is late.
   kLate,
 };
 
--- a/libraries/scheduler/refused_callers.h
+++ b/libraries/scheduler/refused_callers.h
@@ -14,35 +14,35 @@
 namespace sumac::scheduler {
 
 struct RefusedCallersSettings {
-  // Longer than callers try.
+  // How long a refused job is remembered; longer than callers retry.
   Milliseconds kept{30'000};
-  // Bounds the memory: some 2 MB.
+  // The maximum number of remembered jobs; bounds memory to some 2 MB.
   std::size_t most_kept = 20'000;
 };
 
 // Remembers when callers that were refused asked first, since the time in which
-// a job is to be done runs from then. Without it a caller who comes back passes
-// for one who has all his time left, and takes the place of one who has.
-// Another leader knows nothing of them. Pure.
+// a job should be done is counted from then. Otherwise a caller that retries
+// would appear to have all of its time left, and would take the place of one
+// that does. The memory is not shared with other leaders. Pure.
 class RefusedCallers {
  public:
   explicit RefusedCallers(RefusedCallersSettings settings = {})
       : settings(settings) {}
 
-  // Takes in that a job was refused.
+  // Records that a job was refused.
   void Note(const JobId& job, SteadyTime now);
 
-  // For how long the job's caller has been trying; 0 if it was not refused
-  // before.
+  // Returns how long the job's caller has been trying; 0 if the job was not
+  // refused before.
   Milliseconds WaitedOf(const JobId& job, SteadyTime now) const;
 
  private:
-  // Makes room for one more.
+  // Removes old entries and makes room for one more.
   void DropOld(SteadyTime now);
 
   RefusedCallersSettings settings;
   std::unordered_map<std::string, SteadyTime> first_asked;
-  // The same in the order of time.
+  // The same entries in the order of time.
   std::deque<std::pair<SteadyTime, std::string>> order;
 };
 
--- a/libraries/scheduler/start_allowance.h
+++ b/libraries/scheduler/start_allowance.h
@@ -7,13 +7,13 @@
 
 namespace sumac::scheduler {
 
-// How many starts one pass of the scheduler may order.
+// How many starts one planning pass of the scheduler may order.
 struct StartAllowance {
   static constexpr std::size_t kAnyNumber =
       std::numeric_limits<std::size_t>::max();
 
   std::size_t all = kAnyNumber;
-  // Of these for jobs that can't be in time any more.
+  // How many of these may be for jobs that can no longer be in time.
   std::size_t late = kAnyNumber;
 };
 
--- a/libraries/scheduler/start_forecast.h
+++ b/libraries/scheduler/start_forecast.h
@@ -13,63 +13,64 @@
 
 // The jobs of a queue that wait for a start.
 struct QueueWaiting {
-  // Those that can still be in time and have not begun.
+  // Jobs that can still be in time and have not begun.
   std::size_t timely_new = 0;
   std::size_t late = 0;
 };
 
 struct StartForecastSettings {
-  // The rate at which jobs are begun is read over this time.
+  // The time over which the rate of begun jobs is measured.
   Milliseconds window{1'000};
-  // So many jobs of a queue may wait in any case: a queue that was idle has no
-  // rate yet.
+  // The number of waiting jobs of a queue that are accepted at any rate, since
+  // a queue that was idle has no rate yet.
   std::size_t always_taken = 16;
-  // How much of the time that a job can spare it may be expected to wait. The
-  // rest is for a rate that falls.
+  // The share of its spare time that a job may be expected to wait. The rest is
+  // a margin for a falling rate.
   double used_share = 0.5;
-  // When a refused caller should come back, at the earliest and at the latest.
+  // The earliest and latest time after which a refused caller should retry.
   Milliseconds shortest_retry{1'000};
   Milliseconds longest_retry{4'000};
 };
 
-// Predicts how long a new job of a queue waits until it is begun, from how many
-// wait before it and how many a second are begun. Answers a rush of more jobs
-// than can be begun: a job that could no longer be in time behind those that
-// wait is refused at once. Whatever limits the rate, the leader's time or the
-// workers' room, shows in it. Pure.
+// Predicts how long a new job of a queue waits until it begins, from how many
+// jobs wait before it and how many begin a second. Under more load than can be
+// started, a job that could not be in time behind the waiting ones is refused
+// at once. Whatever limits the rate, the leader's processor time or the
+// workers' room, is reflected in it. Pure.
 class StartForecast {
  public:
   explicit StartForecast(StartForecastSettings settings = {})
       : settings(settings) {}
 
-  // Takes in that a job of the queue has been begun.
+  // Records that a job of the queue has begun.
   void NoteBegun(const QueueName& queue, SteadyTime now);
-  // Takes in that a job of the queue was taken; it counts as waiting until the
-  // next NoteWaiting.
+  // Records that a job of the queue was accepted. It counts as waiting until
+  // the next NoteWaiting.
   void NoteTaken(const QueueName& queue);
-  // Takes in what waits now.
+  // Replaces the numbers of waiting jobs.
   void NoteWaiting(const std::map<QueueName, QueueWaiting>& waiting);
 
-  // True if one more job of the queue, which can spare this much time, would
-  // begin too late. One that is late already is taken while next to nothing
-  // waits.
+  // Returns true if one more job of the queue, with this much time to spare,
+  // would begin too late. A job that is already late is accepted while almost
+  // none wait.
   bool IsTooLate(const QueueName& queue, Milliseconds to_spare, SteadyTime now);
 
-  // When a caller who is refused now should come back. Each gets a turn of its
-  // own, as far apart as jobs are begun, so that they don't come all at once.
+  // Returns when a caller that is refused now should retry. Callers get
+  // separate times, spaced as jobs begin, so that they don't return all at
+  // once.
   Milliseconds RetryAfter(const QueueName& queue, SteadyTime now);
 
  private:
   struct Queue {
-    // When its jobs were begun, over the window.
+    // When the queue's jobs began, within the window.
     std::deque<SteadyTime> begun;
     QueueWaiting waiting;
-    // When the last of the refused callers was told to come back.
+    // The latest retry time that was given to a refused caller.
     SteadyTime last_return{};
   };
 
   void DropOld(Queue& queue, SteadyTime now) const;
-  // The jobs a second that were begun of late, 1 at least.
+  // Returns the number of jobs that began a second recently, at least 1.
   double RateOf(Queue& queue, SteadyTime now) const;
 
   StartForecastSettings settings;
