--- a/tests/libraries/scheduler/admission_test.cc
+++ b/tests/libraries/scheduler/admission_test.cc
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-// A leader of 1,100 workers took every job of a rush: of 3,963 jobs none was
-// refused, half waited over 1.6 s for their first start and one in twenty over
-// 16 s, and of what was asked 0.09 was served. What had come lay in its sockets
-// for 550 ms, so that heartbeats were missed, sound workers passed for silent
-// and 600 starts at once counted as unanswered.
+// Guards against a leader that accepts every job under overload. A leader of
+// 1,100 workers accepted all of 3,963 jobs: half waited over 1.6 s for their
+// first start, one in twenty over 16 s, and only 0.09 of the requests were
+// served. Received messages lay unread in its sockets for 550 ms, so heartbeats
+// were missed, healthy workers counted as silent, and 600 starts at once
+// counted as unanswered.
 #include "libraries/scheduler/admission.h"
 
 #include <gtest/gtest.h>
@@ -15,13 +16,13 @@
 
 constexpr Milliseconds kTick{20};
 
-// An event loop that does a fixed amount of work a second. A job that is taken
-// costs its share, one that is refused a twentieth of it.
+// An event loop that does a fixed amount of work a second. An accepted job
+// costs one unit, a refused one a twentieth of it.
 struct Loop {
-  // Jobs that it can carry in a second.
+  // The number of accepted jobs that it can process in a second.
   double capacity = 100;
   double refusal_cost = 0.05;
-  // Jobs' worth of work that waits.
+  // The work that waits, in accepted jobs.
   double queue = 0;
   Milliseconds worst_lateness{0};
   double taken = 0;
@@ -34,7 +35,7 @@
         static_cast<std::int64_t>(this->queue / this->capacity * kSecond));
   }
 
-  // Lets jobs come at a multiple of the capacity for a while.
+  // Submits jobs at a multiple of the capacity for a while.
   void Run(double load, Milliseconds time) {
     constexpr double kSecond = 1'000;
     double due = 0;
@@ -58,8 +59,8 @@
   EXPECT_EQ(loop.refused, 0);
 }
 
-// At twice and ten times the load the leader does about as much as at its best,
-// and stays in time for its heartbeats and its workers' answers.
+// At two to ten times its capacity the leader accepts about as many jobs as at
+// its best, and stays in time for its heartbeats and its workers' answers.
 TEST(AdmissionTest, GoodputHoldsUnderOverload) {
   Loop best;
   best.Run(1, Milliseconds(30'000));
@@ -67,14 +68,14 @@
     Loop loop;
     loop.Run(load, Milliseconds(30'000));
     RecordProperty("taken", static_cast<int>(loop.taken));
-    // What a refusal costs can't be won back: a twentieth of each.
+    // The cost of refusals, a twentieth of a job each, is unavoidable.
     const double left = 1 - loop.refusal_cost * (load - 1);
     EXPECT_GE(loop.taken, 0.8 * left * best.taken) << load;
     EXPECT_LT(loop.worst_lateness, Milliseconds(400)) << load;
   }
 }
 
-// Once the rush is over jobs are taken again.
+// Once the load spike is over, every job is accepted again.
 TEST(AdmissionTest, ItTakesEveryJobAgainAfterARush) {
   Loop loop;
   loop.Run(10, Milliseconds(5'000));
--- a/tests/libraries/scheduler/arrival_rate_test.cc
+++ b/tests/libraries/scheduler/arrival_rate_test.cc
@@ -10,7 +10,7 @@
 constexpr ForecastSettings kLooksBack{.horizon = Milliseconds(0)};
 constexpr ForecastSettings kLooksAhead;
 
-// Jobs arrive each `gap` from `from` until `to`.
+// Adds an arrival every `gap` ms from `from` until `to`.
 void Arrive(ArrivalRate& rate, int from, int to, int gap) {
   for (int at = from; at < to; at += gap) {
     rate.Add(kWork, SteadyTime(Milliseconds(at)));
--- a/tests/libraries/scheduler/backlog_test.cc
+++ b/tests/libraries/scheduler/backlog_test.cc
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
-// A leader of 1,100 workers in a rush of three times what it could start took
-// every job, and gave its starts to the newest. 14 s after the last job had
-// come, 171 to 3,965 of them had not begun, though half of the workers were
-// free.
+// Guards against a backlog that outlasts a load spike. A leader of 1,100
+// workers received three times the jobs that it could start, accepted all of
+// them, and started the newest first. 14 s after the last job had arrived, 171
+// to 3,965 of them had not begun, although half of the workers were free.
 #include "libraries/scheduler/backlog.h"
 
 #include <gtest/gtest.h>
@@ -12,14 +12,14 @@
 
 class BacklogTest : public testing::Test {
  protected:
-  // Lets so many jobs finish a second.
+  // Finishes `a_second` jobs in each of `seconds` seconds.
   void Finish(int a_second, int seconds) {
     for (int number = 0; number < a_second * seconds; ++number) {
       this->now += Milliseconds(1'000) / a_second;
       this->backlog.NoteFinished(this->now);
     }
   }
-  // True if a queue is refused that is the only one with jobs that wait.
+  // Returns true if the only queue with waiting jobs is refused.
   bool IsFull(std::size_t waiting) const {
     return this->backlog.IsFull(
         {.of_queue = waiting, .of_all = waiting, .queues = 1});
@@ -38,14 +38,15 @@
       2'500, 100);
 }
 
-// A leader that has not been busy yet refuses nobody in the first seconds.
+// A leader that has not been busy yet refuses nobody in the first seconds of a
+// load spike.
 TEST_F(BacklogTest, SomeAreTakenWhileTheRateIsNotKnown) {
   EXPECT_FALSE(this->IsFull(499));
   EXPECT_TRUE(this->IsFull(500));
   EXPECT_EQ(this->backlog.RetryAfter({.of_all = 500}), Milliseconds(4'000));
 }
 
-// Nor does a calm time make it forget at once what it can do.
+// The best rate must not drop at once when fewer jobs arrive.
 TEST_F(BacklogTest, TheBestRateIsForgottenSlowly) {
   this->Finish(100, 4);
   this->Finish(5, 10);
--- a/tests/libraries/scheduler/long_rush_test.cc
+++ b/tests/libraries/scheduler/long_rush_test.cc
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// In a rush of several times what a leader can start, jobs that could not be in
-// time any more filled the backlog and shut the door on callers who could.
+// Guards against a backlog of stale jobs: under several times the load that a
+// leader can start, jobs that could no longer be in time filled the backlog,
+// and callers whose jobs could be in time were refused.
 #include <gtest/gtest.h>
 
 #include "tests/libraries/scheduler/rush_replay.h"
@@ -13,7 +14,8 @@
   double taken = 0;
 };
 
-// The shares of all calls of a rush of three times what a whole leader can do.
+// Returns the shares of all calls, at three times the load that a leader with
+// all its processor time can serve.
 Shares ReplayWith(double processor_share) {
   RushReplay replay({.processor_share = processor_share,
                      .rush_calls_a_second = 330,
@@ -39,7 +41,7 @@
   for (const double share : {0.9, 0.75}) {
     EXPECT_GE(ReplayWith(share).in_time, share * whole.in_time) << share;
   }
-  // Refusals cost the same however little can be served.
+  // The cost of refusals does not shrink with the processor time.
   for (const double share : {0.55, 0.4}) {
     EXPECT_GE(ReplayWith(share).in_time, share * whole.in_time * 0.8) << share;
   }
--- a/tests/libraries/scheduler/loop_pacer_test.cc
+++ b/tests/libraries/scheduler/loop_pacer_test.cc
@@ -15,7 +15,7 @@
   EXPECT_EQ(pacer.PassPause(), Milliseconds(10));
 }
 
-// Whatever a pass takes, passes use a quarter of the loop at most until the
+// However long a pass takes, passes use at most a quarter of the loop until the
 // longest pause is reached.
 TEST(LoopPacerTest, PassesUseAQuarterOfTheLoop) {
   LoopPacer pacer;
@@ -36,7 +36,8 @@
   EXPECT_EQ(pacer.PassPause(), Milliseconds(10));
 }
 
-// The later the loop the larger the lots, within bounds that a step can wait.
+// The later the loop, the larger the batches, up to the longest delay that a
+// step can tolerate.
 TEST(LoopPacerTest, ALateLeaderGathersMore) {
   LoopPacer pacer;
   EXPECT_EQ(pacer.ReportPause(), Milliseconds(15));
--- a/tests/libraries/scheduler/near_data_test.cc
+++ b/tests/libraries/scheduler/near_data_test.cc
@@ -9,7 +9,8 @@
 constexpr Milliseconds kNearRun{800};
 constexpr std::int64_t kWholeWorker = 8'000;
 
-// One worker in each of two racks; the one of r1 is full at first.
+// A fleet with one worker in each of two racks; the worker in r1 is full at
+// first.
 class NearDataTest : public testing::Test {
  protected:
   NearDataTest() : fleet(1) {
@@ -34,10 +35,10 @@
   FakeFleet fleet;
 };
 
-// A third of the jobs named the rack of their data. Whenever nothing was free
-// there they started elsewhere at once and took three times as long, so that a
-// fleet that was nearly full had no room left at all: 2,582 of 15,970 runs were
-// far from their data, and half of the jobs were late.
+// Guards against starting a task far from its data as soon as there is no room
+// near it. Such a run took three times as long, so a nearly full fleet had no
+// room left. With the rack of their data named by a third of the jobs, 2,582 of
+// 15,970 runs were far from their data and half of the jobs were late.
 TEST_F(NearDataTest, ATaskWaitsForRoomNearItsDataThatIsFreeSoon) {
   this->SubmitNear("r1");
   this->fleet.PassTime(Milliseconds(200));
@@ -53,7 +54,7 @@
                                 .need = {.millicores = kWholeWorker},
                                 .estimate = Milliseconds(60'000),
                                 .data_rack = Rack("r1")});
-  // The second job waits for the first one's room and keeps it.
+  // The second job waits for the room of the first one and then keeps it.
   this->fleet.PassTime(Milliseconds(600));
   ASSERT_EQ(this->fleet.WorkersOf("second"), std::vector<std::string>{"w0"});
   this->SubmitNear("r1");
--- a/tests/libraries/scheduler/pace_control_test.cc
+++ b/tests/libraries/scheduler/pace_control_test.cc
@@ -47,7 +47,7 @@
   EXPECT_EQ(this->pace.percent, 35U);
   EXPECT_TRUE(this->Report(500, 1'000));
   EXPECT_EQ(this->pace.percent, 45U);
-  // 50 was too fast: it goes on in small steps.
+  // A pace of 50 percent was too fast, so the pace now rises in small steps.
   EXPECT_TRUE(this->Report(500, 1'000));
   EXPECT_EQ(this->pace.percent, 48U);
   EXPECT_EQ(this->control.FirstPercent("site", "batch"), 48U);
--- a/tests/libraries/scheduler/rush_replay.cc
+++ b/tests/libraries/scheduler/rush_replay.cc
@@ -13,8 +13,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// What work costs a leader that has the processor time which it needs in the
-// rush, as measured on a real one with 350 workers.
+// The costs of the leader's work when it has all the processor time that it
+// needs under peak load, as measured on a real leader with 350 workers.
 constexpr microseconds kPassCost{1'500};
 constexpr microseconds kStartCost{250};
 constexpr microseconds kAnswerCost{100};
@@ -33,7 +33,7 @@
 
 constexpr std::size_t kWorkers = 300;
 constexpr std::uint32_t kWidth = 8;
-// Tasks of a step that stand on one worker.
+// The number of tasks of a step that run on one worker.
 constexpr std::uint32_t kNeighbours = 2;
 constexpr milliseconds kShortestRun{700};
 constexpr milliseconds kLongestRun{1'300};
@@ -101,7 +101,7 @@
   }
 }
 
-// Measures how late the loop reads what has come.
+// Measures how late the loop reads received messages.
 void RushReplay::Probe(Instant due) {
   this->admission.NoteLateness(
       std::chrono::duration_cast<Milliseconds>(this->now - due));
@@ -127,7 +127,7 @@
   }
 }
 
-// A caller that is refused comes back when it was told to.
+// Submits the job of a call. A refused caller retries when it was told to.
 void RushReplay::Submit(const JobId& id) {
   Call& call = this->calls.at(id);
   jobs::JobSpec spec{.text = "text"};
@@ -154,7 +154,8 @@
                       this->refused_callers.WaitedOf(id, this->Now())});
 }
 
-// When the caller should come back, or nothing if the door lets the job in.
+// Returns when the caller should retry, or nothing if admission accepts the
+// job.
 std::optional<Milliseconds> RushReplay::RefuseAtDoor(
     const Call& call,
     const jobs::JobSpec& spec) {
@@ -302,7 +303,8 @@
            [this, worker, task] { this->End(worker, task); });
 }
 
-// The worker tells at once, unless the leader has just heard of it.
+// Reports the end of a run to the leader at once, or after the report pause if
+// the worker has just reported.
 void RushReplay::End(std::size_t number, const jobs::TaskId& task) {
   Worker& worker = this->workers[number];
   worker.ended.push_back({task, RunNumber(1), jobs::RunOutcome::kDone});
--- a/tests/libraries/scheduler/rush_replay.h
+++ b/tests/libraries/scheduler/rush_replay.h
@@ -27,35 +27,36 @@
 namespace sumac::scheduler {
 
 struct RushSettings {
-  // The share of the processor time that keeps up with a rush of 110 calls a
-  // second.
+  // The available processor time as a share of the time that is needed for a
+  // load of 110 calls a second.
   double processor_share = 1.0;
   double rush_calls_a_second = 110;
   std::chrono::seconds rush{10};
-  // Jobs are refused for what waits before them, too.
+  // Whether jobs are also refused because of the jobs that wait before them.
   bool has_door = false;
 };
 
-// Replays a rush against the decisions of a leader that has too little
-// processor time: which jobs it takes, how many starts it orders and for which
-// jobs, and how long it gathers work. The leader is one event loop that does
-// what has come in turn; each kind of work costs what it cost a real one, more
-// on a slower processor. Workers have room for everything. A fake clock; the
-// same figures in every run.
+// Simulates a load spike (a rush) on a leader that has too little processor
+// time, with the leader's own decisions: which jobs it accepts, how many starts
+// it orders and for which jobs, and how long it collects work. The leader is
+// one event loop that processes what it receives in order. Each kind of work
+// has the cost measured on a real leader, more on a slower processor. Workers
+// have room for everything. Time is simulated, and every run gives the same
+// figures.
 class RushReplay {
  public:
   explicit RushReplay(RushSettings settings);
 
-  // Lets ten calm seconds, the rush and the time until all is done pass.
+  // Simulates ten calm seconds, the rush, and the time until all is done.
   void Run();
 
-  // The share of the queue's jobs that were done in time, counted from when
-  // their callers first sent them.
+  // Returns the share of the queue's jobs that were done in time, counted from
+  // when their callers first sent them.
   double InTime(const QueueName& queue) const;
-  // How many answers said that a job was not taken.
+  // Returns the number of answers that refused a job.
   std::uint64_t refusals() const { return this->refused; }
 
-  // The share of all calls that were answered with success.
+  // Returns the share of all calls whose job was accepted.
   double Taken() const;
 
   static const QueueName kUrgent;
--- a/tests/libraries/scheduler/rush_replay_test.cc
+++ b/tests/libraries/scheduler/rush_replay_test.cc
@@ -1,15 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
-// Two deployments of 350 workers earned 0.74 and 0.55 of what was asked (0.92
-// and 0.84 with all their processor time) when their controllers had a quarter
-// less of it, and one class of jobs 0.21. In the rush the leader's loop was 100
-// to 200 ms late, and its lines told three reasons. "refused_jobs 129,
-// waiting_jobs 3": callers were refused for the loop's lateness while nothing
-// waited for a start; they came back a second or two later, were taken, and
-// cost as much as if they had been in time. "starts in_time 922, late 769":
-// half of the scarce starts went to jobs that could not be in time any more,
-// since priority counted more. And 830 starts a second were all it did at 100
-// passes, with a report for each end and a commit for each report, whose costs
-// hardly depend on how much each of them carries.
+// Guards against a loss of service larger than the loss of processor time. With
+// three quarters of the processor time that they need, the controllers of two
+// deployments of 350 workers earned 0.74 and 0.55 of the requested worth (0.92
+// and 0.84 with all of it), and one class of jobs earned 0.21. Under peak load
+// the leader's loop was 100 to 200 ms late, for three reasons. Callers were
+// refused for the loop's lateness while almost no job waited for a start
+// ("refused_jobs 129, waiting_jobs 3"); they retried a second or two later,
+// were accepted, and cost as much as if they had been in time. Since priority
+// weighed more than lateness, half of the scarce starts went to jobs that could
+// no longer be in time ("starts in_time 922, late 769"). And the leader managed
+// only 830 starts a second in 100 planning passes, with one report for each end
+// and one commit for each report, although their costs hardly depend on how
+// much each of them carries.
 #include "tests/libraries/scheduler/rush_replay.h"
 
 #include <gtest/gtest.h>
@@ -33,8 +35,9 @@
           .refusals = replay.refusals()};
 }
 
-// Service goes down no faster than processor time does, the urgent queue's
-// least, and a leader that only has to choose refuses nobody.
+// The share of jobs in time falls no faster than the processor time, the urgent
+// queue's share falls least, and a leader that still has enough time to choose
+// among all jobs refuses nobody.
 TEST(RushReplayTest, ServiceFallsNoFasterThanProcessorTime) {
   const Shares whole = ReplayWith(1.0);
   EXPECT_GT(whole.both(), 0.97);
--- a/tests/libraries/scheduler/start_forecast_test.cc
+++ b/tests/libraries/scheduler/start_forecast_test.cc
@@ -12,7 +12,7 @@
 
 class StartForecastTest : public testing::Test {
  protected:
-  // Lets so many jobs begin in the last second.
+  // Records `count` jobs as begun now.
   void Begin(int count) {
     for (int number = 0; number < count; ++number) {
       this->forecast.NoteBegun(kQueue, this->now);
@@ -54,7 +54,8 @@
   EXPECT_FALSE(this->IsTooLate(kToSpare));
 }
 
-// Late jobs that wait shut the door on nobody but those who are late, too.
+// Waiting jobs that are late may cause the refusal only of jobs that are late,
+// too.
 TEST_F(StartForecastTest, LateJobsStandOnlyInTheWayOfLateOnes) {
   this->Begin(100);
   this->Wait(10, 1'000);
--- a/tests/libraries/scheduler/urgency_test.cc
+++ b/tests/libraries/scheduler/urgency_test.cc
@@ -8,8 +8,8 @@
 
 constexpr WallTime kNow{Milliseconds(1'000'000)};
 
-// A job of one task that takes a second and may take 2,200 ms, which came
-// `age` ago.
+// The urgency of a job with one task that takes a second; the job has 2,200 ms
+// to be done and arrived `age` ago.
 Urgency UrgencyAfter(Milliseconds age,
                      std::uint32_t priority = 0,
                      bool has_begun = false) {
--- a/tests/libraries/scheduler/waiting_cause_test.cc
+++ b/tests/libraries/scheduler/waiting_cause_test.cc
@@ -12,8 +12,8 @@
 // Time for a few reviews.
 constexpr Milliseconds kReviews{2'500};
 
-// What the last review says of the first step of a job; nothing if it does not
-// wait.
+// Returns the cause that the last review found for the first step of a job;
+// null if the step does not wait.
 const WaitingCause* CauseOf(const FakeFleet& fleet, const std::string& job) {
   for (const auto& [step, waiting] : fleet.scheduler->waiting_table().steps()) {
     if (step.job == JobId(job)) {
--- a/tests/libraries/scheduler/waiting_jobs_test.cc
+++ b/tests/libraries/scheduler/waiting_jobs_test.cc
@@ -57,8 +57,8 @@
   WallTime wall_now{Milliseconds(1'000'000)};
 };
 
-// 136 long-running jobs that have their places beside a rush of short ones: a
-// pass looks at the short ones alone.
+// 136 long-running jobs are placed while a load spike of short jobs arrives. A
+// planning pass must consider the short jobs alone.
 TEST_F(WaitingJobsTest, ARushIsOrderedWithoutWhatHasItsPlace) {
   for (int number = 0; number < 136; ++number) {
     this->Submit(StrCat("lasts", number),
--- a/tests/libraries/scheduler/waiting_table_test.cc
+++ b/tests/libraries/scheduler/waiting_table_test.cc
@@ -8,7 +8,7 @@
 
 constexpr std::uint32_t kTasks = 4;
 
-// One step, reviewed again and again.
+// Reviews one step repeatedly.
 class WaitingTableTest : public testing::Test {
  protected:
   WaitingNews Review(Milliseconds after) {
--- a/tests/libraries/scheduler/worker_health_test.cc
+++ b/tests/libraries/scheduler/worker_health_test.cc
@@ -67,7 +67,8 @@
   EXPECT_TRUE(health.IsQuarantined(kWorker, kStart + Milliseconds(1'900)));
   SteadyTime now = kStart + Milliseconds(2'000);
   EXPECT_FALSE(health.IsQuarantined(kWorker, now));
-  // One more failure is enough now, and it lasts longer.
+  // After a quarantine a single failure is enough, and the next quarantine is
+  // longer.
   health.NoteFailure(kWorker, JobId("c"), now);
   EXPECT_TRUE(health.IsQuarantined(kWorker, now + Milliseconds(3'900)));
   now += Milliseconds(4'000);
