--- a/libraries/scheduler/placement.h
+++ b/libraries/scheduler/placement.h
@@ -51,7 +51,7 @@
 
   // Begins a planning pass: determines which workers accept work at `now`. The
   // sessions must outlive the pass.
-  void BeginTurn(Sessions& sessions, SteadyTime now);
+  void BeginPass(Sessions& sessions, SteadyTime now);
 
   // Returns false only if no worker of the service can have room for `need`.
   // Checks no single worker, since most waiting tasks find no room anywhere.
@@ -65,7 +65,7 @@
   static bool IsNear(const jobs::StepSpec& step, const jobs::Worker& worker);
   // Returns true if some healthy worker near the task's data will have room for
   // the task once the worker's present runs have ended.
-  bool MayBeNear(const PlacementRequest& request) const;
+  bool CanRunNearData(const PlacementRequest& request) const;
 
   // The racks that have workers of the service, and the service's workers that
   // accept work.
@@ -74,7 +74,8 @@
       const ServiceName& service) const;
   // Returns the workers that have room for the task, regardless of any
   // placement policy, those with the most room first.
-  std::vector<WorkerId> ListRoom(const PlacementRequest& request) const;
+  std::vector<WorkerId> ListWorkersWithRoom(
+      const PlacementRequest& request) const;
 
   // Returns true if the worker can run the task now, regardless of any
   // placement policy.
@@ -85,9 +86,11 @@
   bool IsGood(const WorkerSession& session) const;
 
   // Returns true if one more worker of the service may be used for a trial.
-  bool HasTrialPlace(const ServiceName& service) const;
+  bool HasTrialCapacity(const ServiceName& service) const;
   // Records that a trial began on a worker of the service in this pass.
-  void NoteTrial(const ServiceName& service) { ++this->PoolOf(service).trials; }
+  void RecordTrial(const ServiceName& service) {
+    ++this->PoolOf(service).trials;
+  }
 
   // Returns the resources that a task of the step is counted with on its
   // worker. Processor time of fillers is not counted.
@@ -102,7 +105,7 @@
     std::size_t trials = 0;
     // For each resource, the most that any one worker had free at the start of
     // the pass.
-    jobs::Resources most_room;
+    jobs::Resources largest_room;
     // Needs for which this pass found no room on any worker. Free room only
     // shrinks within a pass, so an equal or larger need finds none either.
     mutable std::vector<jobs::Resources> failed_needs;
@@ -113,7 +116,7 @@
   Pool& PoolOf(WorkerSession& session);
   // Returns null for a service that has had no worker yet.
   const Pool* FindPool(const ServiceName& service) const;
-  void NoteFailure(const PlacementRequest& request) const;
+  void RecordFailedNeed(const PlacementRequest& request) const;
 
   const WorkerHealth& health;
   SteadyTime now{};
--- a/libraries/scheduler/placement_advice.h
+++ b/libraries/scheduler/placement_advice.h
@@ -24,7 +24,7 @@
 class PlacementAdvice {
  public:
   // Begins a planning pass, in which no question is wanted yet.
-  void BeginTurn() { this->wanted.reset(); }
+  void BeginPass() { this->wanted.reset(); }
 
   // Returns true while a question could be asked and none is wanted yet in this
   // pass.
--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -566,8 +566,8 @@
   const jobs::PlacementPolicy* policy = this->PolicyOf(*candidate.job);
   if (policy != nullptr && this->advice.MayWant(now)) {
     const PlacementRequest request{.job = candidate.job, .task = task};
-    this->advice.Want(task.step, this->placement.ListRoom(request), *policy,
-                      now);
+    this->advice.Want(task.step, this->placement.ListWorkersWithRoom(request),
+                      *policy, now);
   }
 }
 
@@ -741,12 +741,12 @@
   this->starts_left = allowed;
   SchedulerOutput output;
   this->LapseSilentWorkers(now);
-  this->placement.BeginTurn(this->workers, now);
+  this->placement.BeginPass(this->workers, now);
   this->ForgetGoneWorkers(now, output);
   this->EvacuateCordoned(now);
   this->GiveUpStragglers(now);
   this->StopUnwanted(now, output);
-  this->advice.BeginTurn();
+  this->advice.BeginPass();
   this->StartDue(now, wall_now, output);
   for (PaceOrder& order : Sharing::NextOrders(this->workers, this->epoch)) {
     output.orders.emplace_back(std::move(order));
@@ -1275,7 +1275,7 @@
     this->StartOn(*session, candidate, task, run, now, output);
     if (trial == TrialTurn::kNow) {
       session->BeginTrial(*session->FindRun(task, run));
-      this->placement.NoteTrial(job.service);
+      this->placement.RecordTrial(job.service);
       this->notes.Add("run-on-trial", task, run, session->worker().id,
                       "its worker crashed before");
     }
@@ -1305,7 +1305,7 @@
   const bool has_waited =
       now - wanted_at >= (is_repeated ? this->settings.longest_repeated_wait
                                       : this->settings.longest_trial_wait);
-  if (this->placement.HasTrialPlace(job.service) &&
+  if (this->placement.HasTrialCapacity(job.service) &&
       (is_repeated || !has_waited)) {
     return TrialTurn::kNow;
   }
@@ -1325,7 +1325,7 @@
   }
   // A far run holds its room for a multiple of the time, so that under load
   // every one of them makes others wait, too.
-  return this->placement.MayBeNear({.job = &job, .task = task}) &&
+  return this->placement.CanRunNearData({.job = &job, .task = task}) &&
          this->near_wait.ShouldWait(
              task.step, this->run_times.Expect(job.queue, step), now);
 }
