--- a/libraries/scheduler/placement_advice.cc
+++ b/libraries/scheduler/placement_advice.cc
@@ -9,7 +9,7 @@
 
 // The maximum number of workers in one question: about as many as the allowed
 // time of a job is calculated with.
-constexpr std::size_t kMostInQuestion = 30;
+constexpr std::size_t kMaxWorkersInQuestion = 30;
 // The pause after a question that got no answer.
 constexpr Milliseconds kPauseAfterFailure{300};
 // Subtracted from a ticket's validity, for the time that its answer took and
@@ -31,17 +31,17 @@
              : &ticket->second.text;
 }
 
-void PlacementAdvice::Want(const jobs::StepId& step,
-                           const std::vector<WorkerId>& workers,
-                           const jobs::PlacementPolicy& policy,
-                           SteadyTime now) {
-  if (!this->MayWant(now)) {
+void PlacementAdvice::RequestQuestion(const jobs::StepId& step,
+                                      const std::vector<WorkerId>& workers,
+                                      const jobs::PlacementPolicy& policy,
+                                      SteadyTime now) {
+  if (!this->CanRequestQuestion(now)) {
     return;
   }
   const StepAdvice& advice = this->steps[step];
   AdviceQuestion question{.step = step, .declared_validity = policy.validity};
   for (const WorkerId& worker : workers) {
-    if (question.workers.size() < kMostInQuestion &&
+    if (question.workers.size() < kMaxWorkersInQuestion &&
         !advice.refused.contains(worker) &&
         this->FindTicket(step, worker, now) == nullptr) {
       question.workers.push_back(worker);
--- a/libraries/scheduler/placement_advice.h
+++ b/libraries/scheduler/placement_advice.h
@@ -28,7 +28,7 @@
 
   // Returns true while a question could be asked and none is wanted yet in this
   // pass.
-  bool MayWant(SteadyTime now) const {
+  bool CanRequestQuestion(SteadyTime now) const {
     return !this->is_open && !this->wanted && now >= this->pause_until;
   }
 
@@ -42,10 +42,10 @@
   // workers known to be admitted. `workers` have room for them, the best first.
   // `policy` is the queue's. Call it for the steps in the order of their
   // urgency: the first step with workers to ask about determines the question.
-  void Want(const jobs::StepId& step,
-            const std::vector<WorkerId>& workers,
-            const jobs::PlacementPolicy& policy,
-            SteadyTime now);
+  void RequestQuestion(const jobs::StepId& step,
+                       const std::vector<WorkerId>& workers,
+                       const jobs::PlacementPolicy& policy,
+                       SteadyTime now);
 
   // Returns the next question if none is open. The question counts as open
   // until its answer is handled.
--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -564,10 +564,10 @@
                              const jobs::TaskId& task,
                              SteadyTime now) {
   const jobs::PlacementPolicy* policy = this->PolicyOf(*candidate.job);
-  if (policy != nullptr && this->advice.MayWant(now)) {
+  if (policy != nullptr && this->advice.CanRequestQuestion(now)) {
     const PlacementRequest request{.job = candidate.job, .task = task};
-    this->advice.Want(task.step, this->placement.ListWorkersWithRoom(request),
-                      *policy, now);
+    this->advice.RequestQuestion(
+        task.step, this->placement.ListWorkersWithRoom(request), *policy, now);
   }
 }
 
