--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -228,9 +228,9 @@
       }
       if (end.cause == EndCause::kFailed) {
         memory.failed_on.insert(session.worker().id);
-        this->health.NoteFailure(session.worker().id, end.task.step.job, now);
+        this->health.RecordFailure(session.worker().id, end.task.step.job, now);
       } else if (end.cause == EndCause::kDone) {
-        this->health.NoteDone(session.worker().id, now);
+        this->health.RecordSuccess(session.worker().id, now);
       }
       if (is_final && !step->is_long_running) {
         result.ends.push_back(jobs::RunEnd{end.task, end.run,
@@ -592,7 +592,7 @@
     this->TakeCrash(found->second, now);
   }
   this->ReleaseAll(found->second, std::string(TextOf(end)));
-  this->health.Forget(worker);
+  this->health.RemoveRecord(worker);
   this->ForgetLife(found->second.worker());
   this->workers.erase(found);
   this->needs_plan = true;
--- a/libraries/scheduler/stragglers.cc
+++ b/libraries/scheduler/stragglers.cc
@@ -15,7 +15,7 @@
   std::vector<Straggler> found;
   for (auto& [id, session] : sessions) {
     if (session.is_answering()) {
-      this->FindOn(session, now, found);
+      this->FindOnWorker(session, now, found);
     }
   }
   return found;
@@ -50,9 +50,9 @@
                       : this->run_times.Expect(job->queue, *step)};
 }
 
-void Stragglers::FindOn(WorkerSession& session,
-                        SteadyTime now,
-                        std::vector<Straggler>& found) {
+void Stragglers::FindOnWorker(WorkerSession& session,
+                              SteadyTime now,
+                              std::vector<Straggler>& found) {
   struct Suspect {
     Run* run;
     RunProgress progress;
@@ -68,10 +68,10 @@
     if (!progress) {
       continue;
     }
-    const RunPace pace = JudgeProgress(*progress);
+    const RunPace pace = ClassifyProgress(*progress);
     normal += static_cast<std::size_t>(pace == RunPace::kNormal);
     if (pace == RunPace::kStalled) {
-      this->health.NoteStalled(worker, now);
+      this->health.RecordStall(worker, now);
     } else if (pace == RunPace::kSlow || pace == RunPace::kVerySlow) {
       // The submitter's estimate alone is too unreliable.
       const jobs::Job* job = this->state.FindJob(run.task.step.job);
@@ -89,7 +89,7 @@
   // indicate a slow worker.
   is_slow = is_slow || (slow_jobs.size() > 1 && suspects.size() > normal);
   if (is_slow) {
-    this->health.NoteSlow(worker, now);
+    this->health.RecordSlowness(worker, now);
   }
   for (const auto& [run, progress, pace] : suspects) {
     if ((pace == RunPace::kStalled || is_slow) &&
--- a/libraries/scheduler/worker_health.cc
+++ b/libraries/scheduler/worker_health.cc
@@ -11,8 +11,8 @@
 // A worker is considered bad if it failed tasks of this many jobs that failed
 // on no other worker, and if these failures exceed this share of its runs (in
 // thousandths).
-constexpr std::size_t kFailedJobsOfTheBad = 2;
-constexpr std::size_t kFailedPermilleOfTheBad = 300;
+constexpr std::size_t kBadWorkerFailedJobs = 2;
+constexpr std::size_t kBadWorkerFailurePermille = 300;
 constexpr std::size_t kPermille = 1'000;
 // The first quarantine of a bad worker lasts the shortest time. Each further
 // one lasts twice as long as the one before, up to the longest time.
@@ -21,10 +21,10 @@
 // How long a worker is considered slow after it was last seen to be slow.
 constexpr Milliseconds kSlowTime{2'500};
 // The number of jobs whose failures are remembered; bounds memory.
-constexpr std::size_t kMostJobs = 2'000;
+constexpr std::size_t kMaxJobs = 2'000;
 
 // Runs younger than this are not judged.
-constexpr Milliseconds kShortestJudged{500};
+constexpr Milliseconds kMinJudgedTime{500};
 // A run is stalled if it made no progress for this long and for a quarter of
 // its expected duration. Workers report once a second and round progress to
 // hundredths.
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-RunPace JudgeProgress(const RunProgress& progress) {
+RunPace ClassifyProgress(const RunProgress& progress) {
   if (progress.percent >= kWholePercent ||
       progress.expected <= Milliseconds(0)) {
     return RunPace::kUnknown;
@@ -49,7 +49,7 @@
       std::max(kShortestStall, progress.expected / kStallDivisor)) {
     return RunPace::kStalled;
   }
-  if (progress.elapsed < kShortestJudged) {
+  if (progress.elapsed < kMinJudgedTime) {
     return RunPace::kUnknown;
   }
   // A run without any reported progress counts as half a hundredth done.
@@ -81,11 +81,11 @@
 void WorkerHealth::Quarantine(Record& record, SteadyTime now) {
   const Milliseconds time = std::min(
       kLongestQuarantine, kShortestQuarantine * (1 << record.quarantines));
-  constexpr int kMostDoublings = 8;
-  record.quarantines = std::min(record.quarantines + 1, kMostDoublings);
+  constexpr int kMaxDoublings = 8;
+  record.quarantines = std::min(record.quarantines + 1, kMaxDoublings);
   record.quarantined_until = now + time;
-  this->latest_set_aside =
-      std::max(this->latest_set_aside, record.quarantined_until);
+  this->last_exclusion_ends_at =
+      std::max(this->last_exclusion_ends_at, record.quarantined_until);
   record.failures.clear();
   record.successes.clear();
 }
@@ -103,13 +103,13 @@
     }
   }
   // After a quarantine, failures of one further job are enough.
-  const std::size_t enough = record.quarantines > 0 ? 1 : kFailedJobsOfTheBad;
+  const std::size_t enough = record.quarantines > 0 ? 1 : kBadWorkerFailedJobs;
   const std::size_t runs = failures + record.successes.size();
   return jobs.size() >= enough &&
-         failures * kPermille > runs * kFailedPermilleOfTheBad;
+         failures * kPermille > runs * kBadWorkerFailurePermille;
 }
 
-void WorkerHealth::NoteDone(const WorkerId& worker, SteadyTime now) {
+void WorkerHealth::RecordSuccess(const WorkerId& worker, SteadyTime now) {
   Record& record = this->workers[worker];
   this->DropOld(record, now);
   record.successes.push_back(now);
@@ -119,10 +119,10 @@
   }
 }
 
-void WorkerHealth::NoteFailure(const WorkerId& worker,
-                               const JobId& job,
-                               SteadyTime now) {
-  if (this->failed_on.size() >= kMostJobs) {
+void WorkerHealth::RecordFailure(const WorkerId& worker,
+                                 const JobId& job,
+                                 SteadyTime now) {
+  if (this->failed_on.size() >= kMaxJobs) {
     this->failed_on.clear();
   }
   this->failed_on[job].insert(worker);
@@ -134,20 +134,21 @@
   }
 }
 
-void WorkerHealth::NoteStalled(const WorkerId& worker, SteadyTime now) {
+void WorkerHealth::RecordStall(const WorkerId& worker, SteadyTime now) {
   Record& record = this->workers[worker];
   if (now >= record.quarantined_until) {
     this->Quarantine(record, now);
   }
 }
 
-void WorkerHealth::NoteSlow(const WorkerId& worker, SteadyTime now) {
+void WorkerHealth::RecordSlowness(const WorkerId& worker, SteadyTime now) {
   this->workers[worker].slow_until = now + kSlowTime;
-  this->latest_set_aside = std::max(this->latest_set_aside, now + kSlowTime);
+  this->last_exclusion_ends_at =
+      std::max(this->last_exclusion_ends_at, now + kSlowTime);
 }
 
 bool WorkerHealth::IsQuarantined(const WorkerId& worker, SteadyTime now) const {
-  if (!this->MayHaveSetAside(now)) {
+  if (!this->MayHaveExclusions(now)) {
     return false;
   }
   const auto found = this->workers.find(worker);
@@ -155,7 +156,7 @@
 }
 
 bool WorkerHealth::IsSlow(const WorkerId& worker, SteadyTime now) const {
-  if (!this->MayHaveSetAside(now)) {
+  if (!this->MayHaveExclusions(now)) {
     return false;
   }
   const auto found = this->workers.find(worker);
--- a/libraries/scheduler/worker_health.h
+++ b/libraries/scheduler/worker_health.h
@@ -39,7 +39,7 @@
 };
 
 // Classifies a run by its progress.
-RunPace JudgeProgress(const RunProgress& progress);
+RunPace ClassifyProgress(const RunProgress& progress);
 
 // Tracks the health of workers by the outcome and progress of their runs. A
 // worker that fails tasks of several jobs, or on which runs stall, gets no new
@@ -49,13 +49,13 @@
 class WorkerHealth {
  public:
   // Record how a run on the worker ended, or how its progress was judged.
-  void NoteDone(const WorkerId& worker, SteadyTime now);
-  void NoteFailure(const WorkerId& worker, const JobId& job, SteadyTime now);
-  void NoteStalled(const WorkerId& worker, SteadyTime now);
-  void NoteSlow(const WorkerId& worker, SteadyTime now);
+  void RecordSuccess(const WorkerId& worker, SteadyTime now);
+  void RecordFailure(const WorkerId& worker, const JobId& job, SteadyTime now);
+  void RecordStall(const WorkerId& worker, SteadyTime now);
+  void RecordSlowness(const WorkerId& worker, SteadyTime now);
 
   // Removes the record of a worker.
-  void Forget(const WorkerId& worker) { this->workers.erase(worker); }
+  void RemoveRecord(const WorkerId& worker) { this->workers.erase(worker); }
 
   // Returns true while no task should be started on the worker.
   bool IsQuarantined(const WorkerId& worker, SteadyTime now) const;
@@ -64,8 +64,8 @@
 
  private:
   // Returns false only if no worker is quarantined or slow.
-  bool MayHaveSetAside(SteadyTime now) const {
-    return now < this->latest_set_aside;
+  bool MayHaveExclusions(SteadyTime now) const {
+    return now < this->last_exclusion_ends_at;
   }
   struct Failure {
     SteadyTime at;
@@ -87,7 +87,7 @@
 
   // The time from which no worker is quarantined or slow any more, as far as is
   // known now.
-  SteadyTime latest_set_aside{};
+  SteadyTime last_exclusion_ends_at{};
   std::unordered_map<WorkerId, Record> workers;
   // The workers on which tasks of a job failed recently.
   std::map<JobId, std::set<WorkerId>> failed_on;
