--- a/libraries/scheduler/admission.h
+++ b/libraries/scheduler/admission.h
@@ -37,13 +37,13 @@
   // The maximum number of unanswered starts on a leader that is in time, and on
   // one as late as the ranges above allow. A rack that fails leaves some
   // hundred of them unanswered until its silence is detected.
-  std::size_t most_open_starts = 600;
-  std::size_t fewest_open_starts = 16;
+  std::size_t max_open_starts = 600;
+  std::size_t min_open_starts = 16;
   // The maximum number of starts that one planning pass orders: some 25 ms of a
   // third of a core. A pass that ordered a whole backlog of thousands at once
   // would hold memory and connections for all of them before the first answer
   // is read.
-  std::size_t most_starts_of_pass = 250;
+  std::size_t max_starts_per_pass = 250;
   // The number of jobs that a leader that was in time accepts in a row before
   // the share applies, so that a single stall of the loop refuses nobody.
   double burst = 4;
@@ -63,11 +63,11 @@
   explicit Admission(AdmissionSettings settings = {}) : settings(settings) {}
 
   // Records how long a received message waited until the event loop read it.
-  void NoteLateness(Milliseconds late);
+  void RecordLateness(Milliseconds late);
 
   // Returns true if one new job is accepted. The accepted jobs are spread
   // evenly over those that arrive.
-  bool Take();
+  bool AdmitJob();
 
   // Returns how many starts the next planning pass may order while
   // `open_starts` are unanswered. A late leader starts fewer tasks and keeps
--- a/libraries/scheduler/loop_pacer.h
+++ b/libraries/scheduler/loop_pacer.h
@@ -52,7 +52,7 @@
 
   // Records how long received messages currently wait until the loop reads
   // them.
-  void NoteLateness(Milliseconds late) { this->late = late; }
+  void RecordLateness(Milliseconds late) { this->late = late; }
 
   // Returns how long to collect changes before the next pass.
   Milliseconds PassPause() const;
--- a/services/sumacd/job_controller.cc
+++ b/services/sumacd/job_controller.cc
@@ -178,7 +178,7 @@
 void JobController::Tick() {
   const SteadyTime now = this->clock.SteadyNow();
   this->load.Measure();
-  this->loop_pacer.NoteLateness(this->load.lateness());
+  this->loop_pacer.RecordLateness(this->load.lateness());
   {
     const auto measured = this->load.work_times.Measure(Work::kReplicate);
     this->host->Tick(now);
--- a/tests/libraries/scheduler/loop_pacer_test.cc
+++ b/tests/libraries/scheduler/loop_pacer_test.cc
@@ -42,15 +42,15 @@
   LoopPacer pacer;
   EXPECT_EQ(pacer.ReportPause(), Milliseconds(15));
   EXPECT_EQ(pacer.CommitPause(), Milliseconds(5));
-  pacer.NoteLateness(Milliseconds(100));
+  pacer.RecordLateness(Milliseconds(100));
   EXPECT_EQ(pacer.PassPause(), Milliseconds(50));
   EXPECT_EQ(pacer.ReportPause(), Milliseconds(215));
   EXPECT_EQ(pacer.CommitPause(), Milliseconds(30));
-  pacer.NoteLateness(Milliseconds(2'000));
+  pacer.RecordLateness(Milliseconds(2'000));
   EXPECT_EQ(pacer.PassPause(), Milliseconds(100));
   EXPECT_EQ(pacer.ReportPause(), Milliseconds(250));
   EXPECT_EQ(pacer.CommitPause(), Milliseconds(40));
-  pacer.NoteLateness(Milliseconds(0));
+  pacer.RecordLateness(Milliseconds(0));
   EXPECT_EQ(pacer.PassPause(), Milliseconds(10));
 }
 
--- a/tests/libraries/scheduler/rush_replay.cc
+++ b/tests/libraries/scheduler/rush_replay.cc
@@ -103,9 +103,9 @@
 
 // Measures how late the loop reads received messages.
 void RushReplay::Probe(Instant due) {
-  this->admission.NoteLateness(
+  this->admission.RecordLateness(
       std::chrono::duration_cast<Milliseconds>(this->now - due));
-  this->pacer.NoteLateness(this->admission.lateness());
+  this->pacer.RecordLateness(this->admission.lateness());
   const Instant next = std::max(due + kTick, this->now);
   if (next < kCalm + this->settings.rush + kDrain) {
     this->At(next, [this, next] { this->Probe(next); });
@@ -143,7 +143,7 @@
   if (auto retry_after = this->RefuseAtDoor(call, spec)) {
     return this->Refuse(call, *retry_after);
   }
-  if (!this->admission.Take()) {
+  if (!this->admission.AdmitJob()) {
     return this->Refuse(call, this->admission.RetryAfter());
   }
   this->Work(kSubmitCost);
