--- a/libraries/scheduler/backlog.h
+++ b/libraries/scheduler/backlog.h
@@ -20,11 +20,11 @@
   // first seconds of a load spike, in which instances still move to a pool and
   // the best rate is not known yet. A leader with a third of a core begins them
   // within some five seconds.
-  std::size_t always_taken = 500;
+  std::size_t always_accepted = 500;
   // The factor by which the best rate decays for each second in which it is not
   // reached: to one half after 14 s, which spans a few cycles of a queue's
   // demand.
-  double kept_a_second = 0.95;
+  double retained_per_second = 0.95;
   // The earliest and latest time after which a refused caller should retry.
   Milliseconds shortest_retry{1'000};
   Milliseconds longest_retry{4'000};
@@ -50,7 +50,7 @@
   explicit Backlog(BacklogSettings settings = {}) : settings(settings) {}
 
   // Records that a job has finished.
-  void NoteFinished(SteadyTime now);
+  void RecordFinished(SteadyTime now);
 
   // Returns true if one more job of a queue would wait too long.
   bool IsFull(const WaitingCounts& waiting) const;
@@ -67,7 +67,7 @@
   BacklogSettings settings;
   // The start of the second that is being counted, and the jobs finished in it.
   SteadyTime second_began{};
-  std::uint64_t in_second = 0;
+  std::uint64_t finished_in_second = 0;
   // The highest recent rate of finished jobs, in jobs a second.
   double best = 0;
 };
--- a/libraries/scheduler/loop_pacer.h
+++ b/libraries/scheduler/loop_pacer.h
@@ -48,7 +48,7 @@
 
   // Records the elapsed time of a pass, including the time in which the loop
   // was not scheduled on a processor.
-  void NotePass(std::chrono::microseconds took);
+  void RecordPass(std::chrono::microseconds took);
 
   // Records how long received messages currently wait until the loop reads
   // them.
--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -1121,13 +1121,13 @@
   }
   const std::vector<DueOccurrence> order = this->waiting.Order(now, wall_now);
   JobNumbers unplaced(order.size());
-  this->forecast.NoteWaiting(this->waiting.waiting_of_queues());
+  this->forecast.UpdateWaiting(this->waiting.waiting_of_queues());
   for (const DueOccurrence& due : order) {
     const std::size_t orders = output.orders.size();
     if (!this->MayStart(due.lateness) || !this->StartSteps(due, now, output)) {
       unplaced.Add(due.job->sequence);
     } else if (due.is_new && output.orders.size() > orders) {
-      this->forecast.NoteBegun(due.job->queue, now);
+      this->forecast.RecordBegun(due.job->queue, now);
     }
   }
   unplaced.Sort();
--- a/libraries/scheduler/start_forecast.h
+++ b/libraries/scheduler/start_forecast.h
@@ -14,7 +14,7 @@
 // The jobs of a queue that wait for a start.
 struct QueueWaiting {
   // Jobs that can still be in time and have not begun.
-  std::size_t timely_new = 0;
+  std::size_t new_in_time = 0;
   std::size_t late = 0;
 };
 
@@ -23,7 +23,7 @@
   Milliseconds window{1'000};
   // The number of waiting jobs of a queue that are accepted at any rate, since
   // a queue that was idle has no rate yet.
-  std::size_t always_taken = 16;
+  std::size_t always_accepted = 16;
   // The share of its spare time that a job may be expected to wait. The rest is
   // a margin for a falling rate.
   double used_share = 0.5;
@@ -43,12 +43,12 @@
       : settings(settings) {}
 
   // Records that a job of the queue has begun.
-  void NoteBegun(const QueueName& queue, SteadyTime now);
+  void RecordBegun(const QueueName& queue, SteadyTime now);
   // Records that a job of the queue was accepted. It counts as waiting until
-  // the next NoteWaiting.
-  void NoteTaken(const QueueName& queue);
+  // the next UpdateWaiting.
+  void RecordAccepted(const QueueName& queue);
   // Replaces the numbers of waiting jobs.
-  void NoteWaiting(const std::map<QueueName, QueueWaiting>& waiting);
+  void UpdateWaiting(const std::map<QueueName, QueueWaiting>& waiting);
 
   // Returns true if one more job of the queue, with this much time to spare,
   // would begin too late. A job that is already late is accepted while almost
@@ -66,7 +66,7 @@
     std::deque<SteadyTime> begun;
     QueueWaiting waiting;
     // The latest retry time that was given to a refused caller.
-    SteadyTime last_return{};
+    SteadyTime last_retry_at{};
   };
 
   void DropOld(Queue& queue, SteadyTime now) const;
--- a/libraries/scheduler/waiting_jobs.cc
+++ b/libraries/scheduler/waiting_jobs.cc
@@ -71,7 +71,7 @@
       if (urgency.lateness != Lateness::kInTime) {
         ++this->of_queues[job->queue].late;
       } else if (urgency.is_new) {
-        ++this->of_queues[job->queue].timely_new;
+        ++this->of_queues[job->queue].new_in_time;
       }
       order.emplace_back(
           urgency,
--- a/services/sumacd/job_controller.cc
+++ b/services/sumacd/job_controller.cc
@@ -361,7 +361,7 @@
     if (job == nullptr || job->is_active()) {
       continue;
     }
-    this->backlog.NoteFinished(this->clock.SteadyNow());
+    this->backlog.RecordFinished(this->clock.SteadyNow());
     const Milliseconds took = job->finished_at - job->accepted_at;
     this->metrics.Observe("sumac_job_seconds",
                           std::chrono::duration<double>(took).count());
@@ -460,7 +460,7 @@
                          " ms late"),
                   this->load.RetryAfter());
   }
-  forecast.NoteTaken(queue.name);
+  forecast.RecordAccepted(queue.name);
   this->load.CountTakenJob();
   return std::nullopt;
 }
@@ -865,7 +865,7 @@
   this->load.CountTurn();
   this->metrics.Observe("sumac_pass_seconds",
                         std::chrono::duration<double>(took).count());
-  this->loop_pacer.NotePass(
+  this->loop_pacer.RecordPass(
       std::chrono::duration_cast<std::chrono::microseconds>(took));
 }
 
--- a/tests/libraries/scheduler/backlog_test.cc
+++ b/tests/libraries/scheduler/backlog_test.cc
@@ -16,7 +16,7 @@
   void Finish(int a_second, int seconds) {
     for (int number = 0; number < a_second * seconds; ++number) {
       this->now += Milliseconds(1'000) / a_second;
-      this->backlog.NoteFinished(this->now);
+      this->backlog.RecordFinished(this->now);
     }
   }
   // Returns true if the only queue with waiting jobs is refused.
--- a/tests/libraries/scheduler/rush_replay.cc
+++ b/tests/libraries/scheduler/rush_replay.cc
@@ -148,7 +148,7 @@
   }
   this->Work(kSubmitCost);
   call.is_taken = true;
-  this->forecast.NoteTaken(call.queue);
+  this->forecast.RecordAccepted(call.queue);
   this->Commit(
       jobs::SubmitJob{id, call.queue, std::move(spec),
                       this->refused_callers.WaitedOf(id, this->Now())});
@@ -205,14 +205,14 @@
     if (const auto* ends = std::get_if<jobs::RecordEnds>(&command)) {
       for (const jobs::RunEnd& end : ends->ends) {
         this->waiting.Reconsider(end.task.step.job);
-        this->NoteFinished(end.task.step.job);
+        this->RecordFinished(end.task.step.job);
       }
     }
   }
   this->SchedulePass();
 }
 
-void RushReplay::NoteFinished(const JobId& id) {
+void RushReplay::RecordFinished(const JobId& id) {
   const jobs::Job* job = this->state.FindJob(id);
   Call& call = this->calls.at(id);
   if (job == nullptr || job->is_active()) {
@@ -224,7 +224,7 @@
   }
   const auto objective =
       std::chrono::duration_cast<Instant>(chain * kStretch) + kLatencyTarget;
-  this->backlog.NoteFinished(this->Now());
+  this->backlog.RecordFinished(this->Now());
   call.is_in_time = this->now - call.first_sent <= objective;
 }
 
@@ -242,7 +242,7 @@
   std::set<std::uint64_t> unplaced;
   const std::vector<DueOccurrence> order =
       this->waiting.Order(this->Now(), this->WallNow());
-  this->forecast.NoteWaiting(this->waiting.waiting_of_queues());
+  this->forecast.UpdateWaiting(this->waiting.waiting_of_queues());
   for (const DueOccurrence& due : order) {
     const std::size_t started_before = this->started.size();
     bool is_all_placed = true;
@@ -250,11 +250,11 @@
     if (!is_all_placed) {
       unplaced.insert(due.job->sequence);
     } else if (due.is_new && this->started.size() > started_before) {
-      this->forecast.NoteBegun(due.job->queue, this->Now());
+      this->forecast.RecordBegun(due.job->queue, this->Now());
     }
   }
   this->waiting.Settle(unplaced, this->WallNow());
-  this->pacer.NotePass(this->now - began);
+  this->pacer.RecordPass(this->now - began);
 }
 
 void RushReplay::StartSteps(const DueOccurrence& due,
--- a/tests/libraries/scheduler/rush_replay.h
+++ b/tests/libraries/scheduler/rush_replay.h
@@ -110,7 +110,7 @@
   void Start(const jobs::TaskId& task);
   void End(std::size_t worker, const jobs::TaskId& task);
   void Report(std::size_t worker);
-  void NoteFinished(const JobId& id);
+  void RecordFinished(const JobId& id);
 
   RushSettings settings;
   std::mt19937_64 random{7};
--- a/tests/libraries/scheduler/start_forecast_test.cc
+++ b/tests/libraries/scheduler/start_forecast_test.cc
@@ -15,12 +15,12 @@
   // Records `count` jobs as begun now.
   void Begin(int count) {
     for (int number = 0; number < count; ++number) {
-      this->forecast.NoteBegun(kQueue, this->now);
+      this->forecast.RecordBegun(kQueue, this->now);
     }
   }
-  void Wait(std::size_t timely_new, std::size_t late = 0) {
-    this->forecast.NoteWaiting(
-        {{kQueue, {.timely_new = timely_new, .late = late}}});
+  void Wait(std::size_t new_in_time, std::size_t late = 0) {
+    this->forecast.UpdateWaiting(
+        {{kQueue, {.new_in_time = new_in_time, .late = late}}});
   }
   bool IsTooLate(Milliseconds to_spare) {
     return this->forecast.IsTooLate(kQueue, to_spare, this->now);
@@ -48,7 +48,7 @@
 
 TEST_F(StartForecastTest, JobsTakenAndBegunSinceTheLastPassCount) {
   this->Wait(15);
-  this->forecast.NoteTaken(kQueue);
+  this->forecast.RecordAccepted(kQueue);
   EXPECT_TRUE(this->IsTooLate(kToSpare));
   this->Begin(1);
   EXPECT_FALSE(this->IsTooLate(kToSpare));
