--- a/libraries/scheduler/refused_callers.h
+++ b/libraries/scheduler/refused_callers.h
@@ -17,7 +17,7 @@
   // How long a refused job is remembered; longer than callers retry.
   Milliseconds kept{30'000};
   // The maximum number of remembered jobs; bounds memory to some 2 MB.
-  std::size_t most_kept = 20'000;
+  std::size_t max_entries = 20'000;
 };
 
 // Remembers when callers that were refused asked first, since the time in which
@@ -30,11 +30,11 @@
       : settings(settings) {}
 
   // Records that a job was refused.
-  void Note(const JobId& job, SteadyTime now);
+  void RecordRefusal(const JobId& job, SteadyTime now);
 
   // Returns how long the job's caller has been trying; 0 if the job was not
   // refused before.
-  Milliseconds WaitedOf(const JobId& job, SteadyTime now) const;
+  Milliseconds WaitingTimeOf(const JobId& job, SteadyTime now) const;
 
  private:
   // Removes old entries and makes room for one more.
--- a/services/sumacd/job_controller.cc
+++ b/services/sumacd/job_controller.cc
@@ -428,7 +428,7 @@
                                         std::string message,
                                         Milliseconds retry_after) {
     this->load.CountRefusal(reason);
-    this->refused_callers.Note(job, now);
+    this->refused_callers.RecordRefusal(job, now);
     return fleet::Answer{.code = ResultCode::kOverloaded,
                          .message = std::move(message),
                          .document = {{"retry_after_ms", retry_after.count()}}};
@@ -448,7 +448,7 @@
   }
   scheduler::StartForecast& forecast = this->scheduler->start_forecast();
   const auto to_spare = this->scheduler->TimeToSpareFor(queue, spec);
-  const Milliseconds waited = this->refused_callers.WaitedOf(job, now);
+  const Milliseconds waited = this->refused_callers.WaitingTimeOf(job, now);
   if (to_spare && forecast.IsTooLate(queue.name, *to_spare - waited, now)) {
     return refuse(scheduler::RefusalReason::kTooLate,
                   "it would begin too late behind those that wait",
@@ -492,7 +492,7 @@
   return this
       ->Propose(jobs::SubmitJob{address->job, address->queue->name,
                                 request.spec,
-                                this->refused_callers.WaitedOf(
+                                this->refused_callers.WaitingTimeOf(
                                     address->job, this->clock.SteadyNow())})
       .then([this, job = address->job,
              queue = address->queue->name](fleet::Answer&& answer) {
--- a/tests/libraries/scheduler/rush_replay.cc
+++ b/tests/libraries/scheduler/rush_replay.cc
@@ -151,7 +151,7 @@
   this->forecast.RecordAccepted(call.queue);
   this->Commit(
       jobs::SubmitJob{id, call.queue, std::move(spec),
-                      this->refused_callers.WaitedOf(id, this->Now())});
+                      this->refused_callers.WaitingTimeOf(id, this->Now())});
 }
 
 // Returns when the caller should retry, or nothing if admission accepts the
@@ -169,7 +169,7 @@
   const auto to_spare = TimeToSpare(
       *this->state.declaration().FindQueue(call.queue), spec, this->run_times);
   const Milliseconds waited =
-      this->refused_callers.WaitedOf(call.id, this->Now());
+      this->refused_callers.WaitingTimeOf(call.id, this->Now());
   if (to_spare &&
       this->forecast.IsTooLate(call.queue, *to_spare - waited, this->Now())) {
     return this->forecast.RetryAfter(call.queue, this->Now());
@@ -181,7 +181,7 @@
   this->Work(kRefusalCost);
   ++this->refused;
   if (this->settings.has_door) {
-    this->refused_callers.Note(call.id, this->Now());
+    this->refused_callers.RecordRefusal(call.id, this->Now());
   }
   if (++call.tries < kMostTries) {
     this->At(this->now + retry_after,
