--- a/libraries/scheduler/arrival_rate.h
+++ b/libraries/scheduler/arrival_rate.h
@@ -16,7 +16,7 @@
   // extrapolation.
   Milliseconds horizon{1'800};
   // The maximum ratio of the forecast to the observed rate, in thousandths.
-  std::int64_t most_growth_permille = 2'000;
+  std::int64_t max_forecast_permille = 2'000;
 };
 
 // Measures how much work arrives for one service: the capacity that its jobs
@@ -30,7 +30,8 @@
 
   // Returns the thousandths of a core that arriving jobs will keep busy after
   // the horizon; 0 if there are too few arrivals to tell.
-  std::int64_t MillicoresBusy(const ForecastSettings& settings, SteadyTime now);
+  std::int64_t ForecastMillicores(const ForecastSettings& settings,
+                                  SteadyTime now);
 
  private:
   struct Arrival {
@@ -43,9 +44,9 @@
   };
 
   // Sums up the arrivals of age `oldest` to `newest`.
-  Window Between(Milliseconds oldest,
-                 Milliseconds newest,
-                 SteadyTime now) const;
+  Window SumBetween(Milliseconds oldest,
+                    Milliseconds newest,
+                    SteadyTime now) const;
 
   std::deque<Arrival> arrivals;
 };
--- a/libraries/scheduler/demand_meter.cc
+++ b/libraries/scheduler/demand_meter.cc
@@ -8,7 +8,7 @@
 namespace sumac::scheduler {
 
 // Counts the jobs that were accepted since the last call.
-void DemandMeter::NoteArrivals(SteadyTime now) {
+void DemandMeter::RecordArrivals(SteadyTime now) {
   const auto& active = this->state.active_jobs();
   for (auto item = active.lower_bound(this->next_arrival); item != active.end();
        ++item) {
@@ -69,7 +69,7 @@
 std::map<ServiceName, jobs::ServiceDemand> DemandMeter::Measure(
     SteadyTime now,
     WallTime wall_now) {
-  this->NoteArrivals(now);
+  this->RecordArrivals(now);
   std::map<ServiceName, jobs::ServiceDemand> demand;
   for (const auto& [sequence, job] : this->state.active_jobs()) {
     for (std::uint32_t occurrence = 0; occurrence < job->spec.occurrences() &&
@@ -81,7 +81,7 @@
   for (auto& [service, rate] : this->arrivals) {
     jobs::ServiceDemand& needed = demand[service];
     needed.short_millicores = std::max(
-        needed.short_millicores, rate.MillicoresBusy(this->forecast, now));
+        needed.short_millicores, rate.ForecastMillicores(this->forecast, now));
   }
   return demand;
 }
