--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -192,7 +192,7 @@
 void Scheduler::NoteRunTime(const Run& run, SteadyTime now) {
   const jobs::Job* job = this->state.FindJob(run.task.step.job);
   if (job != nullptr) {
-    this->run_times.Note(job->queue, now - run.ordered_at);
+    this->run_times.RecordRunTime(job->queue, now - run.ordered_at);
   }
 }
 
--- a/tests/libraries/scheduler/rush_replay.cc
+++ b/tests/libraries/scheduler/rush_replay.cc
@@ -321,9 +321,9 @@
   this->Work(kReportCost + kEndCost * ended.size());
   worker.leave_alone_until = this->now + this->pacer.ReportPause();
   for (const jobs::RunEnd& end : ended) {
-    this->run_times.Note(this->calls.at(end.task.step.job).queue,
-                         std::chrono::duration_cast<Milliseconds>(
-                             this->now - this->started.at(end.task)));
+    this->run_times.RecordRunTime(this->calls.at(end.task.step.job).queue,
+                                  std::chrono::duration_cast<Milliseconds>(
+                                      this->now - this->started.at(end.task)));
   }
   this->Commit(jobs::RecordEnds{std::move(ended)});
 }
