--- a/libraries/scheduler/pace_control.cc
+++ b/libraries/scheduler/pace_control.cc
@@ -22,13 +22,13 @@
 constexpr std::uint32_t kStepUpPercent = 10;
 // A pace below this is too slow to be useful, so the fillers are stopped
 // instead.
-constexpr std::uint32_t kLeastPercent = 10;
+constexpr std::uint32_t kMinPercent = 10;
 // The ceiling is set this far below a pace that was too fast.
-constexpr std::uint32_t kBelowTooFast = 5;
+constexpr std::uint32_t kCeilingMargin = 5;
 // How far the ceiling rises with each increase that would exceed it.
 constexpr std::uint32_t kCeilingStep = 3;
 // The maximum number of pairs of images that are remembered; bounds memory.
-constexpr std::size_t kMostPairs = 1'000;
+constexpr std::size_t kMaxPairs = 1'000;
 
 }  // namespace
 
@@ -47,13 +47,13 @@
     if (now - pace.changed_at < kSettleTime || pace.percent == 0) {
       return false;
     }
-    if (this->ceilings.size() >= kMostPairs) {
+    if (this->ceilings.size() >= kMaxPairs) {
       this->ceilings.clear();
     }
     this->ceilings[images] =
-        pace.percent > kBelowTooFast ? pace.percent - kBelowTooFast : 0;
+        pace.percent > kCeilingMargin ? pace.percent - kCeilingMargin : 0;
     pace.percent = report.worst_permille > kStopPermille ? 0 : pace.percent / 2;
-    if (pace.percent < kLeastPercent) {
+    if (pace.percent < kMinPercent) {
       pace.percent = 0;
     }
   } else if (report.worst_permille < kLowPermille &&
