--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -1121,7 +1121,7 @@
   }
   const std::vector<DueOccurrence> order = this->waiting.Order(now, wall_now);
   JobNumbers unplaced(order.size());
-  this->forecast.UpdateWaiting(this->waiting.waiting_of_queues());
+  this->forecast.UpdateWaiting(this->waiting.waiting_by_queue());
   for (const DueOccurrence& due : order) {
     const std::size_t orders = output.orders.size();
     if (!this->MayStart(due.lateness) || !this->StartSteps(due, now, output)) {
@@ -1132,7 +1132,7 @@
   }
   unplaced.Sort();
   this->ReviewWaiting(order, unplaced, now);
-  this->waiting.Settle(unplaced, wall_now);
+  this->waiting.RemovePlaced(unplaced, wall_now);
 }
 
 // True if this turn has a start left for a job that is as late.
--- a/libraries/scheduler/urgency.h
+++ b/libraries/scheduler/urgency.h
@@ -59,7 +59,7 @@
   std::uint64_t sequence = 0;
   // The job is never late: it has a long-running step, or jobs go in the order
   // of their arrival.
-  bool is_timeless = true;
+  bool is_never_late = true;
   bool is_new = false;
   // The times from which the job can't be in time, and from which it is worth
   // nothing.
--- a/libraries/scheduler/waiting_jobs.cc
+++ b/libraries/scheduler/waiting_jobs.cc
@@ -17,9 +17,9 @@
 
 // Adds new jobs, and periodically all active ones: a job whose change was
 // missed is delayed by at most that interval.
-void WaitingJobs::Gather(SteadyTime now) {
-  if (now - this->looked_at_all >= this->full_look_interval) {
-    this->looked_at_all = now;
+void WaitingJobs::AddCandidates(SteadyTime now) {
+  if (now - this->last_full_scan >= this->full_scan_interval) {
+    this->last_full_scan = now;
     this->next_job = 0;
     // Learned run times and declarations may have changed.
     for (auto& [sequence, known] : this->waiting) {
@@ -49,12 +49,12 @@
 
 std::vector<DueOccurrence> WaitingJobs::Order(SteadyTime now,
                                               WallTime wall_now) {
-  this->Gather(now);
+  this->AddCandidates(now);
   std::vector<std::pair<Urgency, DueOccurrence>> order;
   order.reserve(this->waiting.size());
   this->counts.clear();
   this->lateness = {};
-  this->of_queues.clear();
+  this->by_queue.clear();
   ActiveJobs active(this->state);
   for (auto& [sequence, known] : this->waiting) {
     const jobs::Job* job = active.Find(sequence);
@@ -69,9 +69,9 @@
           this->BasisOf(*job, occurrence, known).At(wall_now);
       this->lateness.Count(urgency.lateness);
       if (urgency.lateness != Lateness::kInTime) {
-        ++this->of_queues[job->queue].late;
+        ++this->by_queue[job->queue].late;
       } else if (urgency.is_new) {
-        ++this->of_queues[job->queue].new_in_time;
+        ++this->by_queue[job->queue].new_in_time;
       }
       order.emplace_back(
           urgency,
--- a/libraries/scheduler/waiting_jobs.h
+++ b/libraries/scheduler/waiting_jobs.h
@@ -36,16 +36,16 @@
 // time. Pure.
 class WaitingJobs {
  public:
-  // All active jobs are considered once in every `full_look_interval`, and in
+  // All active jobs are considered once in every `full_scan_interval`, and in
   // between only the jobs that changed.
   WaitingJobs(const jobs::JobsState& state,
               const RunTimes& run_times,
               bool orders_by_slack,
-              Milliseconds full_look_interval)
+              Milliseconds full_scan_interval)
       : state(state),
         run_times(run_times),
         orders_by_slack(orders_by_slack),
-        full_look_interval(full_look_interval) {}
+        full_scan_interval(full_scan_interval) {}
 
   // Adds the job again after one of its runs is gone or the end of a run is
   // committed.
@@ -58,7 +58,7 @@
   // Removes the ordered jobs that no longer wait. `unplaced` holds the numbers
   // of those that still have a task without a place.
   template <typename Numbers = std::set<std::uint64_t>>
-  void Settle(const Numbers& unplaced, WallTime wall_now) {
+  void RemovePlaced(const Numbers& unplaced, WallTime wall_now) {
     ActiveJobs active(this->state);
     std::erase_if(this->waiting, [&](const auto& item) {
       const jobs::Job* job = active.Find(item.first);
@@ -75,8 +75,8 @@
   const LatenessCounts& lateness_counts() const { return this->lateness; }
   // Returns the jobs that waited when they were last ordered, by queue, without
   // those that are never late.
-  const std::map<QueueName, QueueWaiting>& waiting_of_queues() const {
-    return this->of_queues;
+  const std::map<QueueName, QueueWaiting>& waiting_by_queue() const {
+    return this->by_queue;
   }
 
  private:
@@ -110,12 +110,12 @@
   const UrgencyBasis& BasisOf(const jobs::Job& job,
                               std::uint32_t occurrence,
                               std::vector<UrgencyBasis>& known) const;
-  void Gather(SteadyTime now);
+  void AddCandidates(SteadyTime now);
 
   const jobs::JobsState& state;
   const RunTimes& run_times;
   bool orders_by_slack;
-  Milliseconds full_look_interval;
+  Milliseconds full_scan_interval;
   // The waiting jobs by number, with the cached basis of each due occurrence;
   // empty where it must be computed (again).
   std::map<std::uint64_t, std::vector<UrgencyBasis>> waiting;
@@ -123,10 +123,10 @@
   std::map<QueueName, std::size_t> counts;
   // The lateness of their due occurrences.
   LatenessCounts lateness;
-  std::map<QueueName, QueueWaiting> of_queues;
+  std::map<QueueName, QueueWaiting> by_queue;
   // Jobs with this number and above have not been considered yet.
   std::uint64_t next_job = 0;
-  SteadyTime looked_at_all{};
+  SteadyTime last_full_scan{};
 };
 
 }  // namespace sumac::scheduler
--- a/tests/libraries/scheduler/rush_replay.cc
+++ b/tests/libraries/scheduler/rush_replay.cc
@@ -242,7 +242,7 @@
   std::set<std::uint64_t> unplaced;
   const std::vector<DueOccurrence> order =
       this->waiting.Order(this->Now(), this->WallNow());
-  this->forecast.UpdateWaiting(this->waiting.waiting_of_queues());
+  this->forecast.UpdateWaiting(this->waiting.waiting_by_queue());
   for (const DueOccurrence& due : order) {
     const std::size_t started_before = this->started.size();
     bool is_all_placed = true;
@@ -253,7 +253,7 @@
       this->forecast.RecordBegun(due.job->queue, this->Now());
     }
   }
-  this->waiting.Settle(unplaced, this->WallNow());
+  this->waiting.RemovePlaced(unplaced, this->WallNow());
   this->pacer.RecordPass(this->now - began);
 }
 
