--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -1183,10 +1183,10 @@
       PlacementRequest{
           .job = &job, .task = {step, 0}, .advice = this->AdviceFor(job)},
       this->placement, this->workers, this->MayRunUnseen(job), now);
-  const WaitingNews news = this->waiting_steps.Note(step, tasks, cause);
+  const ReviewFinding news = this->waiting_steps.RecordWait(step, tasks, cause);
   const std::string& label = job.spec.steps[step.step].required_label;
-  if (news != WaitingNews::kNone) {
-    const bool is_alarm = news == WaitingNews::kWaitsWithoutNeed;
+  if (news != ReviewFinding::kNone) {
+    const bool is_alarm = news == ReviewFinding::kWaitsDespiteRoom;
     this->notes.AddText(is_alarm ? "feasible-not-placed" : "step-waits",
                         std::string(NameOf(cause.reason)), is_alarm,
                         StrCat(step.ToText(), ": ", tasks, " tasks",
--- a/libraries/scheduler/waiting_table.h
+++ b/libraries/scheduler/waiting_table.h
@@ -19,12 +19,12 @@
   std::uint32_t tasks = 0;
   SteadyTime since{};
   // Whether the long wait, and the wait without need, were already reported.
-  bool is_told = false;
-  bool is_alarmed = false;
+  bool is_long_wait_reported = false;
+  bool is_wait_despite_room_reported = false;
 };
 
 // The new finding from the review of one step.
-enum class WaitingNews { kNone, kWaitsLong, kWaitsWithoutNeed };
+enum class ReviewFinding { kNone, kWaitsLong, kWaitsDespiteRoom };
 
 // Records why steps wait and since when, from one review to the next. A review
 // covers only the most urgent steps, so that its cost stays small beside a
@@ -51,9 +51,9 @@
   // Returns true while more steps can be recorded in the review.
   bool HasRoom() const { return this->current.size() < kMostSteps; }
   // Records that tasks of a step wait, and returns what is new about the wait.
-  WaitingNews Note(const jobs::StepId& step,
-                   std::uint32_t tasks,
-                   const WaitingCause& cause);
+  ReviewFinding RecordWait(const jobs::StepId& step,
+                           std::uint32_t tasks,
+                           const WaitingCause& cause);
 
   const std::map<jobs::StepId, WaitingStep>& steps() const {
     return this->current;
