--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -1127,7 +1127,7 @@
     if (!this->MayStart(due.lateness) || !this->StartSteps(due, now, output)) {
       unplaced.Add(due.job->sequence);
     } else if (due.is_new && output.orders.size() > orders) {
-      this->forecast.RecordBegun(due.job->queue, now);
+      this->forecast.RecordFirstStart(due.job->queue, now);
     }
   }
   unplaced.Sort();
--- a/libraries/scheduler/start_forecast.cc
+++ b/libraries/scheduler/start_forecast.cc
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-void StartForecast::RecordBegun(const QueueName& queue, SteadyTime now) {
+void StartForecast::RecordFirstStart(const QueueName& queue, SteadyTime now) {
   Queue& known = this->queues[queue];
   this->DropOld(known, now);
   known.begun.push_back(now);
--- a/libraries/scheduler/start_forecast.h
+++ b/libraries/scheduler/start_forecast.h
@@ -43,7 +43,7 @@
       : settings(settings) {}
 
   // Records that a job of the queue has begun.
-  void RecordBegun(const QueueName& queue, SteadyTime now);
+  void RecordFirstStart(const QueueName& queue, SteadyTime now);
   // Records that a job of the queue was accepted. It counts as waiting until
   // the next UpdateWaiting.
   void RecordAccepted(const QueueName& queue);
--- a/tests/libraries/scheduler/rush_replay.cc
+++ b/tests/libraries/scheduler/rush_replay.cc
@@ -250,7 +250,7 @@
     if (!is_all_placed) {
       unplaced.insert(due.job->sequence);
     } else if (due.is_new && this->started.size() > started_before) {
-      this->forecast.RecordBegun(due.job->queue, this->Now());
+      this->forecast.RecordFirstStart(due.job->queue, this->Now());
     }
   }
   this->waiting.RemovePlaced(unplaced, this->WallNow());
--- a/tests/libraries/scheduler/start_forecast_test.cc
+++ b/tests/libraries/scheduler/start_forecast_test.cc
@@ -15,7 +15,7 @@
   // Records `count` jobs as begun now.
   void Begin(int count) {
     for (int number = 0; number < count; ++number) {
-      this->forecast.RecordBegun(kQueue, this->now);
+      this->forecast.RecordFirstStart(kQueue, this->now);
     }
   }
   void Wait(std::size_t new_in_time, std::size_t late = 0) {
