--- a/libraries/scheduler/placement_advice.cc
+++ b/libraries/scheduler/placement_advice.cc
@@ -64,9 +64,9 @@
   return this->wanted;
 }
 
-void PlacementAdvice::TakeAnswer(const AdviceQuestion& question,
-                                 const AdviceAnswer& answer,
-                                 SteadyTime now) {
+void PlacementAdvice::ApplyAnswer(const AdviceQuestion& question,
+                                  const AdviceAnswer& answer,
+                                  SteadyTime now) {
   this->is_open = false;
   if (!answer.is_answered) {
     this->pause_until = now + kPauseAfterFailure;
--- a/libraries/scheduler/placement_advice.h
+++ b/libraries/scheduler/placement_advice.h
@@ -50,9 +50,9 @@
   // Returns the next question if none is open. The question counts as open
   // until its answer is handled.
   std::optional<AdviceQuestion> NextQuestion(SteadyTime now);
-  void TakeAnswer(const AdviceQuestion& question,
-                  const AdviceAnswer& answer,
-                  SteadyTime now);
+  void ApplyAnswer(const AdviceQuestion& question,
+                   const AdviceAnswer& answer,
+                   SteadyTime now);
 
   // Removes a ticket that the worker refused.
   void DropTicket(const jobs::StepId& step, const WorkerId& worker);
--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -182,7 +182,7 @@
   if (!report.has_more_ends) {
     this->TakeMissing(session, report);
   }
-  if (auto reason = this->sharing.TakeReport(session, now)) {
+  if (auto reason = this->sharing.ApplyReport(session, now)) {
     this->NotePace(session, *reason);
   }
   this->needs_plan = this->needs_plan || is_adopting || ends.up_to > 0;
@@ -416,7 +416,7 @@
   } else if (const auto* pace = std::get_if<PaceOrder>(&order)) {
     WorkerSession* session = this->FindSession(pace->worker);
     if (session != nullptr) {
-      Sharing::TakeAnswer(*session, *pace, answer.result);
+      Sharing::ApplyResult(*session, *pace, answer.result);
     }
   }
 }
@@ -541,7 +541,7 @@
 void Scheduler::TakeAdvice(const AdviceQuestion& question,
                            const AdviceAnswer& answer,
                            SteadyTime now) {
-  this->advice.TakeAnswer(question, answer, now);
+  this->advice.ApplyAnswer(question, answer, now);
   this->advice.DropFinished(this->state);
   this->needs_plan = true;
 }
@@ -1434,7 +1434,7 @@
   memory.placed = {session.worker().id, run};
   ++memory.known_runs;
   memory.last_run = run;
-  this->sharing.Begin(session, now);
+  this->sharing.SetFirstPace(session, now);
   const std::string* ticket =
       this->AdviceFor(*candidate.job) == nullptr
           ? nullptr
--- a/libraries/scheduler/sharing.h
+++ b/libraries/scheduler/sharing.h
@@ -26,11 +26,12 @@
   explicit Sharing(const jobs::JobsState& state) : state(state) {}
 
   // Sets the fillers' pace after a run was added to the worker.
-  void Begin(WorkerSession& session, SteadyTime now);
+  void SetFirstPace(WorkerSession& session, SteadyTime now);
 
   // Evaluates the worker's last report. Returns the reason if the pace of the
   // worker's fillers changes.
-  std::optional<std::string> TakeReport(WorkerSession& session, SteadyTime now);
+  std::optional<std::string> ApplyReport(WorkerSession& session,
+                                         SteadyTime now);
 
   // Returns orders for the fillers whose last ordered pace differs from their
   // worker's.
@@ -38,9 +39,9 @@
                                            LeaderEpoch epoch);
 
   // Handles the result of an order.
-  static void TakeAnswer(WorkerSession& session,
-                         const PaceOrder& order,
-                         OrderResult result);
+  static void ApplyResult(WorkerSession& session,
+                          const PaceOrder& order,
+                          OrderResult result);
 
  private:
   std::optional<SharingReport> Measure(const WorkerSession& session) const;
