--- a/libraries/scheduler/placement.cc
+++ b/libraries/scheduler/placement.cc
@@ -147,7 +147,7 @@
          session.CountOf(request.task.step) < step.most_per_worker;
 }
 
-bool Placement::IsGood(const WorkerSession& session) const {
+bool Placement::IsHealthy(const WorkerSession& session) const {
   const WorkerId& id = session.worker().id;
   return !this->health.IsQuarantined(id, this->now) &&
          !this->health.IsSlow(id, this->now);
@@ -162,14 +162,14 @@
   const jobs::StepSpec& step = request.step();
   const std::vector<WorkerSession*>& workers =
       this->WorkersOf(request.job->service);
-  return std::any_of(workers.begin(), workers.end(),
-                     [&](const WorkerSession* session) {
-                       const jobs::Worker& worker = session->worker();
-                       return IsNear(step, worker) && this->IsGood(*session) &&
-                              (step.required_label.empty() ||
-                               worker.has_label(step.required_label)) &&
-                              worker.capacity.Holds(CountedNeed(step));
-                     });
+  return std::any_of(
+      workers.begin(), workers.end(), [&](const WorkerSession* session) {
+        const jobs::Worker& worker = session->worker();
+        return IsNear(step, worker) && this->IsHealthy(*session) &&
+               (step.required_label.empty() ||
+                worker.has_label(step.required_label)) &&
+               worker.capacity.Holds(CountedNeed(step));
+      });
 }
 
 WorkerSession* Placement::Choose(const PlacementRequest& request) const {
--- a/libraries/scheduler/placement.h
+++ b/libraries/scheduler/placement.h
@@ -83,7 +83,7 @@
                    const WorkerSession& session);
 
   // Returns true if the worker is neither quarantined nor slow.
-  bool IsGood(const WorkerSession& session) const;
+  bool IsHealthy(const WorkerSession& session) const;
 
   // Returns true if one more worker of the service may be used for a trial.
   bool HasTrialCapacity(const ServiceName& service) const;
--- a/libraries/scheduler/stragglers.cc
+++ b/libraries/scheduler/stragglers.cc
@@ -124,7 +124,7 @@
                        .memory = memory,
                        .other_than = session.worker().id,
                        .advice = this->advice_for(*job)});
-  return other != nullptr && this->placement.IsGood(*other);
+  return other != nullptr && this->placement.IsHealthy(*other);
 }
 
 }  // namespace sumac::scheduler
