--- a/tests/libraries/scheduler/rush_replay.cc
+++ b/tests/libraries/scheduler/rush_replay.cc
@@ -71,11 +71,11 @@
   this->state.Apply({this->WallNow(), jobs::Declare{1, "document"}});
 }
 
-void RushReplay::At(Instant at, std::function<void()> happen) {
-  this->events.push({at, this->event_count++, std::move(happen)});
+void RushReplay::Schedule(Instant at, std::function<void()> action) {
+  this->events.push({at, this->event_count++, std::move(action)});
 }
 
-void RushReplay::Work(Instant cost) {
+void RushReplay::SpendTime(Instant cost) {
   this->now += std::chrono::duration_cast<Instant>(
       cost / this->settings.processor_share);
 }
@@ -92,23 +92,23 @@
   this->SendCalls(Instant(0), kCalm, kCalmCalls);
   this->SendCalls(kCalm, kCalm + this->settings.rush,
                   this->settings.rush_calls_a_second);
-  this->At(kTick, [this] { this->Probe(kTick); });
+  this->Schedule(kTick, [this] { this->MeasureLateness(kTick); });
   while (!this->events.empty()) {
     const Event event = this->events.top();
     this->events.pop();
     this->now = std::max(this->now, event.at);
-    event.happen();
+    event.action();
   }
 }
 
 // Measures how late the loop reads received messages.
-void RushReplay::Probe(Instant due) {
+void RushReplay::MeasureLateness(Instant due) {
   this->admission.RecordLateness(
       std::chrono::duration_cast<Milliseconds>(this->now - due));
   this->pacer.RecordLateness(this->admission.lateness());
   const Instant next = std::max(due + kTick, this->now);
   if (next < kCalm + this->settings.rush + kDrain) {
-    this->At(next, [this, next] { this->Probe(next); });
+    this->Schedule(next, [this, next] { this->MeasureLateness(next); });
   }
   this->SchedulePass();
 }
@@ -123,7 +123,7 @@
                            .queue = drawn % 2 == 0 ? kUrgent : kPatient,
                            .steps = drawn % 10 < 6 ? 2U : 1U,
                            .first_sent = at};
-    this->At(at + kOneWay, [this, id] { this->Submit(id); });
+    this->Schedule(at + kOneWay, [this, id] { this->Submit(id); });
   }
 }
 
@@ -140,14 +140,14 @@
     }
     spec.steps.push_back(std::move(step));
   }
-  if (auto retry_after = this->RefuseAtDoor(call, spec)) {
+  if (auto retry_after = this->RefuseForBacklog(call, spec)) {
     return this->Refuse(call, *retry_after);
   }
   if (!this->admission.AdmitJob()) {
     return this->Refuse(call, this->admission.RetryAfter());
   }
-  this->Work(kSubmitCost);
-  call.is_taken = true;
+  this->SpendTime(kSubmitCost);
+  call.is_accepted = true;
   this->forecast.RecordAccepted(call.queue);
   this->Commit(
       jobs::SubmitJob{id, call.queue, std::move(spec),
@@ -156,10 +156,10 @@
 
 // Returns when the caller should retry, or nothing if admission accepts the
 // job.
-std::optional<Milliseconds> RushReplay::RefuseAtDoor(
+std::optional<Milliseconds> RushReplay::RefuseForBacklog(
     const Call& call,
     const jobs::JobSpec& spec) {
-  if (!this->settings.has_door) {
+  if (!this->settings.has_backlog_limits) {
     return std::nullopt;
   }
   const WaitingCounts waiting = this->waiting.CountFor(call.queue);
@@ -178,28 +178,28 @@
 }
 
 void RushReplay::Refuse(Call& call, Milliseconds retry_after) {
-  this->Work(kRefusalCost);
+  this->SpendTime(kRefusalCost);
   ++this->refused;
-  if (this->settings.has_door) {
+  if (this->settings.has_backlog_limits) {
     this->refused_callers.RecordRefusal(call.id, this->Now());
   }
   if (++call.tries < kMostTries) {
-    this->At(this->now + retry_after,
-             [this, id = call.id] { this->Submit(id); });
+    this->Schedule(this->now + retry_after,
+                   [this, id = call.id] { this->Submit(id); });
   }
 }
 
 void RushReplay::Commit(jobs::Command command) {
   this->gathered.push_back(std::move(command));
   if (this->gathered.size() == 1) {
-    this->At(this->now + this->pacer.CommitPause(),
-             [this] { this->CommitRound(); });
+    this->Schedule(this->now + this->pacer.CommitPause(),
+                   [this] { this->CommitRound(); });
   }
 }
 
 void RushReplay::CommitRound() {
   const std::vector<jobs::Command> round = std::exchange(this->gathered, {});
-  this->Work(kRoundCost + kCommandCost * round.size());
+  this->SpendTime(kRoundCost + kCommandCost * round.size());
   for (const jobs::Command& command : round) {
     this->state.Apply({this->WallNow(), command});
     if (const auto* ends = std::get_if<jobs::RecordEnds>(&command)) {
@@ -230,14 +230,15 @@
 
 void RushReplay::SchedulePass() {
   if (!std::exchange(this->is_pass_due, true)) {
-    this->At(this->now + this->pacer.PassPause(), [this] { this->Pass(); });
+    this->Schedule(this->now + this->pacer.PassPause(),
+                   [this] { this->Pass(); });
   }
 }
 
 void RushReplay::Pass() {
   this->is_pass_due = false;
   const Instant began = this->now;
-  this->Work(kPassCost);
+  this->SpendTime(kPassCost);
   StartAllowance left = this->admission.AllowStarts(this->open_starts);
   std::set<std::uint64_t> unplaced;
   const std::vector<DueOccurrence> order =
@@ -283,7 +284,7 @@
 }
 
 void RushReplay::Start(const jobs::TaskId& task) {
-  this->Work(kStartCost);
+  this->SpendTime(kStartCost);
   this->started[task] = this->now;
   ++this->open_starts;
   std::uniform_int_distribution<std::int64_t> draw(kShortestRun.count(),
@@ -294,13 +295,13 @@
   const std::size_t worker = (std::hash<std::string>()(task.step.job.value()) +
                               task.step.step + task.index / kNeighbours) %
                              kWorkers;
-  this->At(this->now + 2 * kOneWay, [this] {
-    this->Work(kAnswerCost);
+  this->Schedule(this->now + 2 * kOneWay, [this] {
+    this->SpendTime(kAnswerCost);
     --this->open_starts;
     this->SchedulePass();
   });
-  this->At(this->now + kOneWay + run,
-           [this, worker, task] { this->End(worker, task); });
+  this->Schedule(this->now + kOneWay + run,
+                 [this, worker, task] { this->End(worker, task); });
 }
 
 // Reports the end of a run to the leader at once, or after the report pause if
@@ -309,8 +310,8 @@
   Worker& worker = this->workers[number];
   worker.ended.push_back({task, RunNumber(1), jobs::RunOutcome::kDone});
   if (!std::exchange(worker.is_report_due, true)) {
-    this->At(std::max(this->now, worker.leave_alone_until) + kOneWay,
-             [this, number] { this->Report(number); });
+    this->Schedule(std::max(this->now, worker.earliest_report_at) + kOneWay,
+                   [this, number] { this->Report(number); });
   }
 }
 
@@ -318,8 +319,8 @@
   Worker& worker = this->workers[number];
   worker.is_report_due = false;
   std::vector<jobs::RunEnd> ended = std::exchange(worker.ended, {});
-  this->Work(kReportCost + kEndCost * ended.size());
-  worker.leave_alone_until = this->now + this->pacer.ReportPause();
+  this->SpendTime(kReportCost + kEndCost * ended.size());
+  worker.earliest_report_at = this->now + this->pacer.ReportPause();
   for (const jobs::RunEnd& end : ended) {
     this->run_times.RecordRunTime(this->calls.at(end.task.step.job).queue,
                                   std::chrono::duration_cast<Milliseconds>(
@@ -328,14 +329,15 @@
   this->Commit(jobs::RecordEnds{std::move(ended)});
 }
 
-double RushReplay::Taken() const {
-  const auto taken =
+double RushReplay::AcceptedShare() const {
+  const auto accepted =
       std::count_if(this->calls.begin(), this->calls.end(),
-                    [](const auto& call) { return call.second.is_taken; });
-  return static_cast<double>(taken) / static_cast<double>(this->calls.size());
+                    [](const auto& call) { return call.second.is_accepted; });
+  return static_cast<double>(accepted) /
+         static_cast<double>(this->calls.size());
 }
 
-double RushReplay::InTime(const QueueName& queue) const {
+double RushReplay::InTimeShare(const QueueName& queue) const {
   double all = 0;
   double in_time = 0;
   for (const auto& [id, call] : this->calls) {
--- a/tests/libraries/scheduler/rush_replay.h
+++ b/tests/libraries/scheduler/rush_replay.h
@@ -33,7 +33,7 @@
   double rush_calls_a_second = 110;
   std::chrono::seconds rush{10};
   // Whether jobs are also refused because of the jobs that wait before them.
-  bool has_door = false;
+  bool has_backlog_limits = false;
 };
 
 // Simulates a load spike (a rush) on a leader that has too little processor
@@ -52,12 +52,12 @@
 
   // Returns the share of the queue's jobs that were done in time, counted from
   // when their callers first sent them.
-  double InTime(const QueueName& queue) const;
+  double InTimeShare(const QueueName& queue) const;
   // Returns the number of answers that refused a job.
   std::uint64_t refusals() const { return this->refused; }
 
   // Returns the share of all calls whose job was accepted.
-  double Taken() const;
+  double AcceptedShare() const;
 
   static const QueueName kUrgent;
   static const QueueName kPatient;
@@ -67,7 +67,7 @@
   struct Event {
     Instant at{};
     std::uint64_t number = 0;
-    std::function<void()> happen;
+    std::function<void()> action;
 
     bool operator<(const Event& other) const {
       return std::pair(other.at, other.number) <
@@ -81,24 +81,24 @@
     Instant first_sent{};
     int tries = 0;
     Instant longest_chain{};
-    bool is_taken = false;
+    bool is_accepted = false;
     bool is_in_time = false;
   };
   struct Worker {
     std::vector<jobs::RunEnd> ended;
     bool is_report_due = false;
-    Instant leave_alone_until{};
+    Instant earliest_report_at{};
   };
 
-  void At(Instant at, std::function<void()> happen);
-  void Work(Instant cost);
+  void Schedule(Instant at, std::function<void()> action);
+  void SpendTime(Instant cost);
   SteadyTime Now() const;
   WallTime WallNow() const;
-  void Probe(Instant due);
+  void MeasureLateness(Instant due);
   void SendCalls(Instant from, Instant to, double calls_a_second);
   void Submit(const JobId& id);
-  std::optional<Milliseconds> RefuseAtDoor(const Call& call,
-                                           const jobs::JobSpec& spec);
+  std::optional<Milliseconds> RefuseForBacklog(const Call& call,
+                                               const jobs::JobSpec& spec);
   void Refuse(Call& call, Milliseconds retry_after);
   void Commit(jobs::Command command);
   void CommitRound();
