--- a/tests/libraries/scheduler/arrival_rate_test.cc
+++ b/tests/libraries/scheduler/arrival_rate_test.cc
@@ -17,7 +17,7 @@
   }
 }
 
-TEST(ArrivalRateTest, FewArrivalsAreTakenForChance) {
+TEST(ArrivalRateTest, FewArrivalsAreIgnored) {
   ArrivalRate rate;
   Arrive(rate, 0, 300, 100);
   EXPECT_EQ(rate.ForecastMillicores(kLooksAhead, SteadyTime(Milliseconds(300))),
@@ -32,7 +32,7 @@
             rate.ForecastMillicores(kLooksBack, now));
 }
 
-TEST(ArrivalRateTest, AGrowingRateIsCarriedOnWithinItsBound) {
+TEST(ArrivalRateTest, AGrowingRateIsExtrapolatedWithinItsBound) {
   ArrivalRate rate;
   Arrive(rate, 0, 1'000, 100);
   Arrive(rate, 1'000, 2'000, 60);
@@ -43,7 +43,7 @@
   EXPECT_LE(ahead, 2 * seen);
 }
 
-TEST(ArrivalRateTest, AFallingRateIsWhatItIs) {
+TEST(ArrivalRateTest, AFallingRateIsNotExtrapolated) {
   ArrivalRate rate;
   Arrive(rate, 0, 1'000, 20);
   Arrive(rate, 1'000, 2'000, 100);
--- a/tests/libraries/scheduler/backlog_test.cc
+++ b/tests/libraries/scheduler/backlog_test.cc
@@ -47,7 +47,7 @@
 }
 
 // The best rate must not drop at once when fewer jobs arrive.
-TEST_F(BacklogTest, TheBestRateIsForgottenSlowly) {
+TEST_F(BacklogTest, TheBestRateDecaysSlowly) {
   this->Finish(100, 4);
   this->Finish(5, 10);
   EXPECT_FALSE(this->IsFull(550));
--- a/tests/libraries/scheduler/long_rush_test.cc
+++ b/tests/libraries/scheduler/long_rush_test.cc
@@ -28,7 +28,7 @@
           .accepted = replay.AcceptedShare()};
 }
 
-TEST(LongRushTest, StaleJobsShutTheDoorOnCallersWhoCouldBeInTime) {
+TEST(LongRushTest, StaleJobsDoNotCrowdOutCallersWhoCanBeInTime) {
   for (const double share : {1.0, 0.75}) {
     const Shares shares = ReplayWith(share);
     EXPECT_GE(shares.in_time, share * 0.3) << share;
@@ -36,7 +36,7 @@
   }
 }
 
-TEST(LongRushTest, ServiceFallsFasterThanProcessorTime) {
+TEST(LongRushTest, ServiceFallsNoFasterThanProcessorTime) {
   const Shares whole = ReplayWith(1.0);
   for (const double share : {0.9, 0.75}) {
     EXPECT_GE(ReplayWith(share).in_time, share * whole.in_time) << share;
--- a/tests/libraries/scheduler/refused_callers_test.cc
+++ b/tests/libraries/scheduler/refused_callers_test.cc
@@ -20,7 +20,7 @@
   EXPECT_EQ(callers.WaitingTimeOf(JobId("b"), now), Milliseconds(0));
 }
 
-TEST(RefusedCallersTest, WhatIsOldOrTooMuchIsForgotten) {
+TEST(RefusedCallersTest, OldAndExcessEntriesAreDropped) {
   RefusedCallers callers({.kept = Milliseconds(1'000), .max_entries = 2});
   SteadyTime now{Milliseconds(10'000)};
   callers.RecordRefusal(kJob, now);
--- a/tests/libraries/scheduler/start_forecast_test.cc
+++ b/tests/libraries/scheduler/start_forecast_test.cc
@@ -56,7 +56,7 @@
 
 // Waiting jobs that are late may cause the refusal only of jobs that are late,
 // too.
-TEST_F(StartForecastTest, LateJobsStandOnlyInTheWayOfLateOnes) {
+TEST_F(StartForecastTest, LateJobsDelayOnlyLateOnes) {
   this->Begin(100);
   this->Wait(10, 1'000);
   EXPECT_FALSE(this->IsTooLate(kToSpare));
--- a/tests/libraries/scheduler/waiting_jobs_test.cc
+++ b/tests/libraries/scheduler/waiting_jobs_test.cc
@@ -59,7 +59,7 @@
 
 // 136 long-running jobs are placed while a load spike of short jobs arrives. A
 // planning pass must consider the short jobs alone.
-TEST_F(WaitingJobsTest, ARushIsOrderedWithoutWhatHasItsPlace) {
+TEST_F(WaitingJobsTest, ARushIsOrderedWithoutPlacedJobs) {
   for (int number = 0; number < 136; ++number) {
     this->Submit(StrCat("lasts", number),
                  {.steps = {{.count = 24, .is_long_running = true}}});
@@ -93,7 +93,7 @@
   EXPECT_EQ(this->Order(), std::vector<std::string>{"a"});
 }
 
-TEST_F(WaitingJobsTest, EveryActiveJobIsLookedAtNowAndThen) {
+TEST_F(WaitingJobsTest, EveryActiveJobIsConsideredPeriodically) {
   this->Submit("a", {.steps = {{.count = 8}}});
   this->Order();
   this->waiting.RemovePlaced({}, this->wall_now);
--- a/tests/libraries/scheduler/waiting_table_test.cc
+++ b/tests/libraries/scheduler/waiting_table_test.cc
@@ -23,7 +23,7 @@
   WaitingTable table;
 };
 
-TEST_F(WaitingTableTest, ALongWaitIsToldOnce) {
+TEST_F(WaitingTableTest, ALongWaitIsReportedOnce) {
   EXPECT_EQ(this->Review(Milliseconds(0)), ReviewFinding::kNone);
   EXPECT_EQ(this->Review(WaitingTable::kLongWait - Milliseconds(1)),
             ReviewFinding::kNone);
@@ -31,7 +31,7 @@
   EXPECT_EQ(this->Review(Milliseconds(1'000)), ReviewFinding::kNone);
 }
 
-TEST_F(WaitingTableTest, AWaitWithoutNeedIsAnAlarmAlsoAfterItWasTold) {
+TEST_F(WaitingTableTest, AWaitDespiteRoomIsReportedAlsoAfterALongWait) {
   this->Review(Milliseconds(0));
   EXPECT_EQ(this->Review(WaitingTable::kLongWait), ReviewFinding::kWaitsLong);
   this->cause.is_feasible = true;
@@ -42,7 +42,7 @@
   EXPECT_EQ(this->Review(Milliseconds(1'000)), ReviewFinding::kNone);
 }
 
-TEST_F(WaitingTableTest, AStepThatIsNotNotedWaitsNoLonger) {
+TEST_F(WaitingTableTest, AStepThatIsNotRecordedNoLongerWaits) {
   this->Review(Milliseconds(0));
   this->now += WaitingTable::kLongWait;
   this->table.Begin(this->now);
