--- a/libraries/scheduler/admission.h
+++ b/libraries/scheduler/admission.h
@@ -65,7 +65,7 @@
   // Records how long a received message waited until the event loop read it.
   void RecordLateness(Milliseconds late);
 
-  // Returns true if one new job is accepted. The accepted jobs are spread
+  // Decides whether one new job is accepted. The accepted jobs are spread
   // evenly over those that arrive.
   bool AdmitJob();
 
--- a/libraries/scheduler/demand_meter.h
+++ b/libraries/scheduler/demand_meter.h
@@ -15,7 +15,7 @@
 namespace sumac::scheduler {
 
 // Measures the resources that the tasks of each service need: the running
-// tasks, those that could run, and those of arriving jobs. Pure.
+// tasks, those that could run now, and those of arriving jobs. Pure.
 class DemandMeter {
  public:
   // Jobs with the number `first_own_sequence` and above were accepted under
--- a/libraries/scheduler/sharing.cc
+++ b/libraries/scheduler/sharing.cc
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-// Returns the effect of fillers on user-serving runs by the worker's last
+// Returns the effect of fillers on user-serving runs, from the worker's last
 // report; nothing if the worker does not run both.
 std::optional<SharingReport> Sharing::Measure(
     const WorkerSession& session) const {
--- a/libraries/scheduler/stragglers.h
+++ b/libraries/scheduler/stragglers.h
@@ -27,8 +27,8 @@
   RunPace pace;
 };
 
-// Finds runs that are stalled or very slow, by the progress that workers
-// report, and records what they show about the workers' health. Pure.
+// Finds runs that are stalled or slow, by the progress that workers report, and
+// records what they show about the workers' health. Pure.
 class Stragglers {
  public:
   using Sessions = std::map<WorkerId, WorkerSession>;
--- a/libraries/scheduler/waiting_table.h
+++ b/libraries/scheduler/waiting_table.h
@@ -18,7 +18,8 @@
   // The number of the step's tasks that wait.
   std::uint32_t tasks = 0;
   SteadyTime since{};
-  // Whether the long wait, and the wait without need, were already reported.
+  // Whether the long wait, and the wait despite free room, were already
+  // reported.
   bool is_long_wait_reported = false;
   bool is_wait_despite_room_reported = false;
 };
