--- a/libraries/scheduler/demand_meter.cc
+++ b/libraries/scheduler/demand_meter.cc
@@ -49,13 +49,14 @@
     }
     const std::int64_t left = step.count - job.CountDone(occurrence, number);
     if (step.most_per_worker > 0) {
-      service.fewest_instances =
-          std::max(service.fewest_instances,
+      service.min_instances =
+          std::max(service.min_instances,
                    (left + step.most_per_worker - 1) / step.most_per_worker);
     }
-    std::int64_t& millicores = step.is_long_running ? service.lasting_millicores
-                               : is_worthless       ? service.late_millicores
-                                                    : service.short_millicores;
+    std::int64_t& millicores = step.is_long_running
+                                   ? service.long_running_millicores
+                               : is_worthless ? service.late_millicores
+                                              : service.short_millicores;
     millicores += left * step.need.millicores;
     if (!step.required_label.empty()) {
       jobs::LabelDemand& labelled = service.by_label[step.required_label];
--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -107,8 +107,9 @@
 void Scheduler::EndLife(const WorkerId& worker, SteadyTime now) {
   const WorkerSession* session = this->FindSession(worker);
   const jobs::Worker* next =
-      session == nullptr ? nullptr
-                         : this->state.FindPresentLife(session->worker().name);
+      session == nullptr
+          ? nullptr
+          : this->state.FindCurrentIncarnation(session->worker().name);
   if (next == nullptr) {
     this->EndWorker(worker, LifeEnd::kPlanned, now);
     return;
--- a/services/sumacd/job_controller.cc
+++ b/services/sumacd/job_controller.cc
@@ -253,7 +253,7 @@
   chosen.longest_stop = times.longest_stop;
   this->scheduler.emplace(this->jobs_state, chosen, now);
   const maintenance::MaintenanceSettings maintenance{
-      .holder_pause = times.instance_lease,
+      .takeover_pause = times.instance_lease,
       .maintenance_time = times.maintenance_time()};
   this->keeper = std::make_unique<InstanceKeeper>(
       this->jobs_state, *this->scheduler, this->instance_calls,
@@ -266,7 +266,7 @@
           .count_order = [this] { this->load.CountPiece(Piece::kMove); }},
       maintenance,
       maintenance::CapacitySettings{.is_on = policy.moves,
-                                    .holder_pause = times.instance_lease,
+                                    .takeover_pause = times.instance_lease,
                                     .reserve_permille = policy.reserve_permille,
                                     .surplus_time = policy.surplus_time,
                                     .move_time = times.move_time()},
@@ -320,7 +320,7 @@
   if (!this->scheduler) {
     return;
   }
-  this->changed_workers.merge(this->jobs_state.WorkersTouchedBy(command));
+  this->changed_workers.merge(this->jobs_state.FindAffectedWorkers(command));
 }
 
 // The active jobs that a command may finish; while another controller leads,
@@ -564,7 +564,7 @@
     // Reading a document takes every controller some 3 ms, and operators send
     // each again until they have its answer: 14 in two seconds took a tenth of
     // a busy leader's loop. The door has checked that it is valid.
-    if (auto answer = this->jobs_state.AnswerIfOld(*declare)) {
+    if (auto answer = this->jobs_state.AnswerIfNotNewer(*declare)) {
       return *std::move(answer);
     }
   }
@@ -647,7 +647,7 @@
       this->host->replica().membership();
   std::set<ProcessName> controllers;
   if (!this->uses_relays) {
-    this->relayed->Sync(controllers, now);
+    this->relayed->UpdateRelays(controllers, now);
     return;
   }
   for (const auto* members : {&membership.voters, &membership.learners}) {
@@ -656,7 +656,7 @@
     }
   }
   controllers.erase(this->settings.process());
-  this->relayed->Sync(controllers, now);
+  this->relayed->UpdateRelays(controllers, now);
 }
 
 absl::StatusOr<wire::Relay::Client> JobController::OpenRelay(
@@ -699,7 +699,7 @@
                            },
                        .forget =
                            [this](const WorkerId& worker) {
-                             this->relayed->Forget(worker);
+                             this->relayed->RemoveWorker(worker);
                            }});
   std::size_t begun = 0;
   for (const auto& [worker, session] : this->scheduler->sessions()) {
