--- a/libraries/scheduler/pace_control.cc
+++ b/libraries/scheduler/pace_control.cc
@@ -7,26 +7,28 @@
 namespace {
 
 constexpr std::uint32_t kFullPercent = 100;
-// A tail above this share of its target slows the fillers, in thousandths; the
-// figure is rough, so there is room to the target itself.
+// A tail above this share of its target, in thousandths, slows the fillers
+// down. The figure is rough, so a margin to the target is left.
 constexpr std::int64_t kHighPermille = 850;
-// A tail this far over its target stops them at once.
+// A tail above this share of its target stops the fillers at once.
 constexpr std::int64_t kStopPermille = 1'300;
-// A tail below this lets them work faster.
+// A tail below this share of its target lets the fillers speed up.
 constexpr std::int64_t kLowPermille = 650;
-// Workers report a mean over half a second: a change shows after that.
+// The time until a change of pace shows in the reports: workers report a mean
+// over half a second.
 constexpr Milliseconds kSettleTime{600};
-// Between two steps up.
+// The minimum time between two increases of the pace.
 constexpr Milliseconds kStepUpTime{1'000};
 constexpr std::uint32_t kStepUpPercent = 10;
-// Less than this is no use to anyone.
-constexpr std::uint32_t kLeastPercent = 10;
-// A pace this far below one that was too fast is the highest that is tried.
-constexpr std::uint32_t kBelowTooFast = 5;
-// By how much that bound rises with each step that would pass it.
+// A pace below this is too slow to be useful, so the fillers are stopped
+// instead.
+constexpr std::uint32_t kMinPercent = 10;
+// The ceiling is set this far below a pace that was too fast.
+constexpr std::uint32_t kCeilingMargin = 5;
+// How far the ceiling rises with each increase that would exceed it.
 constexpr std::uint32_t kCeilingStep = 3;
-// Pairs of images that are remembered; bounds memory.
-constexpr std::size_t kMostPairs = 1'000;
+// The maximum number of pairs of images that are remembered; bounds memory.
+constexpr std::size_t kMaxPairs = 1'000;
 
 }  // namespace
 
@@ -45,13 +47,13 @@
     if (now - pace.changed_at < kSettleTime || pace.percent == 0) {
       return false;
     }
-    if (this->ceilings.size() >= kMostPairs) {
+    if (this->ceilings.size() >= kMaxPairs) {
       this->ceilings.clear();
     }
     this->ceilings[images] =
-        pace.percent > kBelowTooFast ? pace.percent - kBelowTooFast : 0;
+        pace.percent > kCeilingMargin ? pace.percent - kCeilingMargin : 0;
     pace.percent = report.worst_permille > kStopPermille ? 0 : pace.percent / 2;
-    if (pace.percent < kLeastPercent) {
+    if (pace.percent < kMinPercent) {
       pace.percent = 0;
     }
   } else if (report.worst_permille < kLowPermille &&
@@ -59,8 +61,8 @@
     const auto ceiling = this->ceilings.find(images);
     std::uint32_t next = std::min(kFullPercent, pace.percent + kStepUpPercent);
     if (ceiling != this->ceilings.end() && next > ceiling->second) {
-      // At the ceiling: raise it a little instead, to find out if it still
-      // holds.
+      // Raises the ceiling a little instead of passing it, to test whether it
+      // still holds.
       ceiling->second = std::min(kFullPercent, ceiling->second + kCeilingStep);
       next = std::max(pace.percent, ceiling->second);
     }
--- a/libraries/scheduler/placement.cc
+++ b/libraries/scheduler/placement.cc
@@ -8,19 +8,19 @@
 namespace sumac::scheduler {
 namespace {
 
-// One worker in so many of a service, and one at least, is risked at a time on
-// tasks that may crash it.
-constexpr std::size_t kWorkersOfTrial = 4;
+// Of each service, one worker in this many, and at least one, may run tasks at
+// a time that could crash it.
+constexpr std::size_t kWorkersPerTrial = 4;
 
 }  // namespace
 
-void Placement::BeginTurn(Sessions& sessions, SteadyTime now) {
+void Placement::BeginPass(Sessions& sessions, SteadyTime now) {
   this->now = now;
   for (Pool& pool : this->pools) {
     pool.workers.clear();
     pool.quarantined.clear();
     pool.trials = 0;
-    pool.most_room = {};
+    pool.largest_room = {};
     pool.failed_needs.clear();
   }
   for (auto& [id, session] : sessions) {
@@ -37,13 +37,13 @@
         .push_back(&session);
   }
   for (Pool& pool : this->pools) {
-    // A pool of which nothing good is left uses what it has.
+    // A pool without a healthy worker uses its quarantined ones.
     if (pool.workers.empty()) {
       pool.workers.swap(pool.quarantined);
     }
     for (const WorkerSession* session : pool.workers) {
       const jobs::Resources room = session->Room();
-      jobs::Resources& most = pool.most_room;
+      jobs::Resources& most = pool.largest_room;
       most.millicores = std::max(most.millicores, room.millicores);
       most.memory_mb = std::max(most.memory_mb, room.memory_mb);
       most.accelerators = std::max(most.accelerators, room.accelerators);
@@ -77,7 +77,7 @@
 bool Placement::HasRoom(const ServiceName& service,
                         const jobs::Resources& need) const {
   const Pool* pool = this->FindPool(service);
-  if (pool == nullptr || !pool->most_room.Holds(need)) {
+  if (pool == nullptr || !pool->largest_room.Holds(need)) {
     return false;
   }
   const std::vector<jobs::Resources>& failed = pool->failed_needs;
@@ -86,20 +86,21 @@
       [&](const jobs::Resources& other) { return need.Holds(other); });
 }
 
-bool Placement::HasTrialPlace(const ServiceName& service) const {
+bool Placement::HasTrialCapacity(const ServiceName& service) const {
   const Pool* pool = this->FindPool(service);
   if (pool == nullptr) {
     return false;
   }
   const std::size_t workers = pool->workers.size() + pool->trials;
-  return pool->trials < std::max<std::size_t>(workers / kWorkersOfTrial, 1);
+  return pool->trials < std::max<std::size_t>(workers / kWorkersPerTrial, 1);
 }
 
-// In a rush hundreds of steps wait for a full pool, and each of them would look
-// at every worker in every turn.
-void Placement::NoteFailure(const PlacementRequest& request) const {
+// Under overload hundreds of steps wait for a full pool. Without this record
+// each of them would scan every worker in every planning pass.
+void Placement::RecordFailedNeed(const PlacementRequest& request) const {
   const jobs::StepSpec& step = request.step();
-  // The members of a gang hold room for each other while they are placed.
+  // Gangs are left out: their members reserve room only while the gang is being
+  // placed, so a failure need not hold for the rest of the pass.
   const bool is_plain = step.required_label.empty() && !step.is_gang &&
                         step.most_per_worker == 0 &&
                         request.rack.value().empty() &&
@@ -109,13 +110,14 @@
   if (pool == nullptr) {
     return;
   }
-  // A few suffice: what asks for less is noted as it fails.
-  constexpr std::size_t kMostNeeds = 8;
+  // A few entries suffice, since a smaller need replaces the larger ones when
+  // it fails.
+  constexpr std::size_t kMaxNeeds = 8;
   std::vector<jobs::Resources>& failed = pool->failed_needs;
   const jobs::Resources need = CountedNeed(step);
   std::erase_if(
       failed, [&](const jobs::Resources& other) { return other.Holds(need); });
-  if (failed.size() < kMostNeeds) {
+  if (failed.size() < kMaxNeeds) {
     failed.push_back(need);
   }
 }
@@ -145,7 +147,7 @@
          session.CountOf(request.task.step) < step.most_per_worker;
 }
 
-bool Placement::IsGood(const WorkerSession& session) const {
+bool Placement::IsHealthy(const WorkerSession& session) const {
   const WorkerId& id = session.worker().id;
   return !this->health.IsQuarantined(id, this->now) &&
          !this->health.IsSlow(id, this->now);
@@ -156,18 +158,18 @@
          worker.has_label(step.data_rack.value());
 }
 
-bool Placement::MayBeNear(const PlacementRequest& request) const {
+bool Placement::CanRunNearData(const PlacementRequest& request) const {
   const jobs::StepSpec& step = request.step();
   const std::vector<WorkerSession*>& workers =
       this->WorkersOf(request.job->service);
-  return std::any_of(workers.begin(), workers.end(),
-                     [&](const WorkerSession* session) {
-                       const jobs::Worker& worker = session->worker();
-                       return IsNear(step, worker) && this->IsGood(*session) &&
-                              (step.required_label.empty() ||
-                               worker.has_label(step.required_label)) &&
-                              worker.capacity.Holds(CountedNeed(step));
-                     });
+  return std::any_of(
+      workers.begin(), workers.end(), [&](const WorkerSession* session) {
+        const jobs::Worker& worker = session->worker();
+        return IsNear(step, worker) && this->IsHealthy(*session) &&
+               (step.required_label.empty() ||
+                worker.has_label(step.required_label)) &&
+               worker.capacity.Holds(CountedNeed(step));
+      });
 }
 
 WorkerSession* Placement::Choose(const PlacementRequest& request) const {
@@ -189,14 +191,16 @@
     const bool has_failed_there = request.memory != nullptr &&
                                   request.memory->failed_on.contains(worker.id);
     const bool is_far = !IsNear(step, worker);
-    // Fillers slow down what serves users beside them.
+    // Fillers slow down user-serving runs on the same worker.
     const std::uint32_t disturbed = step.is_filler ? session->serving_runs()
                                     : step.latency_target > Milliseconds(0)
                                         ? session->filler_runs()
                                         : 0;
     const std::size_t at_risk = request.is_suspect ? session->runs().size() : 0;
-    // The smaller the better: not where it failed, not on a slow worker, little
-    // to lose, near its data, little to disturb, tight fit.
+    // The smallest rank wins. The criteria, the most important first: the task
+    // has not failed on the worker, the worker is not slow, few runs are lost
+    // if it crashes, the task's data is near, few runs are disturbed, little
+    // room is left over.
     const std::tuple rank(has_failed_there, session->is_slow, at_risk, is_far,
                           disturbed,
                           session->Room().millicores - need.millicores);
@@ -206,7 +210,7 @@
     }
   }
   if (best == nullptr) {
-    this->NoteFailure(request);
+    this->RecordFailedNeed(request);
   }
   return best;
 }
@@ -218,7 +222,7 @@
   return pool == nullptr ? kNone : pool->workers;
 }
 
-std::vector<WorkerId> Placement::ListRoom(
+std::vector<WorkerId> Placement::ListWorkersWithRoom(
     const PlacementRequest& request) const {
   std::vector<std::pair<std::int64_t, WorkerId>> order;
   for (const WorkerSession* session : this->WorkersOf(request.job->service)) {
--- a/libraries/scheduler/stragglers.cc
+++ b/libraries/scheduler/stragglers.cc
@@ -15,19 +15,20 @@
   std::vector<Straggler> found;
   for (auto& [id, session] : sessions) {
     if (session.is_answering()) {
-      this->FindOn(session, now, found);
+      this->FindOnWorker(session, now, found);
     }
   }
   return found;
 }
 
-// How a run gets on, or nothing for one whose progress says nothing about its
-// worker: members of a gang wait for each other, and fillers for the others.
+// Returns the progress of a run, or nothing if its progress does not depend on
+// its worker alone: members of a gang wait for each other, and fillers yield to
+// other runs.
 std::optional<RunProgress> Stragglers::ProgressOf(const WorkerSession& session,
                                                   const Run& run) const {
-  // A long-running task takes about this long until it is at work.
+  // The expected time until a long-running task is up and running.
   constexpr Milliseconds kLongRunningStart{1'500};
-  // Most are told by what the session holds, before their jobs are looked up.
+  // The session's own data excludes most runs before their jobs are looked up.
   const bool is_at_its_end = run.percent >= kWholePercent;
   if (run.phase != RunPhase::kRunning || run.is_filler || is_at_its_end) {
     return std::nullopt;
@@ -49,9 +50,9 @@
                       : this->run_times.Expect(job->queue, *step)};
 }
 
-void Stragglers::FindOn(WorkerSession& session,
-                        SteadyTime now,
-                        std::vector<Straggler>& found) {
+void Stragglers::FindOnWorker(WorkerSession& session,
+                              SteadyTime now,
+                              std::vector<Straggler>& found) {
   struct Suspect {
     Run* run;
     RunProgress progress;
@@ -67,12 +68,12 @@
     if (!progress) {
       continue;
     }
-    const RunPace pace = JudgeProgress(*progress);
+    const RunPace pace = ClassifyProgress(*progress);
     normal += static_cast<std::size_t>(pace == RunPace::kNormal);
     if (pace == RunPace::kStalled) {
-      this->health.NoteStalled(worker, now);
+      this->health.RecordStall(worker, now);
     } else if (pace == RunPace::kSlow || pace == RunPace::kVerySlow) {
-      // The submitter's estimate alone says too little.
+      // The submitter's estimate alone is too unreliable.
       const jobs::Job* job = this->state.FindJob(run.task.step.job);
       if (!this->run_times.IsKnown(job->queue)) {
         continue;
@@ -84,11 +85,11 @@
     }
     suspects.push_back({&run, *progress, pace});
   }
-  // One slow run may be a long task; runs of several jobs show that it is the
-  // worker.
+  // A single slow run may just be a long task; slow runs of several jobs
+  // indicate a slow worker.
   is_slow = is_slow || (slow_jobs.size() > 1 && suspects.size() > normal);
   if (is_slow) {
-    this->health.NoteSlow(worker, now);
+    this->health.RecordSlowness(worker, now);
   }
   for (const auto& [run, progress, pace] : suspects) {
     if ((pace == RunPace::kStalled || is_slow) &&
@@ -102,7 +103,7 @@
                                    const Run& run,
                                    const RunProgress& progress,
                                    RunPace pace) const {
-  // What a stop, its report and another start take.
+  // The overhead of a stop, its report and another start.
   constexpr Milliseconds kRestart{700};
   const jobs::Job* job = this->state.FindJob(run.task.step.job);
   const TaskMemory* memory = this->tasks.Find(run.task);
@@ -123,7 +124,7 @@
                        .memory = memory,
                        .other_than = session.worker().id,
                        .advice = this->advice_for(*job)});
-  return other != nullptr && this->placement.IsGood(*other);
+  return other != nullptr && this->placement.IsHealthy(*other);
 }
 
 }  // namespace sumac::scheduler
--- a/libraries/scheduler/urgency.cc
+++ b/libraries/scheduler/urgency.cc
@@ -4,13 +4,14 @@
 namespace sumac::scheduler {
 namespace {
 
-// A late job earns a little until it has taken three times its time.
+// A late job is still worth a little until this many times its objective has
+// passed.
 constexpr int kWorthlessAfter = 3;
-// What comes to a job's run times on a busy leader: starts and reports that
-// wait, and the commit of its ends.
+// The usual overhead on top of a job's run times on a busy leader: starts and
+// reports that wait, and the commit of the ends of its runs.
 constexpr Milliseconds kUsualDelay{400};
 
-// By when a job is to be done, from when it was due.
+// The time within which a job should be done, counted from when it was due.
 Milliseconds ObjectiveOf(const jobs::QueueDeclaration& queue,
                          Milliseconds chain) {
   return Milliseconds(static_cast<std::int64_t>(
@@ -42,7 +43,7 @@
 
 Urgency UrgencyBasis::At(WallTime wall_now) const {
   Urgency urgency{.priority = this->priority, .sequence = this->sequence};
-  if (this->is_timeless) {
+  if (this->is_never_late) {
     return urgency;
   }
   if (wall_now > this->late_from) {
@@ -83,7 +84,7 @@
   const Milliseconds objective =
       ObjectiveOf(*queue, run_times.WholeChain(job.queue, job.spec));
   const Milliseconds left = run_times.RemainingChain(job, occurrence);
-  basis.is_timeless = false;
+  basis.is_never_late = false;
   basis.is_new = !job.has_begun && job.occurrences.empty();
   basis.late_from = due + objective - left - kUsualDelay;
   basis.worthless_from = due + kWorthlessAfter * objective - left;
--- a/services/sumacd/job_controller.cc
+++ b/services/sumacd/job_controller.cc
@@ -178,7 +178,7 @@
 void JobController::Tick() {
   const SteadyTime now = this->clock.SteadyNow();
   this->load.Measure();
-  this->loop_pacer.NoteLateness(this->load.lateness());
+  this->loop_pacer.RecordLateness(this->load.lateness());
   {
     const auto measured = this->load.work_times.Measure(Work::kReplicate);
     this->host->Tick(now);
@@ -361,7 +361,7 @@
     if (job == nullptr || job->is_active()) {
       continue;
     }
-    this->backlog.NoteFinished(this->clock.SteadyNow());
+    this->backlog.RecordFinished(this->clock.SteadyNow());
     const Milliseconds took = job->finished_at - job->accepted_at;
     this->metrics.Observe("sumac_job_seconds",
                           std::chrono::duration<double>(took).count());
@@ -428,7 +428,7 @@
                                         std::string message,
                                         Milliseconds retry_after) {
     this->load.CountRefusal(reason);
-    this->refused_callers.Note(job, now);
+    this->refused_callers.RecordRefusal(job, now);
     return fleet::Answer{.code = ResultCode::kOverloaded,
                          .message = std::move(message),
                          .document = {{"retry_after_ms", retry_after.count()}}};
@@ -448,7 +448,7 @@
   }
   scheduler::StartForecast& forecast = this->scheduler->start_forecast();
   const auto to_spare = this->scheduler->TimeToSpareFor(queue, spec);
-  const Milliseconds waited = this->refused_callers.WaitedOf(job, now);
+  const Milliseconds waited = this->refused_callers.WaitingTimeOf(job, now);
   if (to_spare && forecast.IsTooLate(queue.name, *to_spare - waited, now)) {
     return refuse(scheduler::RefusalReason::kTooLate,
                   "it would begin too late behind those that wait",
@@ -460,7 +460,7 @@
                          " ms late"),
                   this->load.RetryAfter());
   }
-  forecast.NoteTaken(queue.name);
+  forecast.RecordAccepted(queue.name);
   this->load.CountTakenJob();
   return std::nullopt;
 }
@@ -492,7 +492,7 @@
   return this
       ->Propose(jobs::SubmitJob{address->job, address->queue->name,
                                 request.spec,
-                                this->refused_callers.WaitedOf(
+                                this->refused_callers.WaitingTimeOf(
                                     address->job, this->clock.SteadyNow())})
       .then([this, job = address->job,
              queue = address->queue->name](fleet::Answer&& answer) {
@@ -865,7 +865,7 @@
   this->load.CountTurn();
   this->metrics.Observe("sumac_pass_seconds",
                         std::chrono::duration<double>(took).count());
-  this->loop_pacer.NotePass(
+  this->loop_pacer.RecordPass(
       std::chrono::duration_cast<std::chrono::microseconds>(took));
 }
 
--- a/tests/libraries/scheduler/long_rush_test.cc
+++ b/tests/libraries/scheduler/long_rush_test.cc
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// In a rush of several times what a leader can start, jobs that could not be in
-// time any more filled the backlog and shut the door on callers who could.
+// Guards against a backlog of stale jobs: under several times the load that a
+// leader can start, jobs that could no longer be in time filled the backlog,
+// and callers whose jobs could be in time were refused.
 #include <gtest/gtest.h>
 
 #include "tests/libraries/scheduler/rush_replay.h"
@@ -10,36 +11,37 @@
 
 struct Shares {
   double in_time = 0;
-  double taken = 0;
+  double accepted = 0;
 };
 
-// The shares of all calls of a rush of three times what a whole leader can do.
+// Returns the shares of all calls, at three times the load that a leader with
+// all its processor time can serve.
 Shares ReplayWith(double processor_share) {
   RushReplay replay({.processor_share = processor_share,
                      .rush_calls_a_second = 330,
                      .rush = std::chrono::seconds(20),
-                     .has_door = true});
+                     .has_backlog_limits = true});
   replay.Run();
-  return {.in_time = (replay.InTime(RushReplay::kUrgent) +
-                      replay.InTime(RushReplay::kPatient)) /
+  return {.in_time = (replay.InTimeShare(RushReplay::kUrgent) +
+                      replay.InTimeShare(RushReplay::kPatient)) /
                      2,
-          .taken = replay.Taken()};
+          .accepted = replay.AcceptedShare()};
 }
 
-TEST(LongRushTest, StaleJobsShutTheDoorOnCallersWhoCouldBeInTime) {
+TEST(LongRushTest, StaleJobsDoNotCrowdOutCallersWhoCanBeInTime) {
   for (const double share : {1.0, 0.75}) {
     const Shares shares = ReplayWith(share);
     EXPECT_GE(shares.in_time, share * 0.3) << share;
-    EXPECT_GE(shares.in_time, shares.taken * 0.55) << share;
+    EXPECT_GE(shares.in_time, shares.accepted * 0.55) << share;
   }
 }
 
-TEST(LongRushTest, ServiceFallsFasterThanProcessorTime) {
+TEST(LongRushTest, ServiceFallsNoFasterThanProcessorTime) {
   const Shares whole = ReplayWith(1.0);
   for (const double share : {0.9, 0.75}) {
     EXPECT_GE(ReplayWith(share).in_time, share * whole.in_time) << share;
   }
-  // Refusals cost the same however little can be served.
+  // The cost of refusals does not shrink with the processor time.
   for (const double share : {0.55, 0.4}) {
     EXPECT_GE(ReplayWith(share).in_time, share * whole.in_time * 0.8) << share;
   }
--- a/tests/libraries/scheduler/rush_replay.h
+++ b/tests/libraries/scheduler/rush_replay.h
@@ -27,36 +27,37 @@
 namespace sumac::scheduler {
 
 struct RushSettings {
-  // The share of the processor time that keeps up with a rush of 110 calls a
-  // second.
+  // The available processor time as a share of the time that is needed for a
+  // load of 110 calls a second.
   double processor_share = 1.0;
   double rush_calls_a_second = 110;
   std::chrono::seconds rush{10};
-  // Jobs are refused for what waits before them, too.
-  bool has_door = false;
+  // Whether jobs are also refused because of the jobs that wait before them.
+  bool has_backlog_limits = false;
 };
 
-// Replays a rush against the decisions of a leader that has too little
-// processor time: which jobs it takes, how many starts it orders and for which
-// jobs, and how long it gathers work. The leader is one event loop that does
-// what has come in turn; each kind of work costs what it cost a real one, more
-// on a slower processor. Workers have room for everything. A fake clock; the
-// same figures in every run.
+// Simulates a load spike (a rush) on a leader that has too little processor
+// time, with the leader's own decisions: which jobs it accepts, how many starts
+// it orders and for which jobs, and how long it collects work. The leader is
+// one event loop that processes what it receives in order. Each kind of work
+// has the cost measured on a real leader, more on a slower processor. Workers
+// have room for everything. Time is simulated, and every run gives the same
+// figures.
 class RushReplay {
  public:
   explicit RushReplay(RushSettings settings);
 
-  // Lets ten calm seconds, the rush and the time until all is done pass.
+  // Simulates ten calm seconds, the rush, and the time until all is done.
   void Run();
 
-  // The share of the queue's jobs that were done in time, counted from when
-  // their callers first sent them.
-  double InTime(const QueueName& queue) const;
-  // How many answers said that a job was not taken.
+  // Returns the share of the queue's jobs that were done in time, counted from
+  // when their callers first sent them.
+  double InTimeShare(const QueueName& queue) const;
+  // Returns the number of answers that refused a job.
   std::uint64_t refusals() const { return this->refused; }
 
-  // The share of all calls that were answered with success.
-  double Taken() const;
+  // Returns the share of all calls whose job was accepted.
+  double AcceptedShare() const;
 
   static const QueueName kUrgent;
   static const QueueName kPatient;
@@ -66,7 +67,7 @@
   struct Event {
     Instant at{};
     std::uint64_t number = 0;
-    std::function<void()> happen;
+    std::function<void()> action;
 
     bool operator<(const Event& other) const {
       return std::pair(other.at, other.number) <
@@ -80,24 +81,24 @@
     Instant first_sent{};
     int tries = 0;
     Instant longest_chain{};
-    bool is_taken = false;
+    bool is_accepted = false;
     bool is_in_time = false;
   };
   struct Worker {
     std::vector<jobs::RunEnd> ended;
     bool is_report_due = false;
-    Instant leave_alone_until{};
+    Instant earliest_report_at{};
   };
 
-  void At(Instant at, std::function<void()> happen);
-  void Work(Instant cost);
+  void Schedule(Instant at, std::function<void()> action);
+  void SpendTime(Instant cost);
   SteadyTime Now() const;
   WallTime WallNow() const;
-  void Probe(Instant due);
+  void MeasureLateness(Instant due);
   void SendCalls(Instant from, Instant to, double calls_a_second);
   void Submit(const JobId& id);
-  std::optional<Milliseconds> RefuseAtDoor(const Call& call,
-                                           const jobs::JobSpec& spec);
+  std::optional<Milliseconds> RefuseForBacklog(const Call& call,
+                                               const jobs::JobSpec& spec);
   void Refuse(Call& call, Milliseconds retry_after);
   void Commit(jobs::Command command);
   void CommitRound();
@@ -109,7 +110,7 @@
   void Start(const jobs::TaskId& task);
   void End(std::size_t worker, const jobs::TaskId& task);
   void Report(std::size_t worker);
-  void NoteFinished(const JobId& id);
+  void RecordFinished(const JobId& id);
 
   RushSettings settings;
   std::mt19937_64 random{7};
--- a/tests/libraries/scheduler/waiting_cause_test.cc
+++ b/tests/libraries/scheduler/waiting_cause_test.cc
@@ -12,8 +12,8 @@
 // Time for a few reviews.
 constexpr Milliseconds kReviews{2'500};
 
-// What the last review says of the first step of a job; nothing if it does not
-// wait.
+// Returns the cause that the last review found for the first step of a job;
+// null if the step does not wait.
 const WaitingCause* CauseOf(const FakeFleet& fleet, const std::string& job) {
   for (const auto& [step, waiting] : fleet.scheduler->waiting_table().steps()) {
     if (step.job == JobId(job)) {
@@ -44,7 +44,7 @@
   EXPECT_TRUE(cause->is_half_free);
 }
 
-TEST(WaitingCauseTest, ATaskLargerThanAnyWorkerIsTooSmallAFleet) {
+TEST(WaitingCauseTest, ATaskLargerThanAnyWorkerIsNamed) {
   FakeFleet fleet(2);
   fleet.Submit("job", {.count = 1, .need = {.millicores = 9'000}});
   fleet.PassTime(kReviews);
@@ -79,7 +79,7 @@
   EXPECT_EQ(cause->at_limit, 2U);
 }
 
-TEST(WaitingCauseTest, AGangThatHasRoomForSomeMembersSaysSo) {
+TEST(WaitingCauseTest, AGangWithRoomForSomeMembersIsNamed) {
   FakeFleet fleet(2);
   fleet.Submit(
       "job",
