--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -11,16 +11,17 @@
 namespace sumac::scheduler {
 namespace {
 
-// Runs of one leadership are numbered from epoch * 2^20, so that they rise over
-// changes of leader without anything being committed for a start.
+// The runs of one leadership are numbered from epoch * 2^20, so that run
+// numbers increase over changes of leader without a commit for each start.
 constexpr int kRunBitsOfEpoch = 20;
-// Another life at a worker's address is reported by its next announcement; runs
-// that nobody confirms nor denies are stopped after this.
+// How long a run may stay unconfirmed before it is stopped. If another
+// incarnation is at the worker's address, its next announcement shows that.
 constexpr Milliseconds kUnconfirmedTime{1'500};
-// Runs that the line about a life's end tells one by one.
+// The maximum number of runs that the log line about the end of an incarnation
+// lists.
 constexpr std::size_t kRunsOfLifeEnd = 6;
 
-// The first epoch of a group is 1 and its runs count from 1.
+// The first epoch of a group is 1, and its runs are numbered from 1.
 RunNumber FirstRunOf(LeaderEpoch epoch) {
   const std::uint64_t earlier = epoch.value() > 0 ? epoch.value() - 1 : 0;
   return RunNumber((earlier << kRunBitsOfEpoch) + 1);
@@ -94,7 +95,7 @@
   this->MarkCordoned(session->second);
 }
 
-// Takes a worker from the lives of its instance.
+// Removes a worker from the known incarnations on its instance.
 void Scheduler::ForgetLife(const jobs::Worker& worker) {
   const auto lives = this->lives_of.find(worker.instance);
   lives->second.erase(worker.id);
@@ -103,7 +104,8 @@
   }
 }
 
-// Ends a life that is not on record any more, or is no present one.
+// Ends an incarnation whose record has been removed, or that is not the current
+// incarnation of its worker.
 void Scheduler::EndLife(const WorkerId& worker, SteadyTime now) {
   const WorkerSession* session = this->FindSession(worker);
   const jobs::Worker* next =
@@ -120,10 +122,12 @@
   this->EndWorker(worker, LifeEnd::kRestarted, now);
 }
 
-// Ends the other lives on the instance of one that has just answered. An
-// announcement may outlive its sender and come after that of the next life, so
-// being heard of last proves nothing. An answer to a call that was sent after
-// another life was heard of does: lives follow each other.
+// Ends the other incarnations on the instance of a worker that has just
+// answered. The order of announcements proves nothing: an announcement may
+// arrive after its sender has ended and after that of the next incarnation. An
+// answer to a call that was sent after another incarnation became known does
+// prove that the other is over, since incarnations on one instance do not
+// overlap.
 void Scheduler::EndOtherLives(const WorkerSession& answering, SteadyTime now) {
   const jobs::Worker& worker = answering.worker();
   if (worker.instance.value().empty()) {
@@ -170,7 +174,8 @@
   const bool is_adopting = !session.is_adopted();
   session.NoteClock(report.clock, now);
   session.NoteReport(report.clock, now);
-  // With ends left out nobody knows yet what became of its runs.
+  // While the list of ends is incomplete, the outcome of the worker's runs is
+  // not known yet.
   if (!is_adopting || !report.has_more_ends) {
     session.NoteAnswer(now);
   }
@@ -196,7 +201,8 @@
   }
 }
 
-// Ends come again until they are acknowledged; each is looked at once.
+// Applies the ends in a report. A worker repeats its ends until they are
+// acknowledged; each is applied once.
 EndsToRecord Scheduler::TakeEnds(WorkerSession& session,
                                  const RenewReport& report,
                                  SteadyTime now) {
@@ -291,9 +297,10 @@
   }
 }
 
-// True if this run of an earlier leader is the one that its task should have.
-// NOTE: A leader that took in a failure started the next run at once, so the
-// end of an earlier run, on record or not, says nothing against a later one.
+// Returns true if this run of an earlier leader is the run that its task should
+// have.
+// NOTE: A leader that handled a failure started the next run immediately, so
+// the end of an earlier run, committed or not, does not rule out a later one.
 bool Scheduler::MayGoOn(const jobs::Job& job,
                         const RunningReport& running) const {
   const jobs::TaskProgress progress = job.ProgressOf(running.task);
@@ -305,8 +312,8 @@
                               running.run > known->last_ended_run);
 }
 
-// A run that this leader did not order: one of an earlier leader that goes on,
-// or one that has to go.
+// Handles a run that this leader did not order: a run of an earlier leader
+// either continues or is stopped.
 void Scheduler::AdoptRun(WorkerSession& session,
                          const RunningReport& running,
                          const RenewReport& report,
@@ -352,7 +359,7 @@
                             : "its task is not wanted there");
 }
 
-// Runs that the worker neither runs nor lists as ended.
+// Releases runs that the worker neither reports as running nor lists as ended.
 void Scheduler::TakeMissing(WorkerSession& session, const RenewReport& report) {
   std::vector<std::pair<jobs::TaskId, RunNumber>> gone;
   for (const auto& [key, run] : session.runs()) {
@@ -421,7 +428,8 @@
   }
 }
 
-// Each start of a job's tasks asks for the record until it is there.
+// Requests a record that the job has begun, with each start of its tasks until
+// that record is committed.
 void Scheduler::NoteBegun(const jobs::Job& job) {
   if (!job.has_begun && job.is_active()) {
     this->begun.insert(job.id);
@@ -469,7 +477,8 @@
                        "the worker refused the start");
       break;
     case OrderResult::kFenced:
-      // Another leader gives orders there; this one finds out by its lease.
+      // Another leader controls the worker; this one will notice by the loss of
+      // its own lease.
       this->ReleaseRun(session, order.task, order.run, "fenced off");
       break;
     case OrderResult::kOtherLife:
@@ -480,12 +489,14 @@
       this->ReleaseRun(session, order.task, order.run, "nobody listens there");
       break;
     case OrderResult::kNotSent:
-      // Nothing is known against the worker, but the way there is crowded.
+      // This is no evidence against the worker, but the path to it is
+      // congested.
       session.full_until = now + this->settings.full_pause;
       this->ReleaseRun(session, order.task, order.run, "the start never left");
       break;
     case OrderResult::kOldRun:
-      // The worker knows this run or a later one: it may have run to its end.
+      // The worker knows this run or a later one, so the run may have started
+      // and ended.
       this->SettleStart(session, *run, "refused as old", now);
       break;
     case OrderResult::kUnknown:
@@ -496,21 +507,22 @@
   this->needs_plan = true;
 }
 
-// A run of which nobody knows whether it has begun, or will, or has ended. A
-// stop and the next report settle it either way, before its task goes
-// elsewhere.
+// Handles a start whose outcome is unknown: the run may have begun, may still
+// begin, or may have ended. A stop and the next report settle this before its
+// task is started elsewhere.
 void Scheduler::SettleStart(WorkerSession& session,
                             Run& run,
                             const std::string& reason,
                             SteadyTime now) {
   if (run.phase != RunPhase::kOrdered) {
-    // A report has shown that it runs, or it is being stopped already.
+    // A report has shown that the run is running, or it is already being
+    // stopped.
     return;
   }
   this->notes.Add("start-unsettled", run.task, run.number, session.worker().id,
                   reason);
-  // The run may be at work by the time the stop arrives: three such stops at
-  // once took all tasks of a step away that may miss one.
+  // The run may be running by the time the stop arrives: three such stops at
+  // once have taken down all tasks of a step whose disruption budget was one.
   if (run.is_budgeted && !this->MayTakeAway(run.task, now)) {
     this->report_wanted.insert(session.worker().id);
     return;
@@ -546,7 +558,7 @@
   this->needs_plan = true;
 }
 
-// The placement policy of the job's queue, or nothing.
+// Returns the placement policy of the job's queue, or null.
 const jobs::PlacementPolicy* Scheduler::PolicyOf(const jobs::Job& job) const {
   const jobs::QueueDeclaration* queue =
       this->state.declaration().FindQueue(job.queue);
@@ -558,8 +570,8 @@
   return this->PolicyOf(job) == nullptr ? nullptr : &this->advice;
 }
 
-// Asks about workers that have room for the task, where its queue has a
-// placement policy.
+// Queues a question about the workers that have room for the task, if the
+// task's queue has a placement policy.
 void Scheduler::AskForAdvice(const Candidate& candidate,
                              const jobs::TaskId& task,
                              SteadyTime now) {
@@ -598,8 +610,8 @@
   this->needs_plan = true;
 }
 
-// True if nothing planned explains the end: neither had the worker said that it
-// would leave, nor was an order that ends it on record.
+// Returns true if no planned action explains the end: the worker had not
+// announced that it would leave, and no order that ends it is committed.
 bool Scheduler::IsCrash(const WorkerSession& session, LifeEnd end) const {
   const jobs::Worker& worker = session.worker();
   const auto move = this->state.record().moves.find(worker.instance);
@@ -608,8 +620,9 @@
   return IsUnexplained(end) && !worker.is_draining && !is_ordered;
 }
 
-// NOTE: The tasks wait until the crash is on record, so that each start of any
-// leader knows of all crashes before it.
+// Records the crash of a worker for the tasks that were running there.
+// NOTE: These tasks are not started until the crash is committed, so that each
+// start by any leader is decided with all earlier crashes known.
 void Scheduler::TakeCrash(const WorkerSession& session, SteadyTime now) {
   std::vector<jobs::CrashedRun> runs = FindCrashedRuns(session, this->state);
   std::erase_if(runs, [this](const jobs::CrashedRun& run) {
@@ -641,7 +654,7 @@
   }
 }
 
-// Tells which runs a life took with it, those that began last first.
+// Logs which runs ended with an incarnation, the most recently ordered first.
 void Scheduler::NoteLifeEnd(const WorkerSession& session,
                             LifeEnd end,
                             SteadyTime now) {
@@ -670,7 +683,8 @@
                       std::string(TextOf(end)), is_crash, std::move(text));
 }
 
-// An address goes to another life only once the one before is over.
+// Ends an incarnation because another one is at its address. An address is
+// reused only after its previous incarnation is over.
 void Scheduler::EndReplacedWorker(const WorkerId& worker, SteadyTime now) {
   this->ended.Note(worker);
   this->EndWorker(worker, LifeEnd::kReplacedAtAddress, now);
@@ -697,8 +711,9 @@
   this->needs_plan = true;
 }
 
-// A gang whose member is missing would hold its room until the others give up
-// waiting; they are stopped at once, so that it can start anew.
+// Stops the other members of a gang that has lost a member. Otherwise they
+// would hold their room until they give up waiting; stopping them lets the gang
+// start again immediately.
 void Scheduler::BreakGang(const jobs::TaskId& member, RunNumber run) {
   const jobs::StepSpec* step = this->state.FindStep(member);
   if (step == nullptr || !step->is_gang) {
@@ -718,7 +733,8 @@
   }
 }
 
-// Where the checkpoint of a task is kept: a gang has one for all its members.
+// Returns the entry that holds the checkpoint of a task: the members of a gang
+// share one checkpoint.
 TaskMemory& Scheduler::CheckpointOf(const jobs::TaskId& task,
                                     const jobs::StepSpec& step) {
   return this->tasks.Get({task.step, step.is_gang ? 0 : task.index});
@@ -772,8 +788,8 @@
   }
 }
 
-// Asks the workers of a step's tasks for reports where the last one is too old
-// to tell whether a task is at work.
+// Requests reports from the workers of a step's tasks whose last report is too
+// old to show whether their task is running.
 void Scheduler::AskWhoIsAtWork(const jobs::StepId& step, SteadyTime now) {
   const jobs::TaskId first{step, 0};
   const jobs::StepSpec* spec = this->state.FindStep(first);
@@ -804,9 +820,9 @@
       this->ReleaseAll(session, "its lease is over");
       session.Reset();
     }
-    // NOTE: Workers join all the time while pools grow. One that was put on
-    // record under this leader has had no orders from another, and must not
-    // make all older jobs of its service wait.
+    // NOTE: Workers join continuously while pools grow. A worker that was first
+    // recorded under this leader has had no orders from another one, so it must
+    // not make all older jobs of its service wait.
     const bool is_inherited = session.began_at() == this->began_at;
     if (is_inherited && !is_lapsed && !session.is_adopted()) {
       this->uncertain.insert(session.worker().service);
@@ -814,8 +830,9 @@
   }
 }
 
-// A run that a report shows after some time has not crashed its worker; the
-// report is asked for, since a renewal may take longer.
+// Requests a report from a worker with a trial that has lasted long enough: a
+// run that is still reported after that time has not crashed its worker.
+// Waiting for the next renewal could take longer.
 void Scheduler::FollowTrials(WorkerSession& session, SteadyTime now) {
   static constexpr Milliseconds kTime = jobs::TaskCrashes::kSuspectTime;
   if (session.trials() == 0 || now - session.report_asked_at < kTime) {
@@ -852,7 +869,8 @@
     const std::map<InstanceName, InstanceLife>& lives,
     SteadyTime asked_at) {
   if (lives.empty()) {
-    // A platform without any instance has lost its list, not its instances.
+    // A platform that lists no instance at all has lost its list, not its
+    // instances.
     return;
   }
   std::vector<WorkerId> dead;
@@ -894,16 +912,17 @@
       gone.emplace(id, session.worker().sequence);
     }
   }
-  // NOTE: From here on the worker gets no orders, also if it answers again
-  // before the command is committed: later leaders would not know of its runs.
+  // NOTE: From here on the worker gets no orders, even if it answers again
+  // before the command is committed: later leaders would not know of runs
+  // started there.
   for (const auto& [id, sequence] : gone) {
     this->EndWorker(id, LifeEnd::kSilent, now);
     this->forgotten[id] = {.ask_at = now, .sequence = sequence};
   }
   for (auto& [id, forgetting] : this->forgotten) {
     if (now >= forgetting.ask_at) {
-      // The command may be on its way twice; its sequence keeps the second from
-      // ending what the worker began since.
+      // The command may be submitted twice; the sequence number keeps the
+      // second one from ending runs that the worker has begun since.
       forgetting.ask_at = now + this->settings.forget_after;
       output.commands.emplace_back(
           jobs::ForgetWorker{id, false, forgetting.sequence});
@@ -933,9 +952,9 @@
   if (session == this->workers.end() || !session->second.is_answering()) {
     return false;
   }
-  // An answer that is still to come may tell of an end: 0.9 s before an
-  // evacuation leases had ended that its leader took for work by reports 2.3 s
-  // old.
+  // The next report may contain an end. In one evacuation the leader counted
+  // tasks as running by reports that were 2.3 s old, although their leases had
+  // ended 0.9 s before.
   if (now - session->second.reported_at() > this->settings.fresh_report) {
     return false;
   }
@@ -976,7 +995,7 @@
   return job != nullptr && this->ChooseWorker(*job, task) != nullptr;
 }
 
-// Long-running tasks leave instances that are to be taken away; others end by
+// Moves long-running tasks off cordoned instances; other tasks end by
 // themselves.
 void Scheduler::EvacuateCordoned(SteadyTime now) {
   if (this->cordoned.empty()) {
@@ -1004,8 +1023,8 @@
   }
 }
 
-// Runs that stand still or crawl are stopped, so that their tasks start again
-// on a worker of which nothing bad is known.
+// Stops runs that are stalled or slow, so that their tasks start again on a
+// worker with no known problem.
 void Scheduler::GiveUpStragglers(SteadyTime now) {
   if (!this->settings.leaves_bad_workers ||
       now - this->judged_at <
@@ -1014,8 +1033,9 @@
   }
   this->judged_at = now;
   for (const Straggler& straggler : this->stragglers.Find(this->workers, now)) {
-    // NOTE: A long-running task that was not at work by the last report may be
-    // by the time the stop arrives, so its budget counts all the same.
+    // NOTE: A long-running task that was not in operation according to the last
+    // report may be so by the time the stop arrives, so the disruption budget
+    // applies anyway.
     if (this->MayTakeAway(straggler.run->task, now)) {
       this->GiveUp(straggler, now);
     } else {
@@ -1048,7 +1068,7 @@
          !job->ProgressOf(run.task).is_done;
 }
 
-// Marks runs whose job or task has finished as ones that have to go.
+// Marks runs whose job or task has finished as stopping.
 void Scheduler::FindUnwanted(SteadyTime now) {
   const bool has_news = this->seen_finish_count != this->state.finish_count();
   if (!has_news || now - this->looked_for_unwanted <
@@ -1066,9 +1086,10 @@
   }
 }
 
-// NOTE: A stopped run is gone only once a later report shows so. The stop is
-// answered as well when the run had ended as done before, and then the task
-// must not run again.
+// Sends stops to runs that are no longer wanted.
+// NOTE: A stopped run counts as gone only once a later report shows this. A
+// worker also acknowledges the stop of a run that had already ended as done,
+// and then the task must not run again.
 void Scheduler::StopUnwanted(SteadyTime now, SchedulerOutput& output) {
   this->FindUnwanted(now);
   for (auto& [id, session] : this->workers) {
@@ -1078,7 +1099,8 @@
   }
 }
 
-// Stops the runs of one worker that have to go or were not confirmed in time.
+// Stops the runs of one worker that are marked as stopping or were not
+// confirmed in time.
 void Scheduler::StopUnsettled(WorkerSession& session,
                               SteadyTime now,
                               SchedulerOutput& output) {
@@ -1135,13 +1157,15 @@
   this->waiting.Settle(unplaced, wall_now);
 }
 
-// True if this turn has a start left for a job that is as late.
+// Returns true if this planning pass may still order a start for a job of this
+// lateness.
 bool Scheduler::MayStart(Lateness lateness) const {
   return this->starts_left.all > 0 &&
          (lateness == Lateness::kInTime || this->starts_left.late > 0);
 }
 
-// Finds out, now and then, why the most urgent of the steps that wait do so.
+// Determines, at intervals, why the most urgent of the waiting steps have no
+// place.
 void Scheduler::ReviewWaiting(const std::vector<DueOccurrence>& due,
                               const JobNumbers& unplaced,
                               SteadyTime now) {
@@ -1195,8 +1219,8 @@
   }
 }
 
-// Starts what can be started of one occurrence of a job. False if something is
-// left that only lacks a place.
+// Starts as many tasks as possible of one occurrence of a job. Returns false if
+// some task lacks only a place.
 bool Scheduler::StartSteps(const DueOccurrence& due,
                            SteadyTime now,
                            SchedulerOutput& output) {
@@ -1216,7 +1240,7 @@
   return is_all_placed;
 }
 
-// True if the task is not done and no run of it may exist.
+// Returns true if the task is not done and no run of it may exist.
 bool Scheduler::NeedsStart(const jobs::Job& job,
                            const jobs::TaskId& task,
                            const TaskMemory* memory) {
@@ -1224,8 +1248,9 @@
   return !is_unsettled && !job.ProgressOf(task).is_done;
 }
 
-// A task of an older job may still run on a worker that has not answered this
-// leader yet, of its queue's service or of one that the queue had before.
+// Returns true if a task of the job may be running on a worker that has not
+// answered this leader yet. This concerns jobs accepted under earlier leaders,
+// and workers of the job's service or of a service that its queue had before.
 bool Scheduler::MayRunUnseen(const jobs::Job& job) const {
   if (job.sequence >= this->first_own_sequence) {
     return false;
@@ -1237,8 +1262,8 @@
                      });
 }
 
-// Starts the tasks of a step that have no run. False if one of them found no
-// place.
+// Starts the tasks of a step that have no run. Returns false if one of them
+// found no place.
 bool Scheduler::StartStep(const Candidate& candidate,
                           SteadyTime now,
                           SchedulerOutput& output) {
@@ -1264,7 +1289,8 @@
     WorkerSession* session =
         this->ChooseWorker(job, task, trial != TrialTurn::kNone);
     if (session == nullptr) {
-      // Tasks of one step are alike: if one finds no room, none does.
+      // Tasks of one step have the same needs: if there is no room for one,
+      // there is none for the others.
       this->AskForAdvice(candidate, task, now);
       return false;
     }
@@ -1283,9 +1309,10 @@
   return is_all_placed;
 }
 
-// A task that may crash its worker is tried on one of its own, so that a second
-// crash accuses one task and takes little else with it. Members of a gang can
-// only start together, and are not.
+// Decides whether a task's next start is a trial. A task that may crash its
+// worker is tried on a worker of its own, so that a second crash identifies the
+// task and affects few other runs. Members of a gang can only start together
+// and are not tried.
 Scheduler::TrialTurn Scheduler::JudgeTrial(const jobs::Job& job,
                                            const jobs::TaskId& task,
                                            SteadyTime now) {
@@ -1312,26 +1339,26 @@
   return has_waited ? TrialTurn::kApart : TrialTurn::kLater;
 }
 
-// True if the task should rather wait for room near its data than start on this
-// worker, the best that has room.
+// Returns true if the task should wait for room near its data instead of
+// starting on this worker, the best one with room.
 bool Scheduler::WaitsForNear(const jobs::Job& job,
                              const jobs::TaskId& task,
                              const jobs::Worker& worker,
                              SteadyTime now) {
   const jobs::StepSpec& step = job.spec.steps[task.step.step];
-  // What lasts has no run time to lose.
+  // A long-running task has no run time that a far place could extend.
   if (step.is_long_running || Placement::IsNear(step, worker)) {
     return false;
   }
-  // A far run holds its room for a multiple of the time, so that under load
-  // every one of them makes others wait, too.
+  // A run far from its data holds its room several times as long, so under load
+  // each of them delays other tasks, too.
   return this->placement.MayBeNear({.job = &job, .task = task}) &&
          this->near_wait.ShouldWait(
              task.step, this->run_times.Expect(job.queue, step), now);
 }
 
-// A worker for each member of a gang, of one rack where one is named; fewer if
-// not all find room.
+// Returns a worker for each member of a gang, all in `rack` if it is not empty;
+// fewer if there is not enough room.
 std::vector<WorkerSession*> Scheduler::PlaceGang(const Candidate& candidate,
                                                  const Rack& rack) {
   const jobs::StepSpec& step = candidate.job->spec.steps[candidate.step];
@@ -1348,7 +1375,7 @@
     if (session == nullptr) {
       break;
     }
-    // Holds the room while the others are placed.
+    // Reserves the room while the other members are placed.
     session->AddRun(Run{.task = task, .need = Placement::CountedNeed(step)});
     places.push_back(session);
   }
@@ -1358,8 +1385,8 @@
   return places;
 }
 
-// A gang starts whole or not at all, all members with one run number. False if
-// it found no place.
+// Starts a gang as a whole or not at all, with one run number for all members.
+// Returns false if it found no place.
 bool Scheduler::StartGang(const Candidate& candidate,
                           SteadyTime now,
                           SchedulerOutput& output) {
@@ -1369,7 +1396,7 @@
   RunNumber run;
   for (task.index = 0; task.index < step.count; ++task.index) {
     if (!NeedsStart(job, task, this->tasks.Find(task))) {
-      // It runs, or a member of its last run still has to go.
+      // The gang is running, or a member of its last run has not ended yet.
       return true;
     }
     run = std::max(run, this->NextRun(job, task));
@@ -1400,7 +1427,8 @@
   return true;
 }
 
-// NOTE: A gang starts whole, and may take more than is left.
+// Subtracts one start from what this planning pass may still order.
+// NOTE: A gang starts as a whole and may use more starts than are left.
 void Scheduler::TakeStart(Lateness lateness) {
   const auto take = [](std::size_t& left) {
     left -= std::min<std::size_t>(left, 1);
--- a/libraries/scheduler/scheduler.h
+++ b/libraries/scheduler/scheduler.h
@@ -44,177 +44,191 @@
 struct SchedulerSettings {
   LeaseSettings lease;
   ForecastSettings forecast;
-  // How long a worker takes at most to carry out a stop, by the platform's
-  // terms.
+  // The maximum time that a worker takes to carry out a stop, as guaranteed by
+  // the platform.
   Milliseconds longest_stop{1'000};
-  // A report that is older says nothing of what is at work: twice the time for
-  // which a worker with runs may keep its report back.
+  // The maximum age of a report that counts as evidence of what is running:
+  // twice the time for which a worker with runs may delay its report.
   Milliseconds fresh_report{1'200};
-  // Before a stop that had no effect yet is sent again.
+  // How long to wait before resending a stop that has had no effect yet.
   Milliseconds stop_retry{450};
-  // A worker that said it is full gets no starts for this long.
+  // How long a worker that reported that it is full gets no starts.
   Milliseconds full_pause{200};
-  // Among jobs of one priority, those that can still be in time go first and
-  // the most pressing of them before the others; without it jobs go in the
-  // order in which they came.
+  // Whether jobs of the same priority are ordered by their slack: those that
+  // can still meet their deadline go first, the most urgent of them before the
+  // others. If false, jobs are ordered by arrival.
   bool orders_by_slack = true;
-  // Runs that do not get on are given up and started elsewhere, and workers
-  // that fail tasks or stand still get none for a while.
+  // Whether runs that make no progress are given up and started elsewhere, and
+  // workers that fail tasks or are stalled get no tasks for a while.
   bool leaves_bad_workers = true;
-  // Runs are judged this often, and the more seldom the more there are.
+  // The minimum interval between two scans for stragglers and silent workers.
+  // The interval between scans for stragglers grows with the number of runs.
   Milliseconds judge_interval{100};
-  // A run of a task is given up this often at most.
+  // The maximum number of times that a run of the same task is given up.
   std::uint32_t most_moves = 2;
-  // A worker that has been silent for this long after its lease is forgotten.
+  // How long a worker may stay silent, after its lease is over, before its
+  // record is removed.
   Milliseconds forget_after{10'000};
-  // A task that crashed two workers is not started for so long after the
-  // second.
+  // How long a task that crashed two workers is not started after the second
+  // crash.
   Milliseconds crash_pause{500};
-  // A task that may crash its worker waits no longer than this for a worker to
-  // be tried on, so that a crash of a whole pool holds nobody up.
+  // The maximum time that a task that may crash its worker waits for a worker
+  // to run its trial on. The limit keeps a crash of a whole pool from blocking
+  // jobs.
   Milliseconds longest_trial_wait{1'000};
-  // The same for a task under which two workers crashed: there are few, and a
-  // third crash may end their jobs.
+  // The same for a task under which two workers have crashed. It is longer
+  // because such tasks are few and a third crash may fail their jobs.
   Milliseconds longest_repeated_wait{2'500};
-  // Before the record that a worker's life is over is asked for again.
+  // How long to wait before resending the command that records that a worker's
+  // incarnation is over.
   Milliseconds forget_retry{1'000};
-  // All active jobs are looked at this often, and in between only those of
-  // which something changed.
+  // The interval between full scans of the active jobs. Between them only jobs
+  // that have changed are examined.
   Milliseconds full_look_interval{1'000};
-  // After jobs have finished, before all runs are looked at for theirs. Small
-  // beside the time that a stop may take; the more runs there are, the longer.
+  // How long to wait, after jobs have finished, before the scan of all runs for
+  // those that belong to them. Small compared with the time that a stop may
+  // take. The interval grows with the number of runs.
   Milliseconds unwanted_interval{50};
-  // For as many runs the two intervals above hold; a look at all of them costs
-  // some 0.2 microseconds a run, so that this keeps it to a hundredth of a
-  // core.
+  // The number of runs for which the two scan intervals above are meant; with
+  // more runs they are multiplied. A scan costs about 0.2 microseconds per run,
+  // so this keeps it to 1 % of a core.
   std::size_t runs_of_interval = 1'000;
 };
 
 using Order = std::variant<StartOrder, StopOrder, PaceOrder>;
 
-// What a call of the scheduler leads to. Orders go out in this order, each only
-// while the leader holds its lease.
+// The result of one planning pass. Orders are sent in the given order, each
+// only while the leader holds its lease.
 struct SchedulerOutput {
   std::vector<Order> orders;
-  // Reports to ask for at once; they answer TakeReport like renewals.
+  // Reports to request immediately. Their answers are passed to TakeReport like
+  // answers to renewals.
   std::vector<RenewOrder> report_requests;
   // Commands to commit.
   std::vector<jobs::Command> commands;
-  // To be asked of the placement policy.
+  // The question to send to the placement policy.
   std::optional<AdviceQuestion> question;
   std::vector<SchedulerEvent> events;
 };
 
-// What the platform says of one instance.
+// The status of one instance as reported by the platform.
 struct InstanceLife {
   bool is_up = false;
-  // The worker that runs there, of whichever life; empty if that is not known.
+  // The name of the worker that runs there, whichever its incarnation; empty if
+  // unknown.
   WorkerName worker;
 };
 
-// Ends that a worker reported and that must be on record before the worker is
-// told so.
+// Ends of runs that a worker reported. They must be committed before they are
+// acknowledged to the worker.
 struct EndsToRecord {
   std::vector<jobs::RunEnd> ends;
-  // The worker numbered them from after + 1 up to this; 0 for no ends.
+  // The worker numbered these ends from `after` + 1 to `up_to`; `up_to` is 0 if
+  // there are no ends.
   std::uint64_t after = 0;
   std::uint64_t up_to = 0;
 };
 
-// Decides, for the leader, which task runs on which worker: it adopts what runs
-// already, starts what is due, stops what must go, and starts again what ended
-// too early. It holds what the leader believes about workers; all that must
-// last is in the jobs state. Pure: time comes in as an argument, and what is to
-// be done comes out.
+// Decides, on behalf of the leader, which task runs on which worker: it adopts
+// runs of earlier leaders, starts due tasks, stops unwanted runs, and restarts
+// tasks whose runs ended too early. It holds the leader's volatile view of the
+// workers; everything durable is in the jobs state. It does no I/O: the time is
+// passed in as an argument, and the actions to take are returned.
 class Scheduler {
  public:
-  // Begins a leadership at `now`. Tasks of jobs that are active now may run
-  // somewhere already.
+  // Begins a leadership at `now`. Tasks of jobs that are active at this time
+  // may already be running somewhere.
   Scheduler(const jobs::JobsState& state,
             SchedulerSettings settings,
             SteadyTime now);
 
-  // Takes in that these workers were recorded, changed or forgotten.
+  // Updates the sessions of workers whose records were added, changed or
+  // removed.
   void SyncWorkers(const std::set<WorkerId>& changed, SteadyTime now);
 
-  // The next renewal for a worker, or nothing if the worker is not known any
-  // more.
+  // Returns the next renewal for a worker, or nothing if the worker is no
+  // longer known.
   std::optional<RenewOrder> NextRenewal(const WorkerId& worker, SteadyTime now);
-  // Takes in the answer to a renewal and gives the ends that must be recorded.
+  // Handles the answer to a renewal and returns the ends that must be
+  // committed.
   EndsToRecord TakeReport(const WorkerId& worker,
                           const RenewReport& report,
                           SteadyTime now);
-  // Takes in that a renewal failed.
+  // Handles a renewal that failed.
   void TakeRenewalFailure(const WorkerId& worker,
                           OrderResult result,
                           SteadyTime now);
-  // Takes in that these ends are on record. The worker is told so only once all
-  // that came before them are, too.
+  // Handles the commit of these ends. They are acknowledged to the worker only
+  // once all earlier ends are committed, too.
   void NoteRecorded(const WorkerId& worker, const EndsToRecord& recorded);
 
-  // Takes in what became of an order.
+  // Handles the answer to an order.
   void TakeAnswer(const Order& order,
                   const OrderAnswer& answer,
                   SteadyTime now);
 
-  // Takes in what the placement policy said.
+  // Handles the placement policy's answer to a question.
   void TakeAdvice(const AdviceQuestion& question,
                   const AdviceAnswer& answer,
                   SteadyTime now);
 
-  // From now on nothing is started on these instances, and long-running tasks
-  // leave them as the disruption budgets allow.
+  // Cordons these instances instead of the earlier ones: nothing is started on
+  // them, and long-running tasks are moved off them as the disruption budgets
+  // allow.
   void SetCordoned(std::set<InstanceName> instances);
-  // True if a task may be taken from its worker by a planned step now: its
-  // step's disruption budget has room, every task that is not surely at work by
-  // a report of late counting as away.
+  // Returns true if a planned action may stop the task's run now because the
+  // disruption budget of its step has room for it. Every other task of the step
+  // that no recent report confirms as running counts against the budget.
   bool MayTakeAway(const jobs::TaskId& task, SteadyTime now) const;
 
-  // True while some worker fails to answer, so that it is of use to know
-  // whether its instance is up.
+  // Returns true while some worker fails to answer. The caller should then ask
+  // the platform whether the worker's instance is up.
   bool NeedsLifeCheck() const;
-  // The instances of all workers that fail to answer.
+  // Returns the instances of all workers that fail to answer.
   std::set<InstanceName> InstancesInDoubt() const;
-  // Takes in what the platform, asked at `asked_at`, says of the instances in
-  // doubt, or of more. The life of a worker that fails to answer is over if its
-  // instance was down or gone, or ran another one.
+  // Handles the status that the platform, asked at `asked_at`, reported for at
+  // least the instances of workers that fail to answer. The incarnation of such
+  // a worker is over if its instance is down, gone, or runs another worker.
   void TakeInstanceLives(const std::map<InstanceName, InstanceLife>& lives,
                          SteadyTime asked_at);
 
-  // Takes in that a worker's life is over, as of `now`.
+  // Ends a worker's incarnation as of `now` and releases its runs.
   void EndWorker(const WorkerId& worker, LifeEnd end, SteadyTime now);
 
-  // Decides what is to be done now, with no more starts than allowed; what is
-  // left waits for the next call. A gang starts whole or not at all.
+  // Runs one planning pass and returns the actions to take, with no more starts
+  // than `allowed`; other starts wait for the next call. A gang starts as a
+  // whole or not at all.
   SchedulerOutput Plan(SteadyTime now,
                        WallTime wall_now,
                        StartAllowance allowed = {});
 
-  // True if something came in since the last Plan that it should look at.
+  // Returns true if there has been input since the last call of Plan that it
+  // should act on.
   bool is_dirty() const { return this->needs_plan; }
-  // Makes Plan look at the jobs anew, after a commit.
+  // Requests another planning pass, after a commit.
   void Wake() { this->needs_plan = true; }
 
-  // True if it is on record that a task of the job has begun.
+  // Returns true if a committed record says that a task of the job has begun.
   bool HasBegun(const jobs::Job& job) const;
-  // What the tasks of each service need now: those that run and those that
-  // could.
+  // Returns the resources that the tasks of each service need now, counting
+  // both running tasks and tasks that could run.
   std::map<ServiceName, jobs::ServiceDemand> Demand(SteadyTime now,
                                                     WallTime wall_now) {
     return this->demand.Measure(now, wall_now);
   }
-  // How many accepted jobs of a queue have not begun.
+  // Returns the number of accepted jobs of a queue that have not begun.
   std::uint64_t CountPending(const QueueName& queue) const;
 
-  // How many jobs wait for a start, as of the last turn.
+  // The number of jobs that waited for a start in the last planning pass.
   std::size_t waiting_count() const { return this->waiting.size(); }
-  // The same, as seen from one queue.
+  // The numbers of waiting jobs as seen from one queue.
   WaitingCounts CountWaitingFor(const QueueName& queue) const {
     return this->waiting.CountFor(queue);
   }
-  // Predicts when a new job of a queue begins.
+  // The forecast of when a new job of a queue begins.
   StartForecast& start_forecast() { return this->forecast; }
-  // How long a new job of the queue can wait for its start; see TimeToSpare.
+  // Returns how long a new job of the queue can wait for its start and still be
+  // in time; see TimeToSpare.
   std::optional<Milliseconds> TimeToSpareFor(
       const jobs::QueueDeclaration& queue,
       const jobs::JobSpec& spec) const {
@@ -222,17 +236,18 @@
                ? TimeToSpare(queue, spec, this->run_times)
                : std::nullopt;
   }
-  // How many of those that waited were late, as of the last pass.
+  // The waiting jobs of the last planning pass, counted by lateness.
   const LatenessCounts& waiting_counts() const {
     return this->waiting.lateness_counts();
   }
-  // Starts ordered since the leadership began.
+  // The starts ordered since the leadership began, counted by lateness.
   const LatenessCounts& start_counts() const { return this->starts_ordered; }
 
-  // Why steps that are due have no place, as of the last review.
+  // The reasons why due steps have no place, as of the last review.
   const WaitingTable& waiting_table() const { return this->waiting_steps; }
 
-  // True while a worker gets no tasks because of how its runs went.
+  // Returns true while a worker gets no tasks because its earlier runs failed
+  // or stalled.
   bool IsSetAside(const WorkerId& worker, SteadyTime now) const {
     return this->health.IsQuarantined(worker, now);
   }
@@ -248,11 +263,12 @@
     std::uint32_t step = 0;
     Lateness lateness = Lateness::kInTime;
   };
-  // Whether a task goes on trial with its next start. One that waited too long
-  // for it starts apart from others, as far as there are workers.
+  // Whether the next start of a task is a trial. A task that has waited too
+  // long for a trial starts without one but apart from other suspect tasks, as
+  // far as there are workers for that (kApart).
   enum class TrialTurn { kNone, kNow, kLater, kApart };
-  // A worker that is being forgotten: when to ask for the record (again), and
-  // its last announcement.
+  // A silent worker whose record is being removed: when to send the command
+  // (again), and the sequence number of the worker's last announcement.
   struct Forgetting {
     SteadyTime ask_at{};
     std::uint64_t sequence = 0;
@@ -375,28 +391,30 @@
 
   const jobs::JobsState& state;
   SchedulerSettings settings;
-  // Of this leadership, also once a later one is on record.
+  // The epoch of this leadership, even after a later one is committed.
   LeaderEpoch epoch;
-  // Jobs numbered from here on were accepted under this leader: nothing of them
-  // ran before.
+  // The sequence number of the first job accepted under this leader. No task of
+  // this or a later job can have run before.
   std::uint64_t first_own_sequence;
   Sessions workers;
-  // The workers that are known on each instance.
+  // The known incarnations of workers on each instance.
   std::unordered_map<InstanceName, std::set<WorkerId>> lives_of;
   TaskTable tasks;
-  // When the leadership began.
+  // When this leadership began.
   SteadyTime began_at;
-  // Services of which some worker that an earlier leader used has not told yet
-  // what runs there.
+  // Services with a worker that an earlier leader used and that has not yet
+  // reported its runs to this leader.
   std::set<ServiceName> uncertain;
   std::set<InstanceName> cordoned;
-  // Jobs of which a task has begun, until the record is asked for.
+  // Jobs of which a task has begun, until the next planning pass emits the
+  // command that records it.
   std::set<JobId> begun;
   EndedLives ended;
-  // Workers that have been silent for long and may come back, until that is on
-  // record.
+  // Workers that have been silent for too long but may come back, until the
+  // removal of their records is committed.
   std::map<WorkerId, Forgetting> forgotten;
-  // How many jobs had finished when all runs were last looked at, and when.
+  // The number of finished jobs at the time of the last scan for unwanted runs,
+  // and the time of that scan.
   std::uint64_t seen_finish_count = 0;
   SteadyTime looked_for_unwanted{};
   RunTimes run_times;
@@ -410,15 +428,15 @@
   Placement placement;
   Stragglers stragglers;
   DemandMeter demand;
-  // Runs that were known when this call of Plan began.
+  // The number of known runs at the start of the current planning pass.
   std::size_t run_count = 0;
-  // What is left of the starts that this call of Plan may order.
+  // The number of starts that the current planning pass may still order.
   StartAllowance starts_left;
-  // Since the leadership began.
+  // Starts ordered since this leadership began.
   LatenessCounts starts_ordered;
   SteadyTime judged_at{};
   SteadyTime looked_for_gone{};
-  // Workers to be asked for a report beside the renewals.
+  // Workers to ask for a report in addition to the renewals.
   std::set<WorkerId> report_wanted;
   bool needs_plan = true;
   EventNotes notes;
