--- a/libraries/scheduler/worker_calls.h
+++ b/libraries/scheduler/worker_calls.h
@@ -14,24 +14,25 @@
 
 namespace sumac::scheduler {
 
-// The answer to a renewal: a report, or why there is none.
+// The answer to a renewal: a report, or the reason why there is none.
 struct RenewAnswer {
   OrderResult result = OrderResult::kUnknown;
   RenewReport report;
 };
 
-// How a leader reaches workers; an adapter provides it.
+// The calls by which a leader reaches workers; implemented by an adapter.
 struct WorkerCalls {
   std::function<kj::Promise<RenewAnswer>(const RenewOrder&)> renew;
-  // The same without waiting, beside a renewal that is under way.
+  // Requests a report that is answered immediately. It may be called while a
+  // renewal is in progress.
   std::function<kj::Promise<RenewAnswer>(const RenewOrder&)> request_report;
   std::function<kj::Promise<OrderAnswer>(const Order&)> send;
-  // Asks the placement policy.
+  // Sends a question to the placement policy.
   std::function<kj::Promise<AdviceAnswer>(const AdviceQuestion&)> advise;
-  // How many workers may keep an answer back at once: each of them takes a
-  // connection for that time.
+  // The maximum number of workers that may delay an answer at the same time:
+  // each of them occupies a connection meanwhile.
   std::size_t most_waiting = std::numeric_limits<std::size_t>::max();
-  // The worker's life is over.
+  // Called when the worker's incarnation is over.
   std::function<void(const WorkerId&)> forget;
 };
 
--- a/libraries/scheduler/worker_messages.h
+++ b/libraries/scheduler/worker_messages.h
@@ -17,22 +17,24 @@
 // A time on one worker's own steady clock.
 using WorkerTime = StrongType<std::int64_t, struct WorkerTimeTag>;
 
-// Renews a worker's lease and asks what runs and what has ended there.
+// Renews a worker's lease and asks for a report of its runs and of the runs
+// that have ended.
 struct RenewOrder {
   WorkerId worker;
   std::string address;
-  // Fencing token of the order.
+  // The fencing token of the order.
   LeaderEpoch epoch;
-  // Ends numbered up to this are on record; the worker may forget them.
+  // Ends numbered up to this are committed; the worker may drop them.
   std::uint64_t acknowledged_ends = 0;
-  // Until when all that runs there may go on; without it the lease stays as it
-  // is.
+  // The time until which all runs there may continue; without it the lease
+  // stays unchanged.
   std::optional<WorkerTime> lease_end;
-  // How long the worker may keep the answer back while no run ends.
+  // How long the worker may delay its answer while no run ends.
   Milliseconds wait{0};
-  // How long the leader waits after the answer, before the next renewal.
+  // How long the leader waits between the answer and the next renewal.
   Milliseconds pause{0};
-  // It leaves this process within this, or not at all; 0 for any time.
+  // The maximum time that the order may wait in this process before it is sent;
+  // after it the order is dropped. 0 for no limit.
   Milliseconds longest_wait{0};
 };
 
@@ -43,18 +45,20 @@
   LeaderEpoch epoch;
   jobs::TaskId task;
   RunNumber run;
-  // The job's text, passed on unread.
+  // The job's text, passed on without being interpreted.
   std::string text;
   WorkerTime lease_end;
-  // What an earlier run saved; empty to begin at the beginning.
+  // The checkpoint that an earlier run saved; empty to start from the
+  // beginning.
   std::string checkpoint;
-  // The placement policy's admission; empty where the queue has none.
+  // The ticket by which the placement policy admits the task; empty if the
+  // queue has no placement policy.
   std::string ticket;
   // As in RenewOrder.
   Milliseconds longest_wait{0};
 };
 
-// Stops one run, and keeps it from starting if it has not.
+// Stops one run, or prevents it from starting if it has not started yet.
 struct StopOrder {
   WorkerId worker;
   std::string address;
@@ -65,7 +69,8 @@
   Milliseconds longest_wait{0};
 };
 
-// Lets a run work, and disturb its neighbours, at a share of its full speed.
+// Sets the share of its full speed at which a run may work, which limits how
+// much it disturbs its neighbours.
 struct PaceOrder {
   WorkerId worker;
   std::string address;
@@ -77,70 +82,72 @@
   Milliseconds longest_wait{0};
 };
 
-// What became of an order.
+// The outcome of an order.
 enum class OrderResult {
-  // Carried out, or it was already so.
+  // The order was carried out, or there was nothing left to do.
   kDone,
-  // The worker has no room for it.
+  // The worker has no room for the run.
   kNoRoom,
-  // The run is not above one that was stopped or ended there.
+  // The run number is not higher than that of a run of the task that was
+  // stopped or ended there.
   kOldRun,
-  // Its lease was over before it began.
+  // The lease that the start carried was over before the run began.
   kTooLate,
   // The worker has seen a higher fencing token.
   kFenced,
-  // The placement policy's ticket does not hold there.
+  // The placement policy's ticket is not valid there.
   kBadTicket,
-  // Another life of the worker is at that address.
+  // Another incarnation of the worker is at that address.
   kOtherLife,
-  // The worker did nothing, for another reason.
+  // The worker rejected the order for another reason.
   kRefused,
-  // Nobody listens at the address.
+  // No process listens at the address.
   kUnreachable,
-  // It never left this process, which says nothing about the worker.
+  // The order was never sent, so this is no evidence about the worker's state.
   kNotSent,
-  // No answer: it may have been carried out or may still be.
+  // There was no answer: the order may have been carried out or may still be.
   kUnknown,
-  // As kUnknown, and it says nothing about the worker: the relay that had it is
-  // gone.
+  // As kUnknown, but no evidence about the worker's state: the relay that
+  // forwarded the order is gone.
   kRelayLost,
 };
 
 struct OrderAnswer {
   OrderResult result = OrderResult::kUnknown;
-  // The worker's clock when it answered, if it told.
+  // The worker's clock when it answered, if the answer contains it.
   std::optional<WorkerTime> clock;
 };
 
-// Asks a placement policy which of some workers may run a step's tasks.
+// Asks a placement policy which of the given workers may run a step's tasks.
 struct AdviceQuestion {
   jobs::StepId step;
   std::vector<WorkerId> workers;
-  // How long the policy needs for it, by the queue's declaration.
+  // The time that the policy needs to answer, as declared for the queue.
   Milliseconds expected{0};
-  // How long its tickets hold, where the answer does not say.
+  // The validity of the policy's tickets if the answer does not contain one.
   Milliseconds declared_validity{0};
 };
 
 struct AdviceAnswer {
-  // False if there was no answer, or the policy takes no question now.
+  // False if there was no answer or the policy accepts no question at present.
   bool is_answered = false;
-  // How long the tickets hold, if the policy said.
+  // The validity of the tickets, if the answer contains one.
   std::optional<Milliseconds> validity;
-  // The workers that may, with their tickets.
+  // The workers that may run the tasks, with their tickets.
   std::map<WorkerId, std::string> tickets;
 };
 
-// One run that a worker says it is running.
+// One run that a worker reports as running.
 struct RunningReport {
   jobs::TaskId task;
   RunNumber run;
-  // What the run saved last; empty if nothing.
+  // The last checkpoint that the run saved; empty if there is none.
   std::string checkpoint;
-  // How far it is; 100 for a long-running task that is at work.
+  // The run's progress in percent; 100 for a long-running task that is in
+  // operation.
   std::uint32_t percent = 0;
-  // For a task that serves users, the tail of its answer times in
-  // milliseconds; else the thousandths of a core that it uses.
+  // For a task that serves users, the tail of its response times in
+  // milliseconds; for others, the CPU use in thousandths of a core.
   std::int64_t load = 0;
 };
 
@@ -152,12 +159,13 @@
   kLapsed,
   // Another member of its gang ended.
   kBroken,
-  // It waited too long for the other members of its gang.
+  // The run waited too long for the other members of its gang.
   kAlone,
 };
 
 struct EndReport {
-  // Ends of one life are numbered from 1.
+  // The number of this end. Ends reported by one incarnation are numbered from
+  // 1.
   std::uint64_t number = 0;
   jobs::TaskId task;
   RunNumber run;
@@ -168,11 +176,12 @@
 // A worker's answer to a RenewOrder.
 struct RenewReport {
   WorkerTime clock;
-  // When the life that tells it began, if it says so.
+  // The start time of the incarnation that sends this report, if it sends one.
   std::optional<WallTime> born;
   std::vector<RunningReport> running;
   std::vector<EndReport> ended;
-  // The list of ends is full: the worker may have more that it has not listed.
+  // Whether the list of ends is full: the worker may have more ends that are
+  // not listed.
   bool has_more_ends = false;
 };
 
--- a/libraries/scheduler/worker_session.cc
+++ b/libraries/scheduler/worker_session.cc
@@ -18,7 +18,8 @@
       description(worker),
       settings(settings),
       session_began(now) {
-  // Whatever an earlier leader granted ends within one lease from now.
+  // Any lease that an earlier leader granted ends within one lease length from
+  // now.
   const Milliseconds stretched =
       settings.length * kPermille / (kPermille - settings.slow_clock_permille);
   this->bound = now + stretched + settings.margin;
@@ -35,7 +36,7 @@
   constexpr std::int64_t kSecond = 1'000;
   const Milliseconds paced(static_cast<std::int64_t>(workers) * kSecond /
                            this->settings.most_renewals_a_second);
-  // Leases may be shorter than usual on some platforms.
+  // Some platforms allow only leases that are shorter than usual.
   const Milliseconds longest =
       std::min(this->settings.longest_renewal_wait, this->settings.length / 3);
   return std::max(shortest, std::min(paced, longest));
@@ -48,12 +49,14 @@
                    .address = this->description.address,
                    .epoch = epoch,
                    .acknowledged_ends = this->acknowledged_ends};
-  // The first one only raises the fence and learns the clock.
-  // NOTE: While the worker does not answer, its lease is left to end: an
-  // unanswered renewal may arrive all the same, and each would move the time
-  // from which its tasks may run elsewhere.
-  // One whose lease ran out while nobody asked is asked first, so that its
-  // silence shows within one call and not after another lease.
+  // The first renewal carries no lease: it only establishes the fencing token
+  // and reads the worker's clock.
+  // NOTE: While the worker does not answer, its lease is left to run out: an
+  // unanswered renewal may still arrive, and each would postpone the time from
+  // which the worker's tasks may run elsewhere.
+  // A worker whose lease ran out while no call was sent to it is first called
+  // without a lease, so that its silence shows within one call and not after
+  // another lease.
   const bool has_run_out =
       this->IsLeaseOver(now) && this->last_answer < this->bound;
   if (this->clock && this->has_answered && this->failures == 0 &&
@@ -90,7 +93,7 @@
   const auto [reading, read_at] = *this->clock;
   const WorkerTime lease_end(this->ClockAt(now).value() +
                              this->settings.length.count());
-  // The worker's clock was at `reading` at `read_at` at the latest, and may run
+  // The worker's clock showed `reading` at `read_at` or before, and may run
   // slow from then on.
   const Milliseconds longest((lease_end.value() - reading.value()) * kPermille /
                              (kPermille - this->settings.slow_clock_permille));
@@ -100,7 +103,8 @@
 }
 
 void WorkerSession::NoteClock(WorkerTime reading, SteadyTime now) {
-  // An answer that was read late tells less than the one before.
+  // An answer that was read late gives a looser bound than the reading before
+  // it.
   if (!this->clock || reading >= this->ClockAt(now)) {
     this->clock = {reading, now};
   }
@@ -109,7 +113,7 @@
 void WorkerSession::NoteReport(WorkerTime report_clock, SteadyTime now) {
   this->last_report = report_clock;
   ++this->reports;
-  // Slow clocks count less than what has passed.
+  // A slow clock advances by less than the time that has passed.
   const auto [reading, read_at] = *this->clock;
   const Milliseconds since(report_clock.value() - reading.value());
   const Milliseconds longest =
@@ -126,8 +130,8 @@
 }
 
 bool WorkerSession::IsLeaseOver(SteadyTime now) const {
-  // NOTE: A refused connection proves nothing: a partition may refuse
-  // connections to a worker that runs on.
+  // NOTE: A refused connection proves nothing: a network partition may refuse
+  // connections to a worker that is still running.
   return now >= this->bound;
 }
 
--- a/libraries/scheduler/worker_session.h
+++ b/libraries/scheduler/worker_session.h
@@ -21,82 +21,87 @@
 
 namespace sumac::scheduler {
 
-// The leases that a leader gives to workers.
+// Settings of the leases that a leader grants to workers.
 struct LeaseSettings {
-  // How long a worker may go on without a renewal. It must outlast the loss of
-  // a leader, the next election and its first round of renewals; the platform
-  // bounds it from above.
+  // How long a worker may keep its runs going without a renewal. It must
+  // outlast the loss of a leader, the following election and the new leader's
+  // first round of renewals; the platform sets an upper bound.
   Milliseconds length{6'000};
-  // How long a worker may keep a renewal's answer back: one on which nothing
-  // runs, and one on which something does. Bounds how late a silent worker, or
-  // a lost answer, is noticed.
+  // The maximum time that a worker without runs, and one with runs, may delay
+  // its answer to a renewal. It bounds how late a silent worker or a lost
+  // answer is noticed.
   Milliseconds idle_renewal_wait{1'000};
   Milliseconds renewal_wait{600};
-  // The same where runs that fill stand beside runs that serve: their pace
-  // follows the reports.
+  // The same for a worker with both filler runs and runs that serve users: the
+  // fillers' pace follows the reports.
   Milliseconds shared_renewal_wait{500};
-  // A leader of many workers lets each of them wait longer, so that all
-  // together answer no more often than this a second while nothing ends: a
-  // renewal costs it some 70 microseconds.
+  // The target rate of renewals over all workers while no run ends. A leader of
+  // many workers lets each of them wait longer to stay below it, since one
+  // renewal costs the leader about 70 microseconds.
   std::int64_t most_renewals_a_second = 600;
-  // With more workers than this the leader waits between renewals instead of
-  // the workers, since it has no connection for each of them.
+  // With more workers than this the leader waits between renewals, instead of
+  // the workers delaying their answers, since it has no connection to spare for
+  // each of them.
   std::size_t most_waiting = std::numeric_limits<std::size_t>::max();
-  // Bounds the wait, so that a lease outlasts two lost renewals.
+  // The maximum wait per renewal, so that a lease outlasts two lost renewals.
   Milliseconds longest_renewal_wait{2'000};
-  // Workers' clocks may run slow by this many thousandths.
+  // By how many thousandths a worker's clock may run slow.
   std::int64_t slow_clock_permille = 20;
-  // Added to every bound for timers that fire late.
+  // A margin for timers that fire late, added to every bound on lease ends.
   Milliseconds margin{150};
 };
 
 enum class RunPhase {
-  // The start was sent and not answered yet.
+  // The start was sent and has not been answered yet.
   kOrdered,
-  // The worker said that it runs.
+  // The worker has confirmed that it is running.
   kRunning,
-  // It has to go: a stop was or will be sent.
+  // The run must end: a stop has been or will be sent.
   kStopping,
 };
 
-// One run as this leader knows it.
+// The leader's view of one run.
 struct Run {
   jobs::TaskId task;
   RunNumber number;
   RunPhase phase = RunPhase::kOrdered;
   jobs::Resources need;
-  // It serves users of its own, or it fills what others leave.
+  // Whether its task serves users, and whether it is a filler, which uses the
+  // resources that other runs leave free.
   bool is_serving = false;
   bool is_filler = false;
-  // Its step has a disruption budget.
+  // Whether its step has a disruption budget.
   bool is_budgeted = false;
-  // Its task may crash its worker; nothing else is started there meanwhile.
+  // Whether the run is a trial because its task may crash its worker. Nothing
+  // else is started on that worker during a trial.
   bool is_on_trial = false;
   SteadyTime ordered_at{};
-  // Of a run that was adopted: an earlier leader may have stopped it just
-  // before, and it is listed as running while the stop takes its time. Only a
-  // report that comes from then on shows that it goes on.
+  // For an adopted run: only a report made at or after this time shows that the
+  // run continues. An earlier leader may have stopped it just before, and a run
+  // is reported as running until the stop takes effect.
   SteadyTime settled_at{};
-  // The end of the lease that the start carried: a start that is carried out
-  // late does nothing from then on.
+  // The end of the lease that the start order carried. A worker that handles
+  // the order at or after this time does not start the run.
   WorkerTime start_expires;
   // The worker's clock when it confirmed the start.
   std::optional<WorkerTime> confirmed_clock;
-  // The last report that listed it as running, by its number.
+  // The number of the last report that listed the run as running.
   std::uint64_t seen_in_report = 0;
   std::uint32_t percent = 0;
-  // When a report last showed another percent than the one before.
+  // When `percent` last changed from one report to the next.
   SteadyTime percent_changed_at{};
   std::int64_t load = 0;
-  // Of a filler: the pace it was told last, in hundredths; unknown for one that
-  // was adopted, or whose order got no answer.
+  // For a filler: the last acknowledged pace, in percent of full speed; unknown
+  // if the run was adopted or the last pace order was not answered.
   std::optional<std::uint32_t> pace = 100;
-  // Stopping: when to send the stop (again), and what was answered.
+  // For a run that is being stopped: when to send the stop (again), and the
+  // worker's clock when it acknowledged the stop.
   SteadyTime stop_due{};
   std::optional<WorkerTime> stopped_clock;
 };
 
-// What a leader knows about one life of a worker. Belongs to the scheduler.
+// The leader's view of one incarnation of a worker: its lease, its reports and
+// its runs. Owned by the scheduler.
 class WorkerSession {
  public:
   WorkerSession(const jobs::Worker& worker,
@@ -104,43 +109,47 @@
                 SteadyTime now);
 
   const jobs::Worker& worker() const { return this->description; }
-  // Takes in a change that the worker announced.
+  // Applies a change that the worker announced.
   void Update(const jobs::Worker& worker) {
     this->description = worker;
     this->pool_number.reset();
   }
 
-  // The next renewal for one of `workers`; it also extends the bound on what
-  // may run there.
+  // Returns the next renewal for this worker, one of `workers` in total. If the
+  // renewal carries a lease, extends the bound on when runs there must have
+  // ended.
   RenewOrder NextRenewal(LeaderEpoch epoch,
                          std::size_t workers,
                          SteadyTime now);
 
-  // The lease end that an order sent now may carry, and extends the bound. Only
-  // after the clock is known.
+  // Returns the lease end that an order sent now may carry, and extends the
+  // bound on when runs there must have ended. The worker's clock must be known.
   WorkerTime GrantLease(SteadyTime now);
 
-  // What runs and has ended there, asked without waiting and without a renewal.
+  // Returns a request for a report of what is running and what has ended there.
+  // The worker answers immediately and its lease is not renewed.
   RenewOrder NextReportRequest(LeaderEpoch epoch) const;
 
-  // True unless a later report was taken already: reports may overtake each
-  // other.
+  // Returns true unless a later report was handled already: reports may
+  // overtake each other.
   bool IsNewest(WorkerTime report_clock) const {
     return report_clock >= this->last_report;
   }
-  // Takes in that a report was read now; only after its clock was.
+  // Records a report that was read now. NoteClock must be called with the
+  // report's clock first.
   void NoteReport(WorkerTime report_clock, SteadyTime now);
-  // When the worker made the last report, at the latest: one that waited to be
-  // read tells of an earlier time.
+  // The latest time at which the worker can have made its last report. It is
+  // earlier than the time of reading if the report had to wait to be read.
   SteadyTime reported_at() const { return this->last_report_made_at; }
-  // How many reports were taken; the number of the last one.
+  // The number of reports handled so far, which is also the number of the last
+  // report.
   std::uint64_t report_count() const { return this->reports; }
 
-  // Takes in the clock of an answer.
+  // Records the worker's clock as read from an answer.
   void NoteClock(WorkerTime clock, SteadyTime now);
-  // Takes in that the worker answered.
+  // Records that the worker answered.
   void NoteAnswer(SteadyTime now);
-  // Takes in that a renewal or an order failed.
+  // Records that a renewal or an order failed.
   void NoteFailure(SteadyTime now) {
     if (this->failures == 0) {
       this->first_failure = now;
@@ -149,35 +158,38 @@
     this->last_failure = now;
   }
 
-  // True once the worker answered this leader and its lease has not lapsed
-  // since: all that runs there is known.
+  // Returns true if the worker has answered this leader and has not expired
+  // since, so that all its runs are known.
   bool is_adopted() const { return this->has_answered; }
-  // True if it answered the last renewal.
+  // Returns true if the worker answered the last renewal.
   bool is_answering() const {
     return this->has_answered && this->failures == 0;
   }
-  // True if it failed to answer and nothing shows yet whether it still runs.
+  // Returns true if the worker failed to answer and it is not confirmed yet
+  // whether it is still running.
   bool is_in_doubt() const { return this->failures > 0; }
-  // When it first failed to answer; `now` if it answered last.
+  // Returns when the worker first failed to answer since its last answer, or
+  // `now` if it has not failed since.
   SteadyTime SilentSince(SteadyTime now) const {
     return this->failures > 0 ? this->first_failure : now;
   }
-  // When this session began.
+  // The time at which this session began.
   SteadyTime began_at() const { return this->session_began; }
-  // True if nothing can run there any more since the lease is over.
+  // Returns true if the lease is over, so that nothing can be running there any
+  // more.
   bool IsLeaseOver(SteadyTime now) const;
-  // True if besides the worker was asked since, and kept silent: a leader that
-  // was late itself, or asked nobody, knows only that its runs have ended, and
-  // not how.
+  // Returns true if the lease is over and a later call to the worker has
+  // failed. A leader that was late itself, or sent no call, knows only that the
+  // runs there have ended, but not how.
   bool IsLapsed(SteadyTime now) const;
-  // True if the worker answers and takes work.
+  // Returns true if the worker answers and accepts starts.
   bool IsUsable(SteadyTime now) const;
 
-  // Forgets all about runs, after everything there has ended; it must answer
+  // Removes all runs, after everything there has ended. The worker must answer
   // again before it is used.
   void Reset();
 
-  // The runs that this leader knows of there, by task and number.
+  // The known runs on this worker, by task and run number.
   std::map<std::pair<jobs::TaskId, RunNumber>, Run>& runs() {
     return this->known_runs;
   }
@@ -186,70 +198,76 @@
   }
   Run* FindRun(const jobs::TaskId& task, RunNumber number);
   Run& AddRun(Run&& run);
-  // False if the run was not known.
+  // Returns false if the run was not known.
   bool RemoveRun(const jobs::TaskId& task, RunNumber number);
-  // Puts one of its runs on trial, and ends that.
+  // Begin and end the trial of one of its runs.
   void BeginTrial(Run& run);
   void EndTrial(Run& run);
-  // How many of its runs are on trial.
+  // The number of its runs that are on trial.
   std::uint32_t trials() const { return this->trial_count; }
-  // Marks one of its runs as one that has to go; the stop is sent at `due`.
+  // Marks one of its runs as stopping; the stop is to be sent at `due`.
   void BeginStop(Run& run, SteadyTime due);
-  // True if some run there may be waiting for its confirmation or its stop.
-  // Most runs are only running, and a turn of the scheduler need not look at
-  // them.
+  // Whether some run there may be waiting for its confirmation or its stop.
+  // Most runs are just running, and this lets a planning pass skip workers that
+  // have only such runs.
   bool has_unsettled_runs = false;
 
-  // What is left for further tasks.
+  // Returns the resources that are free for further tasks.
   jobs::Resources Room() const;
-  // How many tasks of a step run there.
+  // Returns the number of tasks of a step that run there.
   std::uint32_t CountOf(const jobs::StepId& step) const;
 
-  // How many of its runs serve users, and how many fill what others leave.
+  // The numbers of its runs that serve users and that are fillers.
   std::uint32_t serving_runs() const { return this->serving_count; }
   std::uint32_t filler_runs() const { return this->filler_count; }
 
-  // Nothing is started there, since its instance is to be taken away.
+  // Whether nothing may be started there because its instance is to be taken
+  // away.
   bool is_cordoned = false;
-  // It was known to be slow when this turn of the scheduler began.
+  // Whether it was known to be slow when the current planning pass began.
   bool is_slow = false;
-  // The number of its service's pool, once Placement has looked it up.
+  // The number of its service's pool, cached by Placement.
   std::optional<std::size_t> pool_number;
-  // How fast fillers may work there.
+  // The pace at which fillers may work there.
   PaceState filler_pace;
-  // A report was asked for beside the renewals, to see what is at work there.
+  // When a report was last requested in addition to the renewals, to learn what
+  // is running there.
   SteadyTime report_asked_at{};
-  // Takes in that the ends that came right after this number are on record.
+  // Records that the batch of ends that follows the end numbered `after` is
+  // committed.
   void NoteRecorded(std::uint64_t after);
 
   std::uint64_t seen_ends = 0;
-  // Where the lots of ends begin that are not on record yet.
+  // The `after` numbers of the batches of ends that are not committed yet.
   std::set<std::uint64_t> open_ends;
   std::uint64_t acknowledged_ends = 0;
-  // No starts before this, after the worker said it had no room.
+  // No starts are sent before this time, since the worker reported that it had
+  // no room.
   SteadyTime full_until{};
   SteadyTime last_answer{};
 
  private:
-  // How long the worker may keep the next renewal's answer back.
+  // Returns how long the worker may delay its answer to the next renewal.
   Milliseconds RenewalWait(std::size_t workers) const;
-  // What the worker's clock shows at least. Only after it is known.
+  // Returns a lower bound of what the worker's clock shows. The worker's clock
+  // must be known.
   WorkerTime ClockAt(SteadyTime now) const;
 
   jobs::Worker description;
   LeaseSettings settings;
   bool has_answered = false;
   int failures = 0;
-  // Of those since its last answer, the first.
+  // The time of the first failure since the worker's last answer.
   SteadyTime first_failure{};
   SteadyTime last_failure{};
   SteadyTime session_began;
   SteadyTime bound;
-  // The clock of the last report, and what that was here at the latest.
+  // The worker's clock in the last report, and the latest time on this
+  // process's clock that this can correspond to.
   WorkerTime last_report;
   SteadyTime last_report_made_at{};
   std::uint64_t reports = 0;
-  // The latest reading of the worker's clock and when it came.
+  // The best reading of the worker's clock and when it was received.
   std::optional<std::pair<WorkerTime, SteadyTime>> clock;
   std::map<std::pair<jobs::TaskId, RunNumber>, Run> known_runs;
   std::map<jobs::StepId, std::uint32_t> step_counts;
