--- a/libraries/scheduler/crashed_runs.cc
+++ b/libraries/scheduler/crashed_runs.cc
@@ -6,8 +6,9 @@
 namespace sumac::scheduler {
 namespace {
 
-// A long-running task outlives many of its workers, whatever they crash of; one
-// that was at work for so long there has not crashed this one.
+// A long-running task outlives many crashes of its workers, whatever causes
+// them. One that had been running for this long on a worker is not considered a
+// cause of its crash.
 constexpr Milliseconds kSoundTime{5'000};
 
 bool HasCrashesOnRecord(const jobs::JobsState& state,
@@ -16,8 +17,9 @@
   return job != nullptr && job->FindCrashes(task) != nullptr;
 }
 
-// Of the runs that began shortly before the crash, those of tasks with earlier
-// crashes are the suspects, or else all of them. Marks the one that is alone.
+// Marks the only suspect of a crash, if there is exactly one. Suspects are the
+// runs that began shortly before the crash: those of tasks with earlier crashes
+// or, if there are none, all of them.
 void MarkOnlySuspect(const jobs::JobsState& state,
                      std::vector<jobs::CrashedRun>& runs) {
   std::vector<jobs::CrashedRun*> late;
--- a/libraries/scheduler/crashed_runs.h
+++ b/libraries/scheduler/crashed_runs.h
@@ -10,8 +10,8 @@
 
 namespace sumac::scheduler {
 
-// The runs that the crash of this worker may be put down to: all that were
-// there, but long-running tasks that had been at work for long.
+// Returns the runs that may have caused the crash of this worker: all of its
+// runs except long-running tasks that had been running for long.
 std::vector<jobs::CrashedRun> FindCrashedRuns(const WorkerSession& session,
                                               const jobs::JobsState& state);
 
--- a/libraries/scheduler/ended_lives.h
+++ b/libraries/scheduler/ended_lives.h
@@ -13,11 +13,11 @@
 
 namespace sumac::scheduler {
 
-// Workers' lives that are over for certain, until that is on record together
-// with the runs that a crash took with them.
+// Incarnations of workers that are certainly over, kept until this is committed
+// together with the runs that were lost in a crash.
 class EndedLives {
  public:
-  // Takes in that a life is over.
+  // Adds an incarnation that is over.
   void Note(const WorkerId& worker) { this->lives.try_emplace(worker); }
   void Note(const WorkerId& worker, std::vector<jobs::CrashedRun> crashed_runs);
 
@@ -25,12 +25,13 @@
     return this->lives.contains(worker);
   }
 
-  // The records to ask for now; one that does not come is asked for again after
-  // `retry`.
+  // Returns the commands that must be submitted now. A command whose effect
+  // does not show is submitted again after `retry`.
   std::vector<jobs::Command> TakeDue(SteadyTime now, Milliseconds retry);
 
-  // Forgets a life that is off the record, and gives the runs whose crash
-  // waited for that. Nothing while one of them is not on record.
+  // Removes an incarnation whose record is gone and returns the runs that
+  // waited for the commit of its crash. Returns nothing while one of these
+  // crashes is not committed.
   std::vector<jobs::CrashedRun> Settle(const WorkerId& worker,
                                        const jobs::JobsState& state);
 
--- a/libraries/scheduler/event_notes.cc
+++ b/libraries/scheduler/event_notes.cc
@@ -6,7 +6,7 @@
 namespace sumac::scheduler {
 namespace {
 
-// Bounds the length of a log line.
+// Limits the length of a log line.
 constexpr std::size_t kMostRunsPerEvent = 64;
 
 }  // namespace
--- a/libraries/scheduler/event_notes.h
+++ b/libraries/scheduler/event_notes.h
@@ -11,34 +11,34 @@
 
 namespace sumac::scheduler {
 
-// One thing that the scheduler decided or noticed, for the log: the same about
-// one or several tasks, each written TASK#RUN@WORKER.
+// A decision or an observation of the scheduler for the log, about one or
+// several runs, each written TASK#RUN@WORKER.
 struct SchedulerEvent {
   std::string what;
   std::string reason;
   std::vector<std::string> runs;
-  // Something that an operator should look at.
+  // Whether an operator should investigate the event.
   bool is_alarm = false;
 };
 
-// Collects what a pass of the scheduler has to tell.
+// Collects the events of a planning pass.
 class EventNotes {
  public:
-  // Notes something about one run. What is noted several times in a row shares
-  // one event.
+  // Adds an event about one run. Consecutive events of the same kind and reason
+  // are merged into one.
   void Add(std::string what,
            const jobs::TaskId& task,
            RunNumber run,
            const WorkerId& worker,
            std::string reason);
 
-  // Notes something that is not about single runs, as a text that tells it.
+  // Adds an event that is not about single runs, described by a text.
   void AddText(std::string what,
                std::string reason,
                bool is_alarm,
                std::string text);
 
-  // What was noted since the last time.
+  // Returns and removes the events that were added since the last call.
   std::vector<SchedulerEvent> Take() { return std::exchange(this->events, {}); }
 
  private:
--- a/libraries/scheduler/job_numbers.h
+++ b/libraries/scheduler/job_numbers.h
@@ -9,14 +9,14 @@
 
 namespace sumac::scheduler {
 
-// A set of jobs, by their numbers, that is first filled and then asked. A set
-// of the standard library would take memory for each of them in each turn.
+// A set of job numbers that is filled first and queried afterwards. A std::set
+// would allocate memory for each element in every planning pass.
 class JobNumbers {
  public:
   explicit JobNumbers(std::size_t expected) { this->all.reserve(expected); }
 
   void Add(std::uint64_t number) { this->all.push_back(number); }
-  // To be called between the last Add and the first contains.
+  // Must be called between the last Add and the first contains.
   void Sort() { std::sort(this->all.begin(), this->all.end()); }
   bool contains(std::uint64_t number) const {
     return std::binary_search(this->all.begin(), this->all.end(), number);
--- a/libraries/scheduler/life_end.h
+++ b/libraries/scheduler/life_end.h
@@ -6,26 +6,28 @@
 
 namespace sumac::scheduler {
 
-// By which evidence a leader takes a worker's life for ended.
+// The evidence by which a leader considers a worker's incarnation to be over.
 enum class LifeEnd {
   // The platform lists its instance as down, as gone, or with another worker.
   kListedAsDown,
-  // A later life of the same name is on record.
+  // A later incarnation of the same name is committed.
   kRestarted,
   // Another process answered at its address.
   kReplacedAtAddress,
-  // A later life on its instance answered.
+  // A later incarnation on its instance answered.
   kReplacedOnInstance,
-  // It said that it leaves, or the platform took an order that ends it.
+  // The worker announced that it leaves, or the platform accepted an order that
+  // ends it.
   kPlanned,
-  // It has been silent for long, and may come back.
+  // The worker has been silent for too long, but may come back.
   kSilent,
 };
 
-// The evidence, for the log.
+// Returns the evidence as text for the log.
 std::string_view TextOf(LifeEnd end);
 
-// True if this proves that the life is over, without telling why.
+// Returns true if this proves that the incarnation is over but does not give
+// the cause.
 bool IsUnexplained(LifeEnd end);
 
 }  // namespace sumac::scheduler
--- a/libraries/scheduler/task_table.cc
+++ b/libraries/scheduler/task_table.cc
@@ -6,7 +6,7 @@
 namespace sumac::scheduler {
 namespace {
 
-// Hash buckets that one call of DropFinished looks at.
+// The number of hash buckets that one call of DropFinished examines.
 constexpr std::size_t kBucketsPerCall = 16;
 
 }  // namespace
--- a/libraries/scheduler/task_table.h
+++ b/libraries/scheduler/task_table.h
@@ -19,53 +19,55 @@
 
 namespace sumac::scheduler {
 
-// Where a task runs, and what a leader knows of its earlier runs.
+// The leader's view of one task: where it runs, and the outcome of its earlier
+// runs.
 struct TaskMemory {
-  // The run that is wanted, where there is one.
+  // The worker and number of the task's wanted run, if there is one.
   std::optional<std::pair<WorkerId, RunNumber>> placed;
-  // Runs of the task that may exist on workers, wanted or not, in any phase.
+  // The number of runs of the task that may exist on workers, wanted or not, in
+  // any phase.
   std::uint32_t known_runs = 0;
-  // Runs that ended done or failed and whose record is not committed yet.
+  // The number of runs that ended as done or failed and whose record is not
+  // committed yet.
   std::uint32_t open_ends = 0;
-  // Runs that a worker's crash took with it and whose record is not committed
-  // yet.
+  // The number of runs that were lost in a crash of their worker and whose
+  // record is not committed yet.
   std::uint32_t open_crashes = 0;
-  // When such a crash was last taken in.
+  // When the last such crash was detected.
   std::optional<SteadyTime> crashed_at;
-  // Since when it could have started, but for its trial.
+  // Since when the task has been waiting only for a place for its trial.
   std::optional<SteadyTime> trial_wanted_at;
-  // A run ended done.
+  // Whether a run ended as done.
   bool has_done_run = false;
   RunNumber last_run;
-  // The highest run of which an end was taken in.
+  // The highest run number for which an end was handled.
   RunNumber last_ended_run;
   std::string checkpoint;
-  // How often a run was given up because it did not get on.
+  // How often a run was given up because it made no progress.
   std::uint32_t moves = 0;
-  // Workers on which it failed; others are tried first.
+  // Workers on which the task failed; other workers are preferred.
   std::set<WorkerId> failed_on;
 
-  // True while nothing may be started: a run may exist, or an end or a crash is
-  // not on record yet.
+  // Returns true while nothing may be started: a run may exist, or an end or a
+  // crash is not committed yet.
   bool is_unsettled() const {
     return this->known_runs > 0 || this->open_ends > 0 ||
            this->open_crashes > 0 || this->has_done_run;
   }
 };
 
-// A leader's memory of all tasks. It is looked at for every waiting task in
-// every turn, so a lookup is one hash and two indexes.
+// The leader's view of all tasks. It is queried for every waiting task in every
+// planning pass, so a lookup costs only one hash and two indexes.
 class TaskTable {
  public:
-  // The memory of a task, or nothing.
+  // Returns the entry of a task, or null.
   TaskMemory* Find(const jobs::TaskId& task);
   const TaskMemory* Find(const jobs::TaskId& task) const;
 
-  // The memory of a task, made if it is new.
+  // Returns the entry of a task and creates it if it does not exist.
   TaskMemory& Get(const jobs::TaskId& task);
 
-  // Forgets jobs that are finished and of which nothing runs; looks at a few
-  // jobs in each call.
+  // Removes finished jobs without runs. Each call examines only a few jobs.
   void DropFinished(const jobs::JobsState& state);
 
  private:
@@ -73,12 +75,12 @@
   struct JobMemory {
     std::map<std::uint32_t, std::vector<Step>> occurrences;
 
-    // True while a run may exist or an end is not on record yet.
+    // Returns true while a run may exist or an end is not committed yet.
     bool has_open_task() const;
   };
 
   std::unordered_map<JobId, JobMemory> jobs;
-  // Where the next DropFinished goes on.
+  // The hash bucket at which the next call of DropFinished continues.
   std::size_t next_bucket = 0;
 };
 
