--- a/tests/libraries/scheduler/budget_ledger.cc
+++ b/tests/libraries/scheduler/budget_ledger.cc
@@ -6,8 +6,8 @@
 namespace sumac::scheduler {
 namespace {
 
-// A task that is away for this long counts whatever took it away, by the
-// platform's terms.
+// A task that has been away for this long counts as away whatever the cause,
+// under the platform's terms.
 constexpr Milliseconds kNotice{4'500};
 
 }  // namespace
@@ -64,7 +64,7 @@
   }
 }
 
-// Every task counts as absent from when it is first seen so.
+// Counts every task as absent from when it is first seen absent.
 void BudgetLedger::CountAbsent(const FakeFleet& fleet, const jobs::Job& job) {
   for (std::uint32_t step = 0; step < job.spec.steps.size(); ++step) {
     jobs::TaskId task{{job.id, 0, step}, 0};
--- a/tests/libraries/scheduler/budget_ledger.h
+++ b/tests/libraries/scheduler/budget_ledger.h
@@ -14,24 +14,25 @@
 
 namespace sumac::scheduler {
 
-// A plain model of disruption budgets: a task of a lasting step is stopped only
-// while fewer others of its step than its budget are away, each stopped as well
-// or away for long. It looks only at what workers do.
+// A simple model of disruption budgets: a long-running task is stopped only
+// while the number of other tasks of its step that are away, because they were
+// stopped as well or have been away for long, is below the budget. It observes
+// only the workers.
 class BudgetLedger {
  public:
-  // Takes in what has happened on all workers since the last call.
+  // Processes everything that has happened on all workers since the last call.
   void Observe(const FakeFleet& fleet);
 
-  // What was found broken; empty while all holds.
+  // The violation that was found; empty if there is none.
   std::string problem;
-  // How many tasks with a budget were stopped.
+  // The number of stops of tasks with a disruption budget.
   std::uint64_t stops = 0;
 
  private:
-  // A task that does not run anywhere.
+  // The absence of a task that does not run anywhere.
   struct Absence {
     SteadyTime since{};
-    // Its last run was stopped.
+    // Whether its last run was stopped by an order.
     bool is_ordered = false;
   };
 
--- a/tests/libraries/scheduler/fake_fleet.cc
+++ b/tests/libraries/scheduler/fake_fleet.cc
@@ -14,16 +14,18 @@
 constexpr Milliseconds kOrderLimit{600};
 constexpr Milliseconds kRenewalPause{150};
 constexpr Milliseconds kLatestReport{400};
-// Workers announce themselves this often, and a capacity that has shrunk counts
-// so long after the change: the time to be in touch again and one announcement.
+// The interval between announcements of a worker. A reduced capacity is
+// enforced kShrinkSlack after the change: the time until the worker is in
+// contact again plus one announcement.
 constexpr Milliseconds kBeat{1'500};
-// A leader is in touch so long after it took over from one that was killed.
+// The time after which a leader that took over from a killed one is in contact
+// with the workers.
 constexpr Milliseconds kContactTime{3'000};
 constexpr Milliseconds kShrinkSlack{4'500};
 constexpr const char* kService = "previews";
 constexpr const char* kOtherService = "thumbs";
 
-// The document names the service of the queue of clips.
+// Parses a declaration whose document names the service of the queue of clips.
 jobs::JobsDeclaration Declared(std::string_view document) {
   jobs::QueueDeclaration clips{.name = QueueName("clips"),
                                .host = "h",
@@ -184,8 +186,8 @@
   this->CheckRunning();
 }
 
-// The platform tells of each instance whether it is up, and which worker it
-// runs.
+// Reports for each instance whether it is up, and which worker it runs, as the
+// platform does.
 void FakeFleet::CheckLives() {
   if (!this->lists_instances || !this->scheduler->NeedsLifeCheck()) {
     return;
@@ -268,7 +270,7 @@
   finish(Milliseconds(20) + delay);
 }
 
-// The next renewal leaves after this.
+// Ends a renewal after `pause`, so that the next one can be sent.
 void FakeFleet::EndRenewalLater(const WorkerId& id, Milliseconds pause) {
   this->At(this->now + pause, [this, id, sent_in = this->generation] {
     if (sent_in == this->generation) {
@@ -355,7 +357,7 @@
   }
 }
 
-// Ends that come while a commit is under way share the next one.
+// Ends that arrive while a commit is in progress share the next commit.
 void FakeFleet::RecordEnds(const WorkerId& id, EndsToRecord ends) {
   if (ends.ends.empty()) {
     this->scheduler->NoteRecorded(id, ends);
@@ -637,7 +639,7 @@
   return answer;
 }
 
-// A gang's members share their runs and ends.
+// Records committed ends. The members of a gang share their runs and ends.
 void FakeFleet::NoteEnds(const std::vector<jobs::RunEnd>& ends) {
   for (const jobs::RunEnd& end : ends) {
     const jobs::StepSpec& step = *this->state.FindStep(end.task);
@@ -678,7 +680,7 @@
            [this, name = id.value()] { this->StartAgain(name); });
 }
 
-// The task's worker dies if it is the kind that does so.
+// Schedules a crash of the worker if the task is one that crashes its worker.
 void FakeFleet::CrashLater(const StartOrder& order) {
   if (!this->crashes(order)) {
     return;
@@ -707,8 +709,8 @@
            });
 }
 
-// What runs on a worker, also what is being stopped, fits into its capacity;
-// one that has just shrunk counts some time later.
+// Checks that the runs on a worker, including those being stopped, fit into its
+// capacity. A reduced capacity is enforced some time later.
 void FakeFleet::CheckRoom(const WorkerId& id) {
   const FakeWorker& worker = this->workers.at(id);
   jobs::Resources room = worker.description.capacity;
@@ -739,7 +741,7 @@
   if (is_in_touch && this->CountCrashes(order.task) >= kMostCrashes &&
       ++this->starts_after_limit[order.task] > kMostStartsAfter) {
     this->problem = StrCat(order.task.ToText(),
-                           " was started again and again under crashes");
+                           " was started repeatedly after three crashes");
   }
   const jobs::Job* job = this->state.FindJob(order.task.step.job);
   if (job == nullptr) {
--- a/tests/libraries/scheduler/fake_fleet.h
+++ b/tests/libraries/scheduler/fake_fleet.h
@@ -17,33 +17,33 @@
 
 namespace sumac::scheduler {
 
-// A call of a leader to a worker that another process makes.
+// A leader's call to a worker that another process makes for it.
 struct CarriedCall {
-  // Has the worker carry it out; what hands its answer to the leader, or
-  // nothing if no answer comes back.
+  // Lets the worker carry out the call. Returns a function that delivers the
+  // answer to the leader, or nothing if there is no answer.
   std::function<std::function<void()>()> carry_out;
-  // Tells the leader what became of it instead.
+  // Reports another outcome to the leader.
   std::function<void(OrderResult)> fail;
 };
 
-// What stands between a leader and its workers.
+// The processes between a leader and its workers.
 struct CallCarrier {
-  // Takes a call; false if the leader makes it by itself.
+  // Accepts a call. Returns false if the leader has to make it directly.
   std::function<bool(const WorkerId&, const CarriedCall&)> carry;
-  // Lets everything due happen.
+  // Handles everything that is due.
   std::function<void()> step;
-  // Another leader takes over.
+  // Called when another leader takes over.
   std::function<void()> change_leader;
 };
 
 // One leader with its scheduler, some workers and a network that loses, delays
-// and repeats, all on one fake clock. It checks on every start and end what
-// must always hold.
+// and repeats messages, all on one fake clock. It checks the invariants on
+// every start and end.
 class FakeFleet {
  public:
   explicit FakeFleet(std::size_t workers, std::uint64_t seed = 1);
 
-  // Lets time pass in small steps; everything due happens.
+  // Lets time pass in small steps and handles everything that is due.
   void PassTime(Milliseconds time);
 
   // Accepts a job of one step.
@@ -52,22 +52,23 @@
               const std::string& queue = "clips");
   // Commits a command.
   fleet::Answer Commit(jobs::Command command);
-  // Another leader takes over; the old one's open calls come to nothing, but
-  // what it sent may still arrive.
+  // Makes another leader take over. Open calls of the old leader get no answer,
+  // but orders that it sent may still arrive.
   void ChangeLeader();
-  // Adds a life of a worker on an instance.
+  // Adds an incarnation of a worker on an instance.
   FakeWorker& AddWorker(const std::string& id,
                         const std::string& instance,
                         const std::string& rack = "r1",
                         const std::string& service = "previews");
-  // The process of a worker dies and starts again under its name.
+  // Kills the process of a worker and restarts it under its name.
   FakeWorker& StartAgain(const std::string& id);
-  // The process of a worker dies under its tasks, and starts again under its
-  // name after `restart_time`.
+  // Kills the process of a worker because of its tasks and restarts it under
+  // its name after `restart_time`.
   void CrashWorker(const WorkerId& id);
-  // A worker's capacity changes while it runs; its next announcement tells so.
+  // Changes a worker's capacity while it runs; its next announcement contains
+  // the change.
   void ChangeCapacity(const WorkerId& id, const jobs::Resources& capacity);
-  // An announcement of a life that is over comes now.
+  // Delivers an announcement of an incarnation that is over.
   void AnnounceAgain(const std::string& id);
   // Declares that the queue of clips belongs to this service from now on.
   void MoveClipsTo(const std::string& service);
@@ -75,89 +76,92 @@
   FakeWorker& worker(const std::string& id) {
     return this->workers.at(WorkerId(id));
   }
-  // All lives, also those that ended.
+  // All incarnations, including those that have ended.
   const std::map<WorkerId, FakeWorker>& all_workers() const {
     return this->workers;
   }
   const jobs::Job& job(const std::string& id) const {
     return *this->state.FindJob(JobId(id));
   }
-  // How many workers have crashed under a task since it first started.
+  // Returns the number of workers that have crashed under a task since it first
+  // started.
   std::uint32_t CountCrashes(const jobs::TaskId& task) const {
     const auto found = this->crash_counts.find(task);
     return found == this->crash_counts.end() ? 0 : found->second;
   }
-  // The workers that run a task of the job now.
+  // Returns the workers that run a task of the job now.
   std::vector<std::string> WorkersOf(const std::string& job) const;
   std::size_t CountRunning(const std::string& job) const {
     return this->WorkersOf(job).size();
   }
 
-  // What was found broken; empty while all holds.
+  // The violation that was found; empty if there is none.
   std::string problem;
   jobs::JobsState state;
   std::optional<Scheduler> scheduler;
-  // Without looks at all jobs: a change that goes unnoticed shows as a task
-  // that is never started.
+  // Settings practically without full scans of the jobs, so that a missed
+  // change shows as a task that is never started.
   SchedulerSettings settings{.full_look_interval = Milliseconds(3'600'000)};
   SteadyTime now{Milliseconds(1'000)};
-  // Makes the leader's calls where it is set.
+  // Makes the leader's calls if it is set.
   std::optional<CallCarrier> carrier;
-  // The share of orders whose answer is lost and that are carried out 0 to 4 s
-  // late, in thousandths.
+  // The share of orders, in thousandths, whose answer is lost and that are
+  // carried out 0 to 4 s late.
   std::uint32_t late_permille = 0;
   // The placement policy: the workers that it admits, with their tickets. While
   // it is silent, questions get no answer.
   std::map<WorkerId, std::string> admitted;
   bool is_policy_silent = false;
-  // What its answers say of the tickets' time; the queue declares 2 s.
+  // The validity of tickets in its answers; the queue declares 2 s.
   std::optional<Milliseconds> answered_validity = Milliseconds(2'000);
   std::uint64_t questions = 0;
-  // False where the test renews the workers' leases itself.
+  // Whether the fleet renews the workers' leases; if false, the test does.
   bool renews = true;
-  // False while the platform does not say which instances are up.
+  // Whether the platform reports which instances are up.
   bool lists_instances = true;
-  // How late; drawn from 0 to 4 s where it is not set.
+  // The delay of late orders; drawn from 0 to 4 s if it is not set.
   std::optional<Milliseconds> late_by;
-  // The share of renewals that are carried out and whose answer is lost.
+  // The share of renewals, in thousandths, that are carried out and whose
+  // answer is lost.
   std::uint32_t lost_report_permille = 0;
-  // The share of reports that come late, by 0 to 400 ms.
+  // The share of reports, in thousandths, that arrive 0 to 400 ms late.
   std::uint32_t late_report_permille = 0;
-  // The most by which answers to orders come late.
+  // The maximum delay of answers to orders.
   Milliseconds answer_delay{0};
-  // The share of orders of which a first copy is lost with its connection and
-  // may be carried out late all the same; the copy that is sent again after
-  // `resend_after` is answered.
+  // The share of orders, in thousandths, whose first copy is lost with its
+  // connection but may still be carried out late. The second copy, sent after
+  // `resend_after`, is answered.
   std::uint32_t resent_permille = 0;
   Milliseconds resend_after{1};
-  // A refusal of the second copy is told as it is.
+  // Whether a refusal of the second copy is passed on unchanged.
   bool believes_second_copies = false;
-  // False where another model holds starts against ends, one that knows which
-  // ends nobody had to know of.
+  // Whether starts are checked against recorded ends. False if another model
+  // does so, which knows the ends that no leader had to know of.
   bool checks_ends = true;
   // How long a commit takes.
   Milliseconds commit_time{0};
-  // What is being committed when the leader changes is on record in the end.
+  // Whether a commit in progress at a change of leader succeeds in the end.
   bool keeps_open_commits = false;
-  // The next renewal leaves right after a report, before the leader plans.
+  // Whether the next renewal is sent directly after a report, before the leader
+  // plans.
   bool renews_at_once = false;
-  // Workers that nobody knows announce themselves this often; 0 for never.
+  // The interval at which unknown workers announce themselves; 0 for never.
   Milliseconds announce_interval{0};
-  // How long each task works, and whether it fails.
+  // How long each task runs, and whether it fails.
   Milliseconds work{800};
   std::function<bool(const StartOrder&)> fails = [](const StartOrder&) {
     return false;
   };
   // Whether a task crashes the worker that starts it, and how long after its
-  // start; the worker starts again under its name after `restart_time`.
+  // start. The worker restarts under its name after `restart_time`.
   std::function<bool(const StartOrder&)> crashes = [](const StartOrder&) {
     return false;
   };
   Milliseconds crash_after{10};
-  // The start of such a task gets no answer.
+  // Whether the start of such a task gets no answer.
   bool loses_answers_of_crashes = false;
   Milliseconds restart_time{2'000};
-  // The same for tasks that last, where it is set.
+  // How long long-running tasks run; `work` applies if it is not set.
   std::optional<Milliseconds> lasting_work;
   std::uint64_t starts = 0;
 
@@ -181,15 +185,15 @@
   bool CarryRenewal(const RenewOrder& order);
   bool CarryReportRequest(const RenewOrder& order);
   bool CarryOrder(const Order& order);
-  // Has a worker carry an order out; nothing if its answer is lost.
+  // Lets a worker carry out an order. Returns nothing if the answer is lost.
   std::optional<OrderAnswer> CarryOut(const Order& order);
   void RenewAgain(const WorkerId& id);
   void Plan();
   void Send(const Order& order);
   void Resend(const Order& order);
   Milliseconds DrawLateness();
-  // As the adapter tells it, a refusal of a second copy settles nothing, unless
-  // it is believed.
+  // As in the adapter, a refusal of a second copy proves nothing, unless
+  // `believes_second_copies` is set.
   void Execute(const Order& order,
                bool is_answered,
                Generation generation,
@@ -216,14 +220,15 @@
   bool Reaches(const WorkerId& id) const;
 
   std::mt19937_64 random;
-  // What is on record, kept apart from the state, which forgets the progress of
+  // Committed ends, kept apart from the state because it drops the progress of
   // finished jobs: tasks that are done, and runs that failed.
   std::set<jobs::TaskId> done_tasks;
   std::map<jobs::TaskId, std::set<RunNumber>> failed_runs;
   std::map<WorkerId, FakeWorker> workers;
-  // What a worker had before its capacity shrank, and when it did.
+  // A worker's capacity before it was reduced, and when it was.
   std::map<WorkerId, std::pair<jobs::Resources, SteadyTime>> shrunk_from;
-  // Workers that crashed under a task, and its starts after the third.
+  // The number of workers that crashed under each task, and of its starts after
+  // the third crash.
   std::map<jobs::TaskId, std::uint32_t> crash_counts;
   std::map<jobs::TaskId, std::uint32_t> starts_after_limit;
   std::vector<Event> events;
@@ -231,7 +236,7 @@
   Generation generation = 0;
   // When the leader took over.
   SteadyTime led_since{};
-  // Ends that wait for the commit that is under way, and those in it.
+  // Ends that wait for the next commit, and the ends in the present one.
   std::vector<WaitingEnds> waiting_ends;
   std::vector<WaitingEnds> open_lot;
   std::uint64_t declared_version = 1;
--- a/tests/libraries/scheduler/fake_relays.cc
+++ b/tests/libraries/scheduler/fake_relays.cc
@@ -33,8 +33,8 @@
   this->routes.Add(number, DataCentre());
 }
 
-// What is open of the leader's calls is lost to it; what lies in the relay may
-// still leave in time.
+// The leader's open calls are lost to it. Calls held in the relay may still be
+// sent in time.
 void FakeRelays::Close(std::size_t number, SteadyTime now) {
   Relay& relay = this->relays.at(number);
   relay.is_open = false;
@@ -155,7 +155,7 @@
   }
 }
 
-// What has left by then includes calls that leave in the last moment.
+// The calls sent by then include calls that are sent at the last moment.
 void FakeRelays::Lose(std::size_t number, SteadyTime now) {
   Relay& relay = this->relays.at(number);
   this->Close(number, now);
--- a/tests/libraries/scheduler/fake_relays.h
+++ b/tests/libraries/scheduler/fake_relays.h
@@ -16,63 +16,66 @@
 
 namespace sumac::scheduler {
 
-// Relays between a leader and its workers, in memory. A call leaves its relay
-// before it expires or not at all; what has left may be carried out seconds
-// later, whatever becomes of the relay and of the leader.
+// In-memory relays between a leader and its workers. A relay sends a call
+// before it expires or not at all; a call that was sent may be carried out
+// seconds later, whatever happens to the relay and the leader.
 class FakeRelays {
  public:
   static constexpr std::size_t kCount = 2;
 
   explicit FakeRelays(std::uint64_t seed);
 
-  // Takes a call; false if the leader makes it by itself.
+  // Accepts a call. Returns false if the leader has to make it directly.
   bool Carry(const WorkerId& worker, const CarriedCall& call, SteadyTime now);
-  // Everything due happens.
+  // Handles everything that is due.
   void Step(SteadyTime now);
 
-  // The process stops, with its network going on without it, and goes on.
+  // Pause stops the relay's process while its network continues; GoOn resumes
+  // it.
   void Pause(std::size_t relay) { this->relays.at(relay).is_paused = true; }
   void GoOn(std::size_t relay) { this->relays.at(relay).is_paused = false; }
-  // The process dies, and is started again at once.
+  // The relay's process dies and is restarted immediately.
   void Lose(std::size_t relay, SteadyTime now);
-  // Nothing comes from the workers to the relay; what it sends to them is late,
-  // or lost.
+  // While the relay is cut off, it receives nothing from the workers, and what
+  // it sends to them is late or lost.
   void CutOff(std::size_t relay) { this->relays.at(relay).is_cut = true; }
   void Heal(std::size_t relay) { this->relays.at(relay).is_cut = false; }
-  // The next calls to the worker go another way.
+  // Routes the next calls to the worker another way.
   void Move(const WorkerId& worker, SteadyTime now);
-  // The lease of the leader is over; the next one begins.
+  // Ends the leadership of the present leader and begins the next one.
   void ChangeLeader(SteadyTime now);
 
-  // How many calls of lost relays were carried out after that.
+  // The number of calls that were carried out after their relay was lost.
   std::uint64_t late_calls() const { return this->late_call_count; }
 
  private:
   enum class Stage {
-    // In the relay.
+    // The call waits in the relay.
     kHeld,
-    // It has left, and nothing was answered yet.
+    // The call was sent and is not answered yet.
     kSent,
-    // What became of it is known in the relay.
+    // The relay knows the outcome of the call.
     kAnswered,
-    // Nobody waits for it any more, though it may still be carried out.
+    // Neither relay nor leader waits for the call any more, though it may still
+    // be carried out.
     kForgotten,
   };
   struct Call {
     WorkerId worker;
     CarriedCall body;
     Stage stage = Stage::kHeld;
-    // The leader still waits for it.
+    // Whether the leader still waits for the call.
     bool is_open = true;
-    // When it can leave, and by when it must have left.
+    // The earliest time at which the call can be sent, and the time by which it
+    // must be sent.
     SteadyTime leaves_at{};
     SteadyTime expires{};
-    // When it is carried out; never if the network lost it.
+    // When the call is carried out; never if the network lost it.
     SteadyTime arrives_at = SteadyTime::max();
     bool loses_answer = false;
-    // When the relay gives up waiting for the worker.
+    // When the relay stops waiting for the worker.
     SteadyTime unanswered_at = SteadyTime::max();
-    // When the leader gives up the relay.
+    // When the leader gives up on the relay.
     SteadyTime due{};
     std::function<void()> answer;
   };
--- a/tests/libraries/scheduler/fake_worker.h
+++ b/tests/libraries/scheduler/fake_worker.h
@@ -18,26 +18,29 @@
 
 namespace sumac::scheduler {
 
-// A worker as the platform describes it, in memory: fencing tokens, leases on
-// its own clock, runs that end, ends that are listed until acknowledged.
+// An in-memory worker that follows the platform's protocol: fencing tokens,
+// leases on its own clock, runs that end, and ends that are listed until
+// acknowledged.
 class FakeWorker {
  public:
   struct Running {
     RunNumber run;
     SteadyTime began_at;
-    // When it ends by itself, in true time.
+    // When the run ends by itself, by the test's clock.
     SteadyTime ends_at;
     bool fails = false;
-    // It has no end of its own and is at work from its start on.
+    // Whether the run never ends by itself and is in operation from its start
+    // on.
     bool is_long_running = false;
     bool is_serving = false;
     bool is_filler = false;
     std::uint32_t pace = 100;
-    // When a stop that is under way takes effect.
+    // When a stop in progress takes effect.
     std::optional<SteadyTime> stops_at;
   };
 
-  // Its clock started at `clock_offset` and loses `slow_permille`.
+  // Creates a worker whose clock started at `clock_offset` and runs slow by
+  // `slow_permille`.
   FakeWorker(jobs::Worker description,
              Milliseconds clock_offset,
              std::int64_t slow_permille)
@@ -45,7 +48,7 @@
         clock_offset(clock_offset),
         slow_permille(slow_permille) {}
 
-  // Lets leases lapse and runs end.
+  // Handles leases that expire and runs that end.
   void Tick(SteadyTime now);
 
   OrderAnswer Start(const StartOrder& order,
@@ -55,27 +58,27 @@
                     SteadyTime now);
   OrderAnswer Pace(const PaceOrder& order);
   OrderAnswer Stop(const StopOrder& order, SteadyTime now);
-  // The report, or nothing when the fencing token is too low.
+  // Returns the report, or nothing if the fencing token is too low.
   std::optional<RenewReport> Renew(const RenewOrder& order, SteadyTime now);
 
   WorkerTime ClockAt(SteadyTime now) const;
-  // True while its lease holds.
+  // Returns true while the worker's lease lasts.
   bool HasLease(SteadyTime now) const {
     return this->ClockAt(now) < this->lease_end;
   }
-  // All that runs dies, as when the process is killed.
+  // Loses all runs, as when the process is killed.
   void Crash();
 
   const std::map<jobs::TaskId, Running>& running() const { return this->tasks; }
-  // All runs that ever began here, in their order.
+  // All runs that ever began here, in order.
   const std::vector<std::pair<jobs::TaskId, RunNumber>>& begun_runs() const {
     return this->begun;
   }
-  // All ends that there ever were here, in their order.
+  // All ends that ever occurred here, in order.
   const std::vector<EndReport>& all_ends() const { return this->every_end; }
-  // Ends numbered up to this were acknowledged.
+  // Ends numbered up to this have been acknowledged.
   std::uint64_t acknowledged_ends() const { return this->acknowledged; }
-  // Ends that are not acknowledged, in their order.
+  // Ends that are not acknowledged, in order.
   const std::vector<EndReport>& unacknowledged_ends() const {
     return this->ended;
   }
@@ -83,28 +86,31 @@
 
   jobs::Worker description;
   bool is_up = true;
-  // Nothing reaches it and nothing comes from it, but it runs on.
+  // Whether it is cut off: it neither receives nor sends anything, but keeps
+  // running.
   bool is_cut = false;
-  // What is started there never gets on, or takes this many times as long.
+  // Whether runs that are started there make no progress, and by what factor
+  // they are slowed down.
   bool stands_still = false;
   int slowness = 1;
-  // The tail of the answer times of what serves there, in milliseconds: alone,
-  // and what a filler at full speed adds.
+  // The tail latency of serving runs there, in milliseconds: by themselves, and
+  // how much a filler at full speed adds.
   std::int64_t tail = 0;
   std::int64_t tail_per_filler = 0;
-  // Tickets without which it starts nothing; empty for any.
+  // The tickets that it accepts with starts; empty to accept any start.
   std::set<std::string> tickets;
-  // How long a stop takes after it was answered; the run is listed as running
-  // until then.
+  // How long a stop takes to take effect after it was acknowledged; the run is
+  // reported as running until then.
   Milliseconds stop_time{0};
-  // What everything there has saved.
+  // The checkpoint that all runs there have saved.
   std::string checkpoint;
-  // While it is cut off, connections to it are refused.
+  // Whether connections to it are refused while it is cut off.
   bool is_cut_with_resets = false;
-  // What it answers to starts, or to stops, instead of carrying them out.
+  // The answer to starts, and to stops, that it gives instead of carrying them
+  // out.
   std::optional<OrderResult> start_refusal;
   std::optional<OrderResult> stop_refusal;
-  // A report lists this many ends at most.
+  // The maximum number of ends that a report lists.
   std::size_t most_listed_ends = 500;
 
  private:
@@ -117,7 +123,7 @@
   LeaderEpoch fence;
   WorkerTime lease_end;
   std::map<jobs::TaskId, Running> tasks;
-  // Runs up to this were stopped or ended here.
+  // The highest run number of each task that was stopped or ended here.
   std::map<jobs::TaskId, RunNumber> closed;
   std::vector<EndReport> ended;
   std::uint64_t next_end = 1;
--- a/tests/libraries/scheduler/run_history.cc
+++ b/tests/libraries/scheduler/run_history.cc
@@ -48,7 +48,7 @@
   this->fleet.AddWorker("t0", "m9", "r1", "thumbs");
   this->fleet.announce_interval = Milliseconds(500);
   this->fleet.renews_at_once = true;
-  // The ledger does, and knows of leases that ran out.
+  // The ledger checks ends instead, and takes expired leases into account.
   this->fleet.checks_ends = false;
   this->fleet.work = Milliseconds(100);
   this->fleet.lasting_work = Milliseconds(3'000);
@@ -93,7 +93,7 @@
   return this->fleet.worker(this->lives.at(number));
 }
 
-// A job whose tasks last, of which so many may be taken away at once.
+// Submits a job of long-running tasks with a disruption budget.
 void RunHistory::SubmitLasting(int amount) {
   constexpr std::uint32_t kTasks = 3;
   const std::string name = "lasting" + std::to_string(this->next_job++);
@@ -128,7 +128,8 @@
   life = this->fleet.StartAgain(life).description.id.value();
 }
 
-// The first announcement of an earlier life on the instance, which is over.
+// Delivers the first announcement of an earlier incarnation on the instance,
+// which is over.
 void RunHistory::AnnounceLate(const FakeWorker& present) {
   const std::string life = "late" + std::to_string(this->next_life++);
   this->fleet.AddWorker(life, present.description.instance.value()).Crash();
--- a/tests/libraries/scheduler/run_history.h
+++ b/tests/libraries/scheduler/run_history.h
@@ -19,7 +19,7 @@
 
 constexpr int kHistoryWorkers = 3;
 
-// What may happen to a fleet.
+// The kinds of events that may happen to a fleet.
 enum class Kind {
   kSubmit,
   kChangeLeader,
@@ -52,9 +52,9 @@
 struct Happening {
   Kind kind = Kind::kSubmit;
   int worker = 0;
-  // How much of it, from 0 to 99.
+  // The intensity of the event, from 0 to 99.
   int amount = 0;
-  // What passes before the next.
+  // The time that passes before the next event, in milliseconds.
   int pause_ms = 0;
 };
 
@@ -63,33 +63,35 @@
 // Which runs fail.
 enum class Failing { kNone, kAll, kEveryOther };
 
-// A fleet to which things happen, with models of what must hold.
+// A fleet to which events happen, with models of the rules that must hold.
 class RunHistory {
  public:
   explicit RunHistory(std::uint64_t seed);
 
-  // Short leases and a short memory for silent workers, so that both run out.
+  // Shortens the leases and the time after which a silent worker's record is
+  // removed, so that both expire within a history.
   void ShortenLeases();
 
-  // Most calls go through relays from now on.
+  // Sends most calls through relays from now on.
   void UseRelays();
 
-  // Lets it happen, and the time after it pass.
+  // Applies an event and lets the time after it pass.
   void Happen(const Happening& happening);
 
   void PassTime(Milliseconds time);
 
-  // Ends all faults; everything accepted has to end then.
+  // Ends all faults; afterwards all accepted jobs must end.
   void Recover();
   bool is_finished() const { return this->fleet.state.active_jobs().empty(); }
 
-  // What was found broken; empty while all holds.
+  // The violations that were found; empty if there are none.
   std::string problem() const {
     return this->fleet.problem + this->ledger.problem + this->budgets.problem;
   }
-  // How many tasks with a disruption budget were stopped.
+  // The number of stops of tasks with a disruption budget.
   std::uint64_t budgeted_stops() const { return this->budgets.stops; }
-  // How many calls were carried out after the leader had given them up.
+  // The number of calls that were carried out after the leader had given them
+  // up.
   std::uint64_t late_calls() const {
     return this->relays ? this->relays->late_calls() : 0;
   }
@@ -114,9 +116,9 @@
   int next_life = 0;
   std::vector<JobId> lasting_jobs;
   std::set<InstanceName> cordoned;
-  // Lives that were followed by another of their name.
+  // Incarnations that were followed by another one of the same name.
   std::vector<std::string> earlier_lives;
-  // The life on each instance now.
+  // The present incarnation on each instance.
   std::array<std::string, kHistoryWorkers> lives = {"w0", "w1", "w2"};
 };
 
--- a/tests/libraries/scheduler/run_ledger.cc
+++ b/tests/libraries/scheduler/run_ledger.cc
@@ -10,7 +10,7 @@
     this->ReadEnds(fleet, worker);
   }
   this->FollowNotes(fleet);
-  // Within one step of the clock runs end before others start.
+  // Within one step of the clock, runs end before others start.
   for (const auto& [id, worker] : fleet.all_workers()) {
     this->ReadStarts(fleet, worker);
   }
@@ -25,7 +25,7 @@
     const bool is_done = end.cause == EndCause::kDone;
     const jobs::StepSpec* step = fleet.state.FindStep(end.task);
     const bool is_final = is_done || end.cause == EndCause::kFailed;
-    // What lasts is started again however it ends.
+    // Long-running tasks are started again however they end.
     if (is_final && step != nullptr && !step->is_long_running) {
       this->final_ends[end.task].push_back(FinalEnd{.worker = id,
                                                     .number = end.number,
@@ -47,7 +47,7 @@
       if (end.is_noted && end.is_done && !end.later_start.empty()) {
         this->problem =
             StrCat(task.ToText(), " run ", end.run.value(), " was done on ",
-                   end.worker.value(), ", then came ", end.later_start);
+                   end.worker.value(), ", then started ", end.later_start);
       }
     }
   }
@@ -72,15 +72,15 @@
     failures += static_cast<std::uint32_t>(!end.is_done && end.is_noted);
     if (end.is_done && end.is_noted) {
       this->problem =
-          StrCat(task.ToText(), " was noted as done, then came ", start);
+          StrCat(task.ToText(), " was recorded as done, then started ", start);
     }
   }
   const jobs::Job* job = fleet.state.FindJob(task.step.job);
   if (job == nullptr) {
-    this->problem = StrCat(task.ToText(), " is of no known job");
+    this->problem = StrCat(task.ToText(), " belongs to no known job");
   } else if (failures >= job->most_attempts) {
     this->problem = StrCat(task.ToText(), " failed ", failures,
-                           " times, then came ", start);
+                           " times, then started ", start);
   }
 }
 
--- a/tests/libraries/scheduler/run_ledger.h
+++ b/tests/libraries/scheduler/run_ledger.h
@@ -13,15 +13,15 @@
 
 namespace sumac::scheduler {
 
-// A plain model of "at most one run of a task at a time, none after its noted
-// end, and none once it failed as often as it may". It looks only at what
-// workers do, never at what a leader believes.
+// A simple model of the rule "at most one run of a task at a time, none after
+// its recorded end, and none once it has failed the maximum number of times".
+// It observes only the workers, not what a leader assumes.
 class RunLedger {
  public:
-  // Takes in what has happened on all workers since the last call.
+  // Processes everything that has happened on all workers since the last call.
   void Observe(const FakeFleet& fleet);
 
-  // What was found broken; empty while all holds.
+  // The violation that was found; empty if there is none.
   std::string problem;
 
  private:
@@ -31,14 +31,14 @@
     std::uint64_t number = 0;
     RunNumber run;
     bool is_done = false;
-    // Its worker's lease was over before the end was noted: then nobody had to
-    // know of it.
+    // Whether the worker's lease was over before the end was recorded: then no
+    // leader had to know of the end.
     bool is_excused = false;
     bool is_noted = false;
-    // A start that came after it.
+    // The last start of the task after this end.
     std::string later_start;
   };
-  // How much of a worker's history was read.
+  // How much of a worker's history has been processed.
   struct Position {
     std::size_t ends = 0;
     std::size_t starts = 0;
