--- a/tests/libraries/scheduler/capacity_change_test.cc
+++ b/tests/libraries/scheduler/capacity_change_test.cc
@@ -26,7 +26,8 @@
   fleet.Submit("second", {.count = 20});
   fleet.PassTime(Milliseconds(2'000));
   EXPECT_EQ(fleet.problem, "");
-  // What runs goes on, and the other worker takes what it holds.
+  // The running tasks continue, and the other worker takes as many as it has
+  // room for.
   EXPECT_EQ(fleet.CountRunning("first"), 8);
   EXPECT_EQ(fleet.CountRunning("second"), 8);
 }
@@ -61,7 +62,7 @@
   EXPECT_EQ(fleet.problem, "");
 }
 
-// One random thing that happens to the fleet.
+// Applies one random event to the fleet.
 void Happen(FakeFleet& fleet, int& next_job) {
   const std::string worker = StrCat("w", *rc::gen::inRange(0, 3));
   switch (*rc::gen::inRange(0, 8)) {
@@ -79,7 +80,7 @@
     case 5:
       fleet.ChangeCapacity(WorkerId(worker),
                            *rc::gen::arbitrary<bool>() ? kQuarter : kWhole);
-      // No further change until this one counts.
+      // No further change before this one takes effect.
       fleet.PassTime(Milliseconds(*rc::gen::inRange(4'600, 6'000)));
       break;
     case 6:
--- a/tests/libraries/scheduler/crashing_task_test.cc
+++ b/tests/libraries/scheduler/crashing_task_test.cc
@@ -36,12 +36,12 @@
   jobs::JobState StateOf(const std::string& job) const {
     return this->fleet.job(job).state;
   }
-  // The crashes on record under a task.
+  // Returns the number of committed crashes of a job's first task.
   std::size_t CountRecorded(const std::string& job) const {
     const auto* crashes = this->fleet.job(job).FindCrashes(FirstTaskOf(job));
     return crashes == nullptr ? 0 : crashes->crashes.size();
   }
-  // All that runs on each worker dies with it, once.
+  // Crashes every running worker once, with all of its runs.
   void CrashAll() {
     std::vector<WorkerId> ids;
     for (const auto& [id, worker] : this->fleet.all_workers()) {
@@ -108,7 +108,7 @@
   this->fleet.Submit("bad", {.count = 1});
   this->fleet.PassTime(Milliseconds(250));
   EXPECT_EQ(this->CountRecorded("bad"), 1);
-  // The start that is under way crashes its worker unseen.
+  // The start in progress crashes its worker unnoticed.
   this->fleet.ChangeLeader();
   this->fleet.PassTime(Milliseconds(20'000));
   EXPECT_EQ(this->fleet.CountCrashes(FirstTaskOf("bad")), 3);
@@ -140,7 +140,7 @@
   const std::vector<std::string> second = this->fleet.WorkersOf("second");
   EXPECT_EQ(second.size(), 40);
   EXPECT_EQ(std::count(second.begin(), second.end(), trial.front()), 0);
-  // Once it is seen at work its worker takes other tasks.
+  // Once a report shows it running, its worker takes other tasks.
   this->fleet.Submit("third", {.count = 10});
   this->fleet.PassTime(Milliseconds(1'000));
   const std::vector<std::string> third = this->fleet.WorkersOf("third");
@@ -217,7 +217,8 @@
   const InstanceName instance =
       this->fleet.worker(worker.value()).description.instance;
   this->fleet.Commit(jobs::RecordMoves{{instance}, {{instance, worker}}});
-  // The platform lists it as down before the answer to the order is read.
+  // The platform lists the instance as down before the answer to the order is
+  // read.
   this->fleet.worker(worker.value()).Crash();
   this->fleet.PassTime(Milliseconds(1'000));
   EXPECT_EQ(this->fleet.CountRunning("good"), 1);
@@ -248,7 +249,7 @@
   EXPECT_EQ(this->fleet.starts, 2);
 }
 
-// One random thing that happens to the fleet.
+// Applies one random event to the fleet.
 void Happen(FakeFleet& fleet, int& next_job) {
   const int number = *rc::gen::inRange(0, 6);
   const WorkerId worker(StrCat("w", number));
--- a/tests/libraries/scheduler/crowded_leader_test.cc
+++ b/tests/libraries/scheduler/crowded_leader_test.cc
@@ -1,9 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
-// What a leader of many workers does when it has more to do than time: a turn
-// of the scheduler ordered a whole backlog of starts at once, every worker was
-// asked every 600 ms (1,740 calls a second for 1,100 workers, more than the
-// starts), and a start that had waited in the leader's own queue for seconds
-// was sent all the same.
+// Tests that a leader of many workers copes with overload. It must not order a
+// whole backlog of starts in one planning pass, nor renew every worker every
+// 600 ms (1,740 calls per second for 1,100 workers, more than the starts), nor
+// send a start that has waited in the leader's own queue for seconds.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -44,7 +43,8 @@
   EXPECT_EQ(plan(4), 0U);
 }
 
-// It has not run, so the task may go elsewhere at once, without a stop.
+// The run cannot have begun, so the task may be started elsewhere immediately,
+// without a stop.
 TEST(CrowdedLeaderTest, AStartThatNeverLeftIsPlannedAgain) {
   FakeFleet fleet(2);
   fleet.PassTime(Milliseconds(500));
@@ -59,7 +59,7 @@
   EXPECT_GT(StartsOf(next)[0].run, starts[0].run);
 }
 
-// A worker that could not be asked is not one that kept silent.
+// A renewal that was never sent does not count as silence of the worker.
 TEST(CrowdedLeaderTest, ARenewalThatNeverLeftSaysNothingAgainstTheWorker) {
   FakeFleet fleet(1);
   fleet.PassTime(Milliseconds(500));
@@ -84,14 +84,15 @@
   // A lease outlasts two lost renewals.
   EXPECT_EQ(wait_of(6'400, {.length = Milliseconds(4'500)}).wait,
             Milliseconds(1'500));
-  // Without a connection for each the leader waits itself.
+  // Without a connection for each worker the leader itself waits between
+  // renewals.
   const RenewOrder crowded = wait_of(1'100, {.most_waiting = 1'000});
   EXPECT_EQ(crowded.wait, Milliseconds(0));
   EXPECT_EQ(crowded.pause, Milliseconds(1'833));
 }
 
-// Rare renewals leave old reports, and by those no task may be taken away. Who
-// wants to asks, and does not wait for the next renewal.
+// Infrequent renewals leave old reports, by which no task may be taken away.
+// The evacuation requests reports instead of waiting for the next renewal.
 TEST(CrowdedLeaderTest, AnEvacuationAsksWhoIsAtWork) {
   FakeFleet fleet(3);
   fleet.work = Milliseconds(60'000);
@@ -111,13 +112,13 @@
                                     .instance});
   const SchedulerOutput output = fleet.scheduler->Plan(fleet.now, kWallNow);
   EXPECT_EQ(output.report_requests.size(), 2U);
-  // Not in each turn.
+  // Reports are not requested in each planning pass.
   EXPECT_TRUE(
       fleet.scheduler->Plan(fleet.now, kWallNow).report_requests.empty());
 }
 
-// A step that found no room says so for those that need as much; one that needs
-// less, and one in the next turn, look again.
+// If a step finds no room, steps that need as much are skipped in the same
+// planning pass; a step that needs less, or the next pass, searches again.
 TEST(CrowdedLeaderTest, AFullPoolIsRememberedForOneTurnOnly) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(500);
@@ -153,8 +154,8 @@
   EXPECT_EQ(fleet.problem, "");
 }
 
-// A job that can't be in time waits while the leader has no time to spare, and
-// starts as soon as it has.
+// A job that can't meet its deadline waits while the leader is overloaded, and
+// starts as soon as the leader has time to spare.
 TEST(CrowdedLeaderTest, ALateJobWaitsForALeaderWithTimeToSpare) {
   FakeFleet fleet(2);
   fleet.PassTime(Milliseconds(500));
--- a/tests/libraries/scheduler/run_uniqueness_property_test.cc
+++ b/tests/libraries/scheduler/run_uniqueness_property_test.cc
@@ -14,7 +14,7 @@
 
 constexpr int kMostHappenings = 40;
 
-// What most histories are made of; jobs and changes of leader come more often
+// The events of most histories. Jobs and changes of leader are more frequent
 // than the rest.
 std::vector<Kind> CommonKinds() {
   return {Kind::kSubmit, Kind::kSubmit,       Kind::kChangeLeader,
@@ -33,7 +33,7 @@
   return kinds;
 }
 
-// What happens to relays, as often as all else of `kinds` together.
+// Adds events of relays, as frequent as all other `kinds` together.
 std::vector<Kind> WithRelayKinds(std::vector<Kind> kinds) {
   constexpr std::array kOfRelays = {Kind::kPauseRelay, Kind::kLoseRelay,
                                     Kind::kCutRelay, Kind::kMoveCalls};
--- a/tests/libraries/scheduler/run_uniqueness_test.cc
+++ b/tests/libraries/scheduler/run_uniqueness_test.cc
@@ -6,16 +6,17 @@
 #include "tests/libraries/scheduler/fake_fleet.h"
 #include "tests/libraries/scheduler/run_ledger.h"
 
-// At most one run of a task at a time, and none after its noted end, for each
-// way by which a leader may come to believe that no run is under way.
+// Tests that there is at most one run of a task at a time, and none after its
+// recorded end, for each way in which a leader may come to assume that no run
+// is in progress.
 namespace sumac::scheduler {
 namespace {
 
 constexpr Milliseconds kStep{10};
-// Beyond the time of any worker's stop and of any commit in these tests.
+// Longer than any stop and any commit in these tests.
 constexpr Milliseconds kLongWork{60'000};
 
-// Lets time pass and keeps the ledger at each step.
+// Lets time pass and updates the ledger at each step.
 void PassTime(FakeFleet& fleet, RunLedger& ledger, Milliseconds time) {
   for (Milliseconds passed{0}; passed < time; passed += kStep) {
     fleet.PassTime(kStep);
@@ -23,7 +24,7 @@
   }
 }
 
-// Lets time pass until so many runs have begun.
+// Lets time pass until this many runs have begun.
 void AwaitStarts(FakeFleet& fleet, RunLedger& ledger, std::uint64_t starts) {
   constexpr int kMostSteps = 200;
   for (int step = 0; step < kMostSteps && fleet.starts < starts; ++step) {
@@ -32,9 +33,9 @@
   ASSERT_EQ(fleet.starts, starts);
 }
 
-// A job of one task. Its first run fails at once, and the next follows on
-// another worker before the first worker was told that its end is on record.
-// Then the leader changes.
+// Runs a job of one task. Its first run fails immediately, and the next one is
+// started on another worker before the end of the first is acknowledged to its
+// worker. Then the leader changes.
 void ChangeLeaderAfterARetry(FakeFleet& fleet,
                              RunLedger& ledger,
                              Milliseconds second_work) {
@@ -49,10 +50,10 @@
   fleet.ChangeLeader();
 }
 
-// A worker lists a failed run to a new leader, which begins to put the end on
-// record. Another worker lists the run with which the leader before went on,
-// and it was taken for one too many: its task counted as without a run as soon
-// as the record was there, and the next start came while the run went on.
+// A worker reports a failed run to a new leader, which begins to commit the
+// end. Another worker reports the next run, which the previous leader started.
+// If the leader rejects it as superfluous, the task counts as having no run
+// once the end is committed, and is started again while that run continues.
 TEST(RunUniquenessTest, ARetryOfTheLeaderBeforeGoesOnAlone) {
   FakeFleet fleet(3);
   RunLedger ledger;
@@ -80,15 +81,15 @@
   EXPECT_EQ(fleet.job("job").state, jobs::JobState::kDone);
 }
 
-// Two ends of one task may be on their way to the record in two commits: a
-// failed run, listed to a new leader first, and a later one that was done. Once
-// the failure was on record the task was started again, though its end as done
-// was known and on its way.
+// Two ends of one task may be in two commits in progress: a failed run,
+// reported to a new leader first, and a later run that ended as done. The
+// commit of the failure must not start the task again while its end as done is
+// known but not committed.
 TEST(RunUniquenessTest, ATaskWaitsForTheRecordOfAllItsEnds) {
   FakeFleet fleet(3);
   RunLedger ledger;
   ChangeLeaderAfterARetry(fleet, ledger, Milliseconds(300));
-  // The first lot is being committed while the second run ends.
+  // The first batch is being committed while the second run ends.
   fleet.commit_time = Milliseconds(1'000);
   const std::string second = fleet.WorkersOf("job").front();
   fleet.worker(second).is_cut = true;
@@ -101,9 +102,10 @@
   EXPECT_EQ(fleet.job("job").state, jobs::JobState::kDone);
 }
 
-// A queue goes to another service while a run of one of its jobs goes on at a
-// worker of the service before. A new leader that has not heard of that worker
-// yet asked only the new service's workers, and started the task there.
+// A queue moves to another service while a run of one of its jobs continues on
+// a worker of the previous service. A new leader that has not received an
+// answer from that worker yet must not consider only the workers of the new
+// service, and start the task there.
 TEST(RunUniquenessTest, AMovedQueuesTasksMayStillRunAtItsServiceBefore) {
   FakeFleet fleet(1);
   RunLedger ledger;
@@ -118,15 +120,15 @@
   PassTime(fleet, ledger, fleet.settings.lease.length - Milliseconds(1'000));
   EXPECT_EQ(ledger.problem, "");
   EXPECT_EQ(fleet.starts, 1U);
-  // No longer than its lease holds.
+  // The task waits no longer than the worker's lease lasts.
   PassTime(fleet, ledger, Milliseconds(2'000));
   EXPECT_EQ(ledger.problem, "");
   EXPECT_EQ(fleet.WorkersOf("job"), std::vector<std::string>{"t0"});
 }
 
-// A worker that was silent for long is forgotten, but the command takes its
-// time to be on record. If the worker answers in between it gets runs, and
-// these were taken for ended once it was forgotten.
+// The removal of a silent worker's record takes time to commit. If the worker
+// answers before and gets runs, these must not be considered ended by the
+// commit.
 TEST(RunUniquenessTest, ALateForgettingEndsNothingThatRuns) {
   FakeFleet fleet(2);
   RunLedger ledger;
@@ -149,10 +151,10 @@
   EXPECT_EQ(fleet.starts, 2U);
 }
 
-// The record that a silent worker is forgotten takes so long that it is asked
-// for twice. After the first the worker announces itself anew and gets runs,
-// and the second ends its session: "run-gone job0.0.0.0#2097155@w0 its life is
-// over" and the next start at once, in a random history.
+// The removal of a silent worker's record takes so long to commit that it is
+// submitted twice. After the first commit the worker announces itself again and
+// gets runs; the second must not end its session, which would start the tasks
+// elsewhere at once.
 TEST(RunUniquenessTest, ASecondForgettingEndsNothingThatRuns) {
   FakeFleet fleet(2);
   RunLedger ledger;
@@ -177,9 +179,9 @@
   EXPECT_EQ(fleet.starts, 2U);
 }
 
-// A start may reach its worker although its connection broke. The run was done
-// before the start came again and was refused as old: that says that the run
-// has been there, not that it is still to come.
+// A start may reach its worker although its connection broke. The run is done
+// before the start is sent again and refused as old: the refusal shows that the
+// run has existed, not that it is still to begin.
 TEST(RunUniquenessTest, AStartRefusedAsOldMayHaveBeenDone) {
   FakeFleet fleet(2);
   RunLedger ledger;
@@ -201,7 +203,7 @@
   EXPECT_EQ(fleet.job("job").state, jobs::JobState::kDone);
 }
 
-// The same with a refusal for want of room: the copy that was sent first is
+// The same with a refusal for lack of room: the copy that was sent first is
 // carried out later, when there is room.
 TEST(RunUniquenessTest, AStartSentAgainAndRefusedMayStillBegin) {
   FakeFleet fleet(2);
@@ -222,9 +224,9 @@
   EXPECT_EQ(fleet.CountRunning("job"), 1U);
 }
 
-// A run may show up that its leader had given up, here since it believed the
-// refusal of a second copy. It has to go, and until it has gone its task must
-// not start elsewhere.
+// A report may show a run that its leader had given up, here because the leader
+// relied on the refusal of a second copy. The run must be stopped, and until it
+// has ended its task must not start elsewhere.
 TEST(RunUniquenessTest, ARunThatHasToGoHoldsItsTask) {
   FakeFleet fleet(1);
   RunLedger ledger;
@@ -248,8 +250,8 @@
   EXPECT_EQ(fleet.starts, 2U);
 }
 
-// A report lists only so many ends. A new leader took the ends that were left
-// out for runs that had never been.
+// A report lists a limited number of ends. A new leader must not treat runs
+// whose ends were left out as runs that never existed.
 TEST(RunUniquenessTest, AFullListOfEndsIsNotAllOfThem) {
   constexpr std::uint32_t kTasks = 520;
   FakeFleet fleet(1);
@@ -270,9 +272,10 @@
   EXPECT_EQ(fleet.job("job").state, jobs::JobState::kDone);
 }
 
-// A worker starts again under its name, at once, while a leader changes, or
-// after its lease. What ran there is started once more, also there; the new
-// life's ends are acknowledged by its own numbers.
+// A worker restarts under its name: immediately, while a leader changes, or
+// after its lease. The tasks that were running there are started once more,
+// also there, and the ends of the new incarnation are acknowledged by its own
+// numbers.
 class RestartTest : public testing::TestWithParam<Milliseconds> {};
 
 TEST_P(RestartTest, WhatRanThereRunsOnceMore) {
--- a/tests/libraries/scheduler/scheduler_property_test.cc
+++ b/tests/libraries/scheduler/scheduler_property_test.cc
@@ -12,7 +12,7 @@
 constexpr std::size_t kWorkers = 4;
 constexpr int kSteps = 60;
 
-// One random thing that happens to the fleet.
+// Applies one random event to the fleet.
 void Happen(FakeFleet& fleet, int& next_job, int& next_life) {
   const std::string worker =
       "w" + std::to_string(*rc::gen::inRange<int>(0, kWorkers));
@@ -66,7 +66,7 @@
   if (!fleet.problem.empty()) {
     RC_FAIL(fleet.problem);
   }
-  // Once the faults end, everything accepted ends too.
+  // Once the faults end, all accepted jobs end, too.
   fleet.late_permille = 0;
   fleet.lost_report_permille = 0;
   for (std::size_t number = 0; number < kWorkers; ++number) {
--- a/tests/libraries/scheduler/scheduler_test.cc
+++ b/tests/libraries/scheduler/scheduler_test.cc
@@ -54,8 +54,8 @@
   EXPECT_EQ(fleet.starts, 4U);
 }
 
-// A start got no answer and was carried out seconds later, after the job had
-// been cancelled and while no stop came through.
+// A start order gets no answer and is carried out seconds later. Its job has
+// been cancelled by then, and the stops sent meanwhile were lost.
 TEST(SchedulerTest, AStartThatIsCarriedOutAfterItsJobWasCancelledIsStopped) {
   constexpr Milliseconds kLate{2'000};
   FakeFleet fleet(1);
@@ -69,7 +69,7 @@
   fleet.worker("w0").is_cut = true;
   fleet.Commit(jobs::CancelJob{JobId("job")});
   while (fleet.starts == 0 && fleet.now < SteadyTime(Milliseconds(9'000))) {
-    // It comes through again just before the start does.
+    // Orders get through again just before the start does.
     fleet.worker("w0").is_cut =
         fleet.now < SteadyTime(Milliseconds(1'100)) + kLate;
     fleet.PassTime(Milliseconds(10));
@@ -82,9 +82,9 @@
   EXPECT_EQ(fleet.problem, "");
 }
 
-// The leader that had ordered it was replaced meanwhile, and the next one does
-// not know of the order: the first report shows it the run, of a job that is
-// cancelled, or of one of which nothing is on record any more.
+// A start order of an earlier leader is carried out late, and the present
+// leader does not know of the order. The first report shows the run, whose job
+// is cancelled or is not in the jobs state any more.
 TEST(SchedulerTest, ALateStartOfAnEarlierLeaderIsStoppedFromTheFirstReportOn) {
   constexpr Milliseconds kLate{2'000};
   for (const bool is_job_dropped : {false, true}) {
@@ -124,7 +124,8 @@
   }
 }
 
-// What arrives after the next leader was heard is not carried out at all.
+// Orders of an earlier leader are rejected once the worker has received one
+// from the next leader.
 TEST(SchedulerTest, ALateStartOfAnEarlierLeaderIsFencedOffOnceTheNextWasHeard) {
   FakeFleet fleet(1);
   fleet.work = Milliseconds(60'000);
@@ -152,8 +153,8 @@
   EXPECT_EQ(fleet.problem, "");
 }
 
-// What runs on a worker that is cut off while leadership changes is started
-// elsewhere only once its lease is over.
+// A task on a worker that is cut off during a change of leader is started
+// elsewhere only after the worker's lease is over.
 TEST(SchedulerTest, ATaskOnASilentWorkerWaitsForTheLease) {
   FakeFleet fleet(1);
   fleet.work = Milliseconds(60'000);
@@ -183,7 +184,7 @@
   EXPECT_EQ(fleet.problem, "");
 }
 
-// A partition may refuse connections to a worker that runs on.
+// A network partition may refuse connections to a worker that is still running.
 TEST(SchedulerTest, ARefusedConnectionDoesNotProveThatNothingRuns) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(60'000);
@@ -227,13 +228,12 @@
   EXPECT_EQ(fleet.starts, 2U);
 }
 
-// Long-running tasks stayed away for up to 16 s on a large fleet in a rush. One
-// of them, stopped at 18.2 s, was ordered again at 34.0 s: by the log its step
-// waits, and at 27 and 31 s, twenty seconds after the leader began, the reason
-// for its neighbours is "may-run-unseen". Instances joined the pool all the
-// time, and with each one that had not answered yet the jobs of the leader
-// before waited, while new ones took the room that came free. A worker that was
-// put on record under this leader had no orders from an earlier one.
+// Guards against long outages of long-running tasks while a pool grows: each
+// new worker that had not answered yet was counted as possibly running the
+// tasks of jobs of the previous leader. These waited, with the reason
+// "may-run-unseen", for up to 16 s, and tasks of newer jobs took the free room.
+// A worker that was first recorded under this leader has had no orders from an
+// earlier one.
 TEST(SchedulerTest, AJobOfTheLeaderBeforeDoesNotWaitForWorkersThatJoin) {
   FakeFleet fleet(1);
   fleet.lasting_work = Milliseconds(3'600'000);
@@ -251,8 +251,8 @@
   EXPECT_EQ(fleet.CountRunning("lasting"), 1U);
 }
 
-// A list that was asked for before a worker was heard of says nothing about
-// it.
+// A platform list that was requested before a worker became known is no
+// evidence about that worker.
 TEST(SchedulerTest, AnOlderListDoesNotEndANewLife) {
   FakeFleet fleet(1);
   fleet.lists_instances = false;
@@ -281,7 +281,7 @@
   EXPECT_EQ(fleet.job("job").state, JobState::kDone);
   EXPECT_EQ(fleet.starts, 2U);
   EXPECT_EQ(fleet.problem, "");
-  // The worker gets nothing for a while.
+  // The worker gets no tasks for a while.
   fleet.Submit("next", {.count = 2, .estimate = Milliseconds(800)});
   fleet.PassTime(Milliseconds(300));
   EXPECT_EQ(fleet.WorkersOf("next"), (std::vector<std::string>{"w1", "w1"}));
@@ -302,7 +302,7 @@
   EXPECT_EQ(fleet.problem, "");
 }
 
-// By the time the stop arrives it may be at work.
+// A run that looks stalled may be in operation by the time the stop arrives.
 TEST(SchedulerTest, ALongRunningTaskIsGivenUpOnlyWithinItsBudget) {
   for (const std::uint32_t budget : {0U, 1U}) {
     FakeFleet fleet(2);
@@ -317,8 +317,8 @@
   }
 }
 
-// Tasks of one queue differ; one that is three times as long as the others is
-// no sign of a slow worker.
+// Tasks of one queue differ in length. A run that takes three times as long as
+// the others is no sign of a slow worker.
 TEST(SchedulerTest, ALongTaskIsNotGivenUp) {
   FakeFleet fleet(2);
   for (int number = 0; number < 3; ++number) {
@@ -346,8 +346,8 @@
   for (int number = 0; number < 6; ++number) {
     EXPECT_EQ(fleet.job("job" + std::to_string(number)).state, JobState::kDone);
   }
-  // Two jobs and perhaps one more after the first quarantine failed there; each
-  // was started again on the other worker.
+  // The tasks of two jobs, and perhaps of one more after the first quarantine,
+  // failed there; each was started again on the other worker.
   EXPECT_LE(fleet.starts, 9U);
 }
 
@@ -380,10 +380,11 @@
   EXPECT_EQ(fleet.state.FindWorker(WorkerId("w0")), nullptr);
 }
 
-// Whatever the lives are called, whatever is committed before the old one is
-// forgotten, and whether a leader that hears both takes over at once or once
-// the new one has answered. Its announcement alone proves nothing; its first
-// answer comes within milliseconds.
+// Holds for any order of the names, for any commit before the record of the old
+// incarnation is removed, and whether a leader that knows both takes over
+// immediately or after the new incarnation has answered. The announcement of
+// the new incarnation alone proves nothing; its first answer arrives within
+// milliseconds.
 TEST(SchedulerTest, TheOldLifeOnAnInstanceNeverReplacesTheNewOne) {
   for (const char* next : {"a-life", "z-life"}) {
     for (const Milliseconds heard : {Milliseconds(0), Milliseconds(40)}) {
@@ -405,10 +406,10 @@
   }
 }
 
-// A first announcement was held up by a cut. When it came, its sender had
-// crashed and the next life on the instance was at work. It was heard of last
-// and so was taken for the present life: what ran there was started a second
-// time elsewhere.
+// A first announcement arrives late, when its sender has crashed and the next
+// incarnation on the instance is running. It must not be treated as the present
+// incarnation just because it arrived last: then the tasks running there were
+// started a second time elsewhere.
 TEST(SchedulerTest, AnAnnouncementThatOutlivesItsSenderEndsNoOtherLife) {
   for (const char* late : {"a-late", "z-late"}) {
     for (const bool is_silent : {false, true}) {
@@ -433,9 +434,10 @@
   }
 }
 
-// A worker was silent for so long that it was forgotten, and its instance went
-// to the next life. Its last announcement came after that; it was recorded
-// anew, with the highest number of all, and took the next life's place.
+// The record of a silent worker was removed, and its instance was given to the
+// next incarnation. Then the old worker's last announcement arrives, is
+// recorded with the highest sequence number of all, and must not replace the
+// next incarnation.
 TEST(SchedulerTest, AForgottenLifeThatIsHeardOfAgainEndsNoOtherLife) {
   FakeFleet fleet(2);
   fleet.lists_instances = false;
@@ -460,9 +462,9 @@
   EXPECT_EQ(fleet.problem, "");
 }
 
-// An address went to a worker of another service, and an announcement of the
-// life before came after that: orders for that life are answered there by
-// another one.
+// An address was given to a worker of another service, and an announcement of
+// the previous incarnation arrives later. Orders to the previous incarnation
+// are answered there by the other worker.
 TEST(SchedulerTest, AnAddressThatWentToAnotherWorkerEndsOnlyTheLifeBefore) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(20'000);
@@ -552,13 +554,14 @@
   EXPECT_EQ(fleet.CountRunning("gang"), 16U);
   const std::vector<std::string> workers = fleet.WorkersOf("gang");
   EXPECT_EQ(std::count(workers.begin(), workers.end(), "w0"), 0);
-  // More than the rack holds: it is spread.
+  // The gang needs more than the rack has, so it is spread over racks.
   fleet.Submit("wide", {.count = 16, .is_gang = true, .wants_same_rack = true});
   fleet.PassTime(Milliseconds(400));
   EXPECT_EQ(fleet.CountRunning("wide"), 16U);
 }
 
-// Members that wait for one that was refused would hold their room in vain.
+// Members that wait for a member whose start was refused would hold their room
+// in vain.
 TEST(SchedulerTest, AGangWithoutOneMemberIsStoppedAndStartsAnew) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(2'000);
@@ -583,7 +586,8 @@
   EXPECT_EQ(fleet.problem, "");
 }
 
-// Any member's checkpoint is good for the gang, and all must bring the same.
+// The checkpoint of any member is valid for the gang, and all members must
+// start from the same one.
 TEST(SchedulerTest, AGangGoesOnFromOneCheckpoint) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(60'000);
@@ -616,7 +620,7 @@
   fleet.PassTime(Milliseconds(400));
   const std::vector<std::string> before = fleet.WorkersOf("job");
   ASSERT_EQ(before.size(), 2U);
-  // Both would have to go at once; the budget lets one.
+  // Both tasks have to leave at the same time; the budget allows one.
   std::set<InstanceName> instances;
   for (const std::string& worker : before) {
     instances.insert(fleet.worker(worker).description.instance);
@@ -628,9 +632,9 @@
   EXPECT_EQ(fleet.CountRunning("job"), 2U);
 }
 
-// A stop takes its time, and until it is over the run is listed as running. A
-// leader that takes over meanwhile can't tell it from one that goes on, and
-// must not take another task of the step away beside it.
+// Until a stop takes effect, its run is reported as running. A leader that
+// takes over meanwhile can't tell such a run from one that continues, and must
+// not stop another task of the step at the same time.
 TEST(SchedulerTest, TheBudgetCountsStopsOfTheLeaderBefore) {
   FakeFleet fleet(4);
   fleet.work = Milliseconds(60'000);
@@ -666,7 +670,7 @@
     fleet.PassTime(Milliseconds(10));
     ASSERT_TRUE(runs_on(before[1]) || !is_first_leaving()) << step;
   }
-  // Once the first task is at work again, the second leaves its instance.
+  // Once the first task is in operation again, the second leaves its instance.
   EXPECT_EQ(fleet.CountRunning("job"), 2U);
   EXPECT_FALSE(runs_on(before[1]));
   EXPECT_EQ(fleet.problem, "");
@@ -705,8 +709,8 @@
   EXPECT_EQ(fleet.scheduler->CountPending(QueueName("clips")), 1U);
 }
 
-// The stop of a run that has ended is answered like any other; only a report
-// tells that the run was done.
+// The stop of a run that has ended is acknowledged like any other; only a
+// report shows that the run ended as done.
 TEST(SchedulerTest, AStoppedRunIsNotStartedAgainBeforeAReportShowsItsEnd) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(400);
@@ -734,7 +738,7 @@
   fleet.PassTime(Milliseconds(600));
   EXPECT_EQ(fleet.WorkersOf("job"),
             (std::vector<std::string>{"w1", "w1", "w1"}));
-  // What the policy said does not change: nobody is asked about twice.
+  // The policy's answers do not change, so no worker is asked about twice.
   EXPECT_EQ(fleet.questions, 1U);
   EXPECT_EQ(fleet.problem, "");
 }
@@ -743,7 +747,8 @@
   FakeFleet fleet(1);
   fleet.work = Milliseconds(3'000);
   fleet.admitted = {{WorkerId("w0"), "ticket"}};
-  // More than fits at once: the second half starts after the ticket's end.
+  // There is not enough room for all tasks at once: the second half starts
+  // after the ticket has expired.
   fleet.Submit("job", {.count = 16}, "advised");
   fleet.PassTime(Milliseconds(600));
   EXPECT_EQ(fleet.CountRunning("job"), 8U);
@@ -791,8 +796,8 @@
   EXPECT_EQ(fleet.job("job").state, JobState::kDone);
 }
 
-// Starts a filler beside a run that serves with a tail of 60 ms, of 100 that it
-// may have; the filler adds `tail_per_filler` at full speed.
+// Starts a filler next to a run that serves users with a tail latency of 60 ms
+// and a target of 100 ms. At full speed the filler adds `tail_per_filler`.
 void FillBesideWhatServes(FakeFleet& fleet, std::int64_t tail_per_filler) {
   fleet.work = Milliseconds(600'000);
   fleet.worker("w0").tail = 60;
@@ -810,14 +815,14 @@
   fleet.PassTime(Milliseconds(400));
   ASSERT_EQ(fleet.worker("w0").running().size(), 2U);
   const jobs::TaskId filler{{JobId("fills"), 0, 0}, 0};
-  // Over its target for less than 4 s.
+  // The serving run exceeds its target for less than 4 s.
   fleet.PassTime(Milliseconds(3'000));
   EXPECT_LE(fleet.worker("w0").running().at(filler).pace, 40U);
   for (int second = 0; second < 60; ++second) {
     fleet.PassTime(Milliseconds(1'000));
     EXPECT_LE(fleet.worker("w0").running().at(filler).pace, 40U);
   }
-  // Alone it may use all again.
+  // Alone on the worker, the filler may use everything again.
   fleet.Commit(jobs::CancelJob{JobId("serves")});
   fleet.PassTime(Milliseconds(1'000));
   EXPECT_EQ(fleet.worker("w0").running().at(filler).pace, 100U);
@@ -835,8 +840,8 @@
   EXPECT_EQ(fleet.worker("w0").running().at(filler).pace, 100U);
 }
 
-// Two reports may be on their way to the record at once; a worker may forget an
-// end only when all before it are on record.
+// The ends of two reports may be being committed at the same time. A worker may
+// drop an end only when it and all earlier ends are committed.
 TEST(SchedulerTest, EndsAreAcknowledgedInTheirOrder) {
   FakeFleet fleet(1);
   fleet.PassTime(Milliseconds(100));
@@ -863,11 +868,10 @@
             3U);
 }
 
-// A worker was silent for so long that the leader asked for the record that it
-// is forgotten. The group was slow, and the record came only after the worker
-// had answered again and had been given tasks: run-ordered at 37.4292 s,
-// run-gone "its life is over" at 37.6291 s, and run-ordered elsewhere at
-// 37.6292 s while the first run went on until 38.842 s.
+// The leader submits the removal of a silent worker's record, and the commit is
+// slow. If the worker answers before it and gets tasks, the commit must not end
+// its session: the tasks would be started elsewhere while they are still
+// running there.
 TEST(SchedulerTest, AWorkerThatIsBackKeepsItsTasksWhenARecordToForgetItIsLate) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(6'000);
@@ -875,12 +879,13 @@
   fleet.announce_interval = Milliseconds(500);
   fleet.PassTime(Milliseconds(500));
   fleet.worker("w0").is_cut = true;
-  // Beyond the lease and the time after which a silent worker is forgotten.
+  // Longer than the lease and the time after which a silent worker's record is
+  // removed.
   fleet.PassTime(fleet.settings.forget_after + Milliseconds(1'000));
   ASSERT_NE(fleet.state.FindWorker(WorkerId("w0")), nullptr);
   fleet.worker("w0").is_cut = false;
-  // A worker that is being forgotten gets no orders until that is on record and
-  // it has announced itself anew.
+  // A worker whose record is being removed gets no orders until the removal is
+  // committed and the worker has announced itself again.
   EXPECT_FALSE(fleet.scheduler->NextRenewal(WorkerId("w0"), fleet.now));
   fleet.Submit("job", {.count = 16});
   fleet.PassTime(Milliseconds(500));
@@ -920,9 +925,9 @@
   }
 }
 
-// A leader stands still for longer than a lease, and then one worker's answer
-// comes in before another's: what ended meanwhile is listed in an answer that
-// is still to come.
+// A leader is stalled for longer than a lease, and then one worker's answer
+// arrives before another's. Runs that ended meanwhile are listed in an answer
+// that is still outstanding.
 TEST(SchedulerTest, ALeaderThatStoodStillAsksBeforeItBelievesALapse) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     FakeFleet fleet(3, seed);
@@ -941,10 +946,9 @@
   }
 }
 
-// Starts of a step with a disruption budget were carried out and their answers
-// lost: 0.66 s after the start of such a run its leader stopped it, 0.8 s later
-// it was at work and its end was one too many. A stop that only settles a start
-// asks the budget like any other.
+// Starts of a step with a disruption budget are carried out and their answers
+// are lost. The stop of such a run arrives when its task is in operation, so a
+// stop that only settles a start must respect the budget like any other.
 TEST(SchedulerTest, UnansweredStartsAreNotStoppedBeyondTheBudget) {
   FakeFleet fleet(3);
   fleet.work = Milliseconds(60'000);
@@ -967,9 +971,8 @@
   EXPECT_EQ(fleet.CountRunning("job"), 3U);
 }
 
-// A leader evacuated a lasting task at 16.37 s and counted the others of its
-// step as at work by reports of 14.09 s; their leases had ended from 15.43 s
-// on.
+// An evacuation must not count tasks as running by old reports: in one case the
+// reports were 2.3 s old, and the leases of the workers had ended 0.9 s before.
 TEST(SchedulerTest, AnOldReportDoesNotShowThatATaskIsAtWork) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(60'000);
@@ -989,8 +992,8 @@
   EXPECT_TRUE(fleet.scheduler->MayTakeAway(task, fleet.now));
 }
 
-// A report waited for its relay, or for its leader's loop, and told of a time
-// before another task's stop.
+// A report that waited in its relay or for the leader's event loop may describe
+// the state before another task's stop.
 TEST(SchedulerTest, AReportReadLateDoesNotShowThatATaskIsAtWork) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(60'000);
@@ -1018,9 +1021,9 @@
   EXPECT_FALSE(fleet.scheduler->MayTakeAway(task, fleet.now));
 }
 
-// A leader changed while the worker of a job's only tasks was silent. Whether
-// the job had begun was in the memory of the leader before, so callers who had
-// been shown "running" were shown "queued" for as long.
+// The leader changes while the worker of a job's only tasks is silent. Whether
+// the job has begun must be committed: otherwise callers that have been shown
+// "running" are shown "queued" until the worker answers.
 TEST(SchedulerTest, AJobThatWasShownAsRunningIsNeverQueuedAgain) {
   FakeFleet fleet(1);
   fleet.work = Milliseconds(60'000);
@@ -1035,8 +1038,8 @@
   EXPECT_TRUE(fleet.scheduler->HasBegun(fleet.job("job")));
 }
 
-// A leader read an answer 3 s late and took the worker's clock for what it had
-// been then, so the next lease of 6 s was over after 3.
+// A leader that reads an answer 3 s late must not use the worker's clock in it
+// as the present one: then the next lease of 6 s was over after 3 s.
 TEST(SchedulerTest, AnAnswerThatIsReadLateShortensNoLease) {
   constexpr WorkerTime kReading{100'000};
   constexpr Milliseconds kLate{3'000};
@@ -1044,7 +1047,7 @@
   SteadyTime now{Milliseconds(50'000)};
   WorkerSession session(jobs::Worker{.id = WorkerId("w")}, lease, now);
   session.NoteClock(kReading, now);
-  // It answered 10 ms later, and that is read 3 s later.
+  // The worker answered 10 ms later, and the answer is read 3 s later.
   now += kLate;
   session.NoteClock(WorkerTime(kReading.value() + 10), now);
   const std::int64_t there = kReading.value() + kLate.count();
@@ -1053,10 +1056,10 @@
   EXPECT_LE(granted.value() - there, lease.length.count());
 }
 
-// "its lease is over" was said of 1,590 runs by a leader that had not heard of
-// their workers because it was late itself. The clock says that a run must have
-// ended, not how; only a worker that is asked after that and keeps silent has
-// nothing to tell.
+// A leader that was late itself, and therefore has received nothing from a
+// worker, must not release the worker's runs once their lease is over (1,590
+// runs in one case). The clock shows that a run must have ended, but not how;
+// the worker may still report that, unless it fails to answer a later call.
 TEST(SchedulerTest, ALapseIsBelievedOnlyAfterAQuestionInVain) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(60'000);
@@ -1075,7 +1078,8 @@
   EXPECT_EQ(fleet.problem, "");
 }
 
-// A relay that is gone is no silence of its workers, however often it goes.
+// The loss of a relay, however often it happens, does not count as silence of
+// its workers.
 TEST(SchedulerTest, ARenewalLostWithItsRelaySaysNothingAgainstTheWorker) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(60'000);
@@ -1100,8 +1104,8 @@
   EXPECT_FALSE(session.is_answering());
 }
 
-// The start may have left the relay before it went, and may still be carried
-// out.
+// The relay may have sent the start before it was lost, so the start may still
+// be carried out.
 TEST(SchedulerTest, AStartLostWithItsRelayIsStoppedBeforeItsTaskGoesElsewhere) {
   FakeFleet fleet(2);
   fleet.PassTime(Milliseconds(500));
