--- a/libraries/scheduler/ended_lives.h
+++ b/libraries/scheduler/ended_incarnations.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef LIBRARIES_SCHEDULER_ENDED_LIVES_H_
-#define LIBRARIES_SCHEDULER_ENDED_LIVES_H_
+#ifndef LIBRARIES_SCHEDULER_ENDED_INCARNATIONS_H_
+#define LIBRARIES_SCHEDULER_ENDED_INCARNATIONS_H_
 
 #include <map>
 #include <vector>
@@ -15,14 +15,14 @@
 
 // Incarnations of workers that are certainly over, kept until this is committed
 // together with the runs that were lost in a crash.
-class EndedLives {
+class EndedIncarnations {
  public:
   // Adds an incarnation that is over.
-  void Note(const WorkerId& worker) { this->lives.try_emplace(worker); }
-  void Note(const WorkerId& worker, std::vector<jobs::CrashedRun> crashed_runs);
+  void Add(const WorkerId& worker) { this->incarnations.try_emplace(worker); }
+  void Add(const WorkerId& worker, std::vector<jobs::CrashedRun> crashed_runs);
 
   bool Has(const WorkerId& worker) const {
-    return this->lives.contains(worker);
+    return this->incarnations.contains(worker);
   }
 
   // Returns the commands that must be submitted now. A command whose effect
@@ -36,14 +36,14 @@
                                        const jobs::JobsState& state);
 
  private:
-  struct Life {
+  struct Incarnation {
     SteadyTime ask_at{};
     std::vector<jobs::CrashedRun> crashed_runs;
   };
 
-  std::map<WorkerId, Life> lives;
+  std::map<WorkerId, Incarnation> incarnations;
 };
 
 }  // namespace sumac::scheduler
 
-#endif  // LIBRARIES_SCHEDULER_ENDED_LIVES_H_
+#endif  // LIBRARIES_SCHEDULER_ENDED_INCARNATIONS_H_
--- a/libraries/scheduler/life_end.h
+++ b/libraries/scheduler/incarnation_end.h
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef LIBRARIES_SCHEDULER_LIFE_END_H_
-#define LIBRARIES_SCHEDULER_LIFE_END_H_
+#ifndef LIBRARIES_SCHEDULER_INCARNATION_END_H_
+#define LIBRARIES_SCHEDULER_INCARNATION_END_H_
 
 #include <string_view>
 
 namespace sumac::scheduler {
 
 // The evidence by which a leader considers a worker's incarnation to be over.
-enum class LifeEnd {
+enum class IncarnationEnd {
   // The platform lists its instance as down, as gone, or with another worker.
   kListedAsDown,
   // A later incarnation of the same name is committed.
@@ -24,12 +24,12 @@
 };
 
 // Returns the evidence as text for the log.
-std::string_view TextOf(LifeEnd end);
+std::string_view TextOf(IncarnationEnd end);
 
 // Returns true if this proves that the incarnation is over but does not give
 // the cause.
-bool IsUnexplained(LifeEnd end);
+bool IsUnexplained(IncarnationEnd end);
 
 }  // namespace sumac::scheduler
 
-#endif  // LIBRARIES_SCHEDULER_LIFE_END_H_
+#endif  // LIBRARIES_SCHEDULER_INCARNATION_END_H_
--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -81,8 +81,8 @@
     return;
   }
   this->forgotten.erase(id);
-  if (this->ended.Has(id)) {
-    this->EndWorker(id, LifeEnd::kReplacedOnInstance, now);
+  if (this->ended_incarnations.Has(id)) {
+    this->EndWorker(id, IncarnationEnd::kReplacedOnInstance, now);
     return;
   }
   const auto [session, is_new] = this->workers.try_emplace(
@@ -112,14 +112,14 @@
       session == nullptr ? nullptr
                          : this->state.FindPresentLife(session->worker().name);
   if (next == nullptr) {
-    this->EndWorker(worker, LifeEnd::kPlanned, now);
+    this->EndWorker(worker, IncarnationEnd::kPlanned, now);
     return;
   }
   this->notes.AddText("worker-restarted", "it started again under its name",
                       false,
                       StrCat(worker.value(), " with ", session->runs().size(),
                              " runs, now ", next->id.value()));
-  this->EndWorker(worker, LifeEnd::kRestarted, now);
+  this->EndWorker(worker, IncarnationEnd::kRestarted, now);
 }
 
 // Ends the other incarnations on the instance of a worker that has just
@@ -141,8 +141,8 @@
     }
   }
   for (const WorkerId& id : ended) {
-    this->ended.Note(id);
-    this->EndWorker(id, LifeEnd::kReplacedOnInstance, now);
+    this->ended_incarnations.Add(id);
+    this->EndWorker(id, IncarnationEnd::kReplacedOnInstance, now);
   }
 }
 
@@ -594,7 +594,9 @@
   }
 }
 
-void Scheduler::EndWorker(const WorkerId& worker, LifeEnd end, SteadyTime now) {
+void Scheduler::EndWorker(const WorkerId& worker,
+                          IncarnationEnd end,
+                          SteadyTime now) {
   const auto found = this->workers.find(worker);
   if (found == this->workers.end()) {
     return;
@@ -612,7 +614,8 @@
 
 // Returns true if no planned action explains the end: the worker had not
 // announced that it would leave, and no order that ends it is committed.
-bool Scheduler::IsCrash(const WorkerSession& session, LifeEnd end) const {
+bool Scheduler::IsCrash(const WorkerSession& session,
+                        IncarnationEnd end) const {
   const jobs::Worker& worker = session.worker();
   const auto move = this->state.record().moves.find(worker.instance);
   const bool is_ordered = move != this->state.record().moves.end() &&
@@ -642,11 +645,12 @@
                         ? "suspect"
                         : "bystander");
   }
-  this->ended.Note(session.worker().id, std::move(runs));
+  this->ended_incarnations.Add(session.worker().id, std::move(runs));
 }
 
 void Scheduler::SettleCrashes(const WorkerId& worker) {
-  for (const jobs::CrashedRun& run : this->ended.Settle(worker, this->state)) {
+  for (const jobs::CrashedRun& run :
+       this->ended_incarnations.Settle(worker, this->state)) {
     if (TaskMemory* memory = this->tasks.Find(run.task)) {
       --memory->open_crashes;
     }
@@ -656,7 +660,7 @@
 
 // Logs which runs ended with an incarnation, the most recently ordered first.
 void Scheduler::NoteLifeEnd(const WorkerSession& session,
-                            LifeEnd end,
+                            IncarnationEnd end,
                             SteadyTime now) {
   if (session.runs().empty()) {
     return;
@@ -686,8 +690,8 @@
 // Ends an incarnation because another one is at its address. An address is
 // reused only after its previous incarnation is over.
 void Scheduler::EndReplacedWorker(const WorkerId& worker, SteadyTime now) {
-  this->ended.Note(worker);
-  this->EndWorker(worker, LifeEnd::kReplacedAtAddress, now);
+  this->ended_incarnations.Add(worker);
+  this->EndWorker(worker, IncarnationEnd::kReplacedAtAddress, now);
 }
 
 void Scheduler::ReleaseRun(WorkerSession& session,
@@ -889,14 +893,14 @@
     }
   }
   for (const WorkerId& id : dead) {
-    this->EndWorker(id, LifeEnd::kListedAsDown, asked_at);
-    this->ended.Note(id);
+    this->EndWorker(id, IncarnationEnd::kListedAsDown, asked_at);
+    this->ended_incarnations.Add(id);
   }
 }
 
 void Scheduler::ForgetGoneWorkers(SteadyTime now, SchedulerOutput& output) {
   for (jobs::Command& command :
-       this->ended.TakeDue(now, this->settings.forget_retry)) {
+       this->ended_incarnations.TakeDue(now, this->settings.forget_retry)) {
     output.commands.emplace_back(std::move(command));
   }
   if (now - this->looked_for_gone < this->settings.judge_interval) {
@@ -916,7 +920,7 @@
   // before the command is committed: later leaders would not know of runs
   // started there.
   for (const auto& [id, sequence] : gone) {
-    this->EndWorker(id, LifeEnd::kSilent, now);
+    this->EndWorker(id, IncarnationEnd::kSilent, now);
     this->forgotten[id] = {.ask_at = now, .sequence = sequence};
   }
   for (auto& [id, forgetting] : this->forgotten) {
--- a/libraries/scheduler/scheduler.h
+++ b/libraries/scheduler/scheduler.h
@@ -19,10 +19,10 @@
 #include "libraries/jobs/service_demand.h"
 #include "libraries/jobs/task_id.h"
 #include "libraries/scheduler/demand_meter.h"
-#include "libraries/scheduler/ended_lives.h"
+#include "libraries/scheduler/ended_incarnations.h"
 #include "libraries/scheduler/event_notes.h"
+#include "libraries/scheduler/incarnation_end.h"
 #include "libraries/scheduler/job_numbers.h"
-#include "libraries/scheduler/life_end.h"
 #include "libraries/scheduler/near_wait.h"
 #include "libraries/scheduler/placement.h"
 #include "libraries/scheduler/placement_advice.h"
@@ -193,7 +193,7 @@
                          SteadyTime asked_at);
 
   // Ends a worker's incarnation as of `now` and releases its runs.
-  void EndWorker(const WorkerId& worker, LifeEnd end, SteadyTime now);
+  void EndWorker(const WorkerId& worker, IncarnationEnd end, SteadyTime now);
 
   // Runs one planning pass and returns the actions to take, with no more starts
   // than `allowed`; other starts wait for the next call. A gang starts as a
@@ -321,10 +321,12 @@
   void EndLife(const WorkerId& worker, SteadyTime now);
   void EndReplacedWorker(const WorkerId& worker, SteadyTime now);
   void EndOtherLives(const WorkerSession& answering, SteadyTime now);
-  bool IsCrash(const WorkerSession& session, LifeEnd end) const;
+  bool IsCrash(const WorkerSession& session, IncarnationEnd end) const;
   void TakeCrash(const WorkerSession& session, SteadyTime now);
   void SettleCrashes(const WorkerId& worker);
-  void NoteLifeEnd(const WorkerSession& session, LifeEnd end, SteadyTime now);
+  void NoteLifeEnd(const WorkerSession& session,
+                   IncarnationEnd end,
+                   SteadyTime now);
   void RequestReports(SteadyTime now, SchedulerOutput& output);
   void AskWhoIsAtWork(const jobs::StepId& step, SteadyTime now);
   void LapseSilentWorkers(SteadyTime now);
@@ -409,7 +411,7 @@
   // Jobs of which a task has begun, until the next planning pass emits the
   // command that records it.
   std::set<JobId> begun;
-  EndedLives ended;
+  EndedIncarnations ended_incarnations;
   // Workers that have been silent for too long but may come back, until the
   // removal of their records is committed.
   std::map<WorkerId, Forgetting> forgotten;
