--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -19,7 +19,7 @@
 constexpr Milliseconds kUnconfirmedTime{1'500};
 // The maximum number of runs that the log line about the end of an incarnation
 // lists.
-constexpr std::size_t kRunsOfLifeEnd = 6;
+constexpr std::size_t kMaxLoggedRuns = 6;
 
 // The first epoch of a group is 1, and its runs are numbered from 1.
 RunNumber FirstRunOf(LeaderEpoch epoch) {
@@ -72,7 +72,7 @@
   if (worker == nullptr) {
     this->SettleCrashes(id);
     this->forgotten.erase(id);
-    this->EndLife(id, now);
+    this->EndObsoleteIncarnation(id, now);
     return;
   }
   const auto forgetting = this->forgotten.find(id);
@@ -82,44 +82,44 @@
   }
   this->forgotten.erase(id);
   if (this->ended_incarnations.Has(id)) {
-    this->EndWorker(id, IncarnationEnd::kReplacedOnInstance, now);
+    this->EndIncarnation(id, IncarnationEnd::kReplacedOnInstance, now);
     return;
   }
   const auto [session, is_new] = this->workers.try_emplace(
       id, WorkerSession(*worker, this->settings.lease, now));
   if (!is_new) {
-    this->ForgetLife(session->second.worker());
+    this->RemoveFromInstance(session->second.worker());
   }
   session->second.Update(*worker);
-  this->lives_of[worker->instance].insert(id);
+  this->incarnations_of[worker->instance].insert(id);
   this->MarkCordoned(session->second);
 }
 
 // Removes a worker from the known incarnations on its instance.
-void Scheduler::ForgetLife(const jobs::Worker& worker) {
-  const auto lives = this->lives_of.find(worker.instance);
+void Scheduler::RemoveFromInstance(const jobs::Worker& worker) {
+  const auto lives = this->incarnations_of.find(worker.instance);
   lives->second.erase(worker.id);
   if (lives->second.empty()) {
-    this->lives_of.erase(lives);
+    this->incarnations_of.erase(lives);
   }
 }
 
 // Ends an incarnation whose record has been removed, or that is not the current
 // incarnation of its worker.
-void Scheduler::EndLife(const WorkerId& worker, SteadyTime now) {
+void Scheduler::EndObsoleteIncarnation(const WorkerId& worker, SteadyTime now) {
   const WorkerSession* session = this->FindSession(worker);
   const jobs::Worker* next =
       session == nullptr ? nullptr
                          : this->state.FindPresentLife(session->worker().name);
   if (next == nullptr) {
-    this->EndWorker(worker, IncarnationEnd::kPlanned, now);
+    this->EndIncarnation(worker, IncarnationEnd::kPlanned, now);
     return;
   }
   this->notes.AddText("worker-restarted", "it started again under its name",
                       false,
                       StrCat(worker.value(), " with ", session->runs().size(),
                              " runs, now ", next->id.value()));
-  this->EndWorker(worker, IncarnationEnd::kRestarted, now);
+  this->EndIncarnation(worker, IncarnationEnd::kRestarted, now);
 }
 
 // Ends the other incarnations on the instance of a worker that has just
@@ -128,13 +128,14 @@
 // answer to a call that was sent after another incarnation became known does
 // prove that the other is over, since incarnations on one instance do not
 // overlap.
-void Scheduler::EndOtherLives(const WorkerSession& answering, SteadyTime now) {
+void Scheduler::EndOtherIncarnations(const WorkerSession& answering,
+                                     SteadyTime now) {
   const jobs::Worker& worker = answering.worker();
   if (worker.instance.value().empty()) {
     return;
   }
   std::vector<WorkerId> ended;
-  for (const WorkerId& id : this->lives_of.at(worker.instance)) {
+  for (const WorkerId& id : this->incarnations_of.at(worker.instance)) {
     if (id != worker.id &&
         this->workers.at(id).began_at() <= answering.began_at()) {
       ended.push_back(id);
@@ -142,7 +143,7 @@
   }
   for (const WorkerId& id : ended) {
     this->ended_incarnations.Add(id);
-    this->EndWorker(id, IncarnationEnd::kReplacedOnInstance, now);
+    this->EndIncarnation(id, IncarnationEnd::kReplacedOnInstance, now);
   }
 }
 
@@ -180,7 +181,7 @@
     session.NoteAnswer(now);
   }
   if (is_adopting) {
-    this->EndOtherLives(session, now);
+    this->EndOtherIncarnations(session, now);
   }
   EndsToRecord ends = this->TakeEnds(session, report, now);
   this->TakeRunning(session, report, is_adopting, now);
@@ -392,7 +393,7 @@
     return;
   }
   session->NoteFailure(now);
-  if (result == OrderResult::kOtherLife) {
+  if (result == OrderResult::kOtherIncarnation) {
     this->EndReplacedWorker(worker, now);
   }
   this->needs_plan = true;
@@ -481,7 +482,7 @@
       // its own lease.
       this->ReleaseRun(session, order.task, order.run, "fenced off");
       break;
-    case OrderResult::kOtherLife:
+    case OrderResult::kOtherIncarnation:
       this->EndReplacedWorker(order.worker, now);
       break;
     case OrderResult::kUnreachable:
@@ -538,7 +539,7 @@
   if (session == nullptr) {
     return;
   }
-  if (answer.result == OrderResult::kOtherLife) {
+  if (answer.result == OrderResult::kOtherIncarnation) {
     this->EndReplacedWorker(order.worker, now);
     return;
   }
@@ -594,20 +595,20 @@
   }
 }
 
-void Scheduler::EndWorker(const WorkerId& worker,
-                          IncarnationEnd end,
-                          SteadyTime now) {
+void Scheduler::EndIncarnation(const WorkerId& worker,
+                               IncarnationEnd end,
+                               SteadyTime now) {
   const auto found = this->workers.find(worker);
   if (found == this->workers.end()) {
     return;
   }
-  this->NoteLifeEnd(found->second, end, now);
+  this->LogIncarnationEnd(found->second, end, now);
   if (this->IsCrash(found->second, end)) {
     this->TakeCrash(found->second, now);
   }
   this->ReleaseAll(found->second, std::string(TextOf(end)));
   this->health.Forget(worker);
-  this->ForgetLife(found->second.worker());
+  this->RemoveFromInstance(found->second.worker());
   this->workers.erase(found);
   this->needs_plan = true;
 }
@@ -659,9 +660,9 @@
 }
 
 // Logs which runs ended with an incarnation, the most recently ordered first.
-void Scheduler::NoteLifeEnd(const WorkerSession& session,
-                            IncarnationEnd end,
-                            SteadyTime now) {
+void Scheduler::LogIncarnationEnd(const WorkerSession& session,
+                                  IncarnationEnd end,
+                                  SteadyTime now) {
   if (session.runs().empty()) {
     return;
   }
@@ -673,7 +674,7 @@
   std::sort(latest.begin(), latest.end(), [](const Run* one, const Run* other) {
     return one->ordered_at > other->ordered_at;
   });
-  latest.resize(std::min(latest.size(), kRunsOfLifeEnd));
+  latest.resize(std::min(latest.size(), kMaxLoggedRuns));
   std::string text =
       StrCat(session.worker().id.value(), " on ",
              session.worker().instance.value(), " with ", session.runs().size(),
@@ -691,7 +692,7 @@
 // reused only after its previous incarnation is over.
 void Scheduler::EndReplacedWorker(const WorkerId& worker, SteadyTime now) {
   this->ended_incarnations.Add(worker);
-  this->EndWorker(worker, IncarnationEnd::kReplacedAtAddress, now);
+  this->EndIncarnation(worker, IncarnationEnd::kReplacedAtAddress, now);
 }
 
 void Scheduler::ReleaseRun(WorkerSession& session,
@@ -893,7 +894,7 @@
     }
   }
   for (const WorkerId& id : dead) {
-    this->EndWorker(id, IncarnationEnd::kListedAsDown, asked_at);
+    this->EndIncarnation(id, IncarnationEnd::kListedAsDown, asked_at);
     this->ended_incarnations.Add(id);
   }
 }
@@ -920,7 +921,7 @@
   // before the command is committed: later leaders would not know of runs
   // started there.
   for (const auto& [id, sequence] : gone) {
-    this->EndWorker(id, IncarnationEnd::kSilent, now);
+    this->EndIncarnation(id, IncarnationEnd::kSilent, now);
     this->forgotten[id] = {.ask_at = now, .sequence = sequence};
   }
   for (auto& [id, forgetting] : this->forgotten) {
--- a/libraries/scheduler/scheduler.h
+++ b/libraries/scheduler/scheduler.h
@@ -193,7 +193,9 @@
                          SteadyTime asked_at);
 
   // Ends a worker's incarnation as of `now` and releases its runs.
-  void EndWorker(const WorkerId& worker, IncarnationEnd end, SteadyTime now);
+  void EndIncarnation(const WorkerId& worker,
+                      IncarnationEnd end,
+                      SteadyTime now);
 
   // Runs one planning pass and returns the actions to take, with no more starts
   // than `allowed`; other starts wait for the next call. A gang starts as a
@@ -317,16 +319,16 @@
   TaskMemory& CheckpointOf(const jobs::TaskId& task,
                            const jobs::StepSpec& step);
   void SyncWorker(const WorkerId& id, SteadyTime now);
-  void ForgetLife(const jobs::Worker& worker);
-  void EndLife(const WorkerId& worker, SteadyTime now);
+  void RemoveFromInstance(const jobs::Worker& worker);
+  void EndObsoleteIncarnation(const WorkerId& worker, SteadyTime now);
   void EndReplacedWorker(const WorkerId& worker, SteadyTime now);
-  void EndOtherLives(const WorkerSession& answering, SteadyTime now);
+  void EndOtherIncarnations(const WorkerSession& answering, SteadyTime now);
   bool IsCrash(const WorkerSession& session, IncarnationEnd end) const;
   void TakeCrash(const WorkerSession& session, SteadyTime now);
   void SettleCrashes(const WorkerId& worker);
-  void NoteLifeEnd(const WorkerSession& session,
-                   IncarnationEnd end,
-                   SteadyTime now);
+  void LogIncarnationEnd(const WorkerSession& session,
+                         IncarnationEnd end,
+                         SteadyTime now);
   void RequestReports(SteadyTime now, SchedulerOutput& output);
   void AskWhoIsAtWork(const jobs::StepId& step, SteadyTime now);
   void LapseSilentWorkers(SteadyTime now);
@@ -400,7 +402,7 @@
   std::uint64_t first_own_sequence;
   Sessions workers;
   // The known incarnations of workers on each instance.
-  std::unordered_map<InstanceName, std::set<WorkerId>> lives_of;
+  std::unordered_map<InstanceName, std::set<WorkerId>> incarnations_of;
   TaskTable tasks;
   // When this leadership began.
   SteadyTime began_at;
--- a/libraries/scheduler/worker_messages.h
+++ b/libraries/scheduler/worker_messages.h
@@ -98,7 +98,7 @@
   // The placement policy's ticket is not valid there.
   kBadTicket,
   // Another incarnation of the worker is at that address.
-  kOtherLife,
+  kOtherIncarnation,
   // The worker rejected the order for another reason.
   kRefused,
   // No process listens at the address.
--- a/tests/libraries/scheduler/fake_fleet.cc
+++ b/tests/libraries/scheduler/fake_fleet.cc
@@ -595,7 +595,7 @@
   }
   if (is_second && !this->believes_second_copies &&
       answer->result != OrderResult::kDone &&
-      answer->result != OrderResult::kOtherLife) {
+      answer->result != OrderResult::kOtherIncarnation) {
     answer->result = OrderResult::kUnknown;
   }
   if (is_answered && sent_in == this->generation) {
--- a/tests/libraries/scheduler/scheduler_test.cc
+++ b/tests/libraries/scheduler/scheduler_test.cc
@@ -478,7 +478,7 @@
                             .capacity = {.millicores = 8'000},
                             .sequence = 3};
   fleet.Commit(jobs::RecordWorker{before});
-  fleet.scheduler->TakeRenewalFailure(before.id, OrderResult::kOtherLife,
+  fleet.scheduler->TakeRenewalFailure(before.id, OrderResult::kOtherIncarnation,
                                       fleet.now);
   fleet.PassTime(Milliseconds(500));
   EXPECT_EQ(fleet.state.FindWorker(before.id), nullptr);
--- a/tests/platform/wire_codec_test.cc
+++ b/tests/platform/wire_codec_test.cc
@@ -238,7 +238,7 @@
             kTooLate);
   EXPECT_EQ(ReadOrderAnswer(409, R"({"clock_ms":5,"reason":"room"})").result,
             kNoRoom);
-  EXPECT_EQ(ReadOrderAnswer(421, "").result, kOtherLife);
+  EXPECT_EQ(ReadOrderAnswer(421, "").result, kOtherIncarnation);
   EXPECT_EQ(ReadOrderAnswer(503, "").result, kRefused);
 }
 
--- a/tests/platform/worker_client_repeat_test.cc
+++ b/tests/platform/worker_client_repeat_test.cc
@@ -116,7 +116,8 @@
 }
 
 TEST_F(WorkerClientRepeatTest, AnotherLifeAtTheAddressSettlesBoth) {
-  EXPECT_EQ(this->StartTwice("421 Misdirected", "{}"), OrderResult::kOtherLife);
+  EXPECT_EQ(this->StartTwice("421 Misdirected", "{}"),
+            OrderResult::kOtherIncarnation);
 }
 
 }  // namespace
--- a/tests/platform/worker_client_test.cc
+++ b/tests/platform/worker_client_test.cc
@@ -81,9 +81,9 @@
   auto parts = std::make_unique<Parts>();
   EXPECT_EQ(parts->Renew("i-1"), scheduler::OrderResult::kDone);
   parts->present = "i-2";
-  EXPECT_EQ(parts->Renew("i-1"), scheduler::OrderResult::kOtherLife);
+  EXPECT_EQ(parts->Renew("i-1"), scheduler::OrderResult::kOtherIncarnation);
   EXPECT_EQ(parts->Stop("i-1").wait(parts->io.waitScope).result,
-            scheduler::OrderResult::kOtherLife);
+            scheduler::OrderResult::kOtherIncarnation);
   EXPECT_EQ(parts->Renew("i-2"), scheduler::OrderResult::kDone);
   EXPECT_EQ(parts->Stop("i-2").wait(parts->io.waitScope).result,
             scheduler::OrderResult::kDone);
--- a/tests/platform/worker_lives_test.cc
+++ b/tests/platform/worker_lives_test.cc
@@ -290,7 +290,8 @@
     for (auto& earlier : under_way) {
       EXPECT_NE(earlier.wait(this->parts->io.waitScope), OrderResult::kDone);
     }
-    EXPECT_EQ(this->SendAndWait(call, this->first), OrderResult::kOtherLife);
+    EXPECT_EQ(this->SendAndWait(call, this->first),
+              OrderResult::kOtherIncarnation);
     EXPECT_TRUE(this->HeardNothing());
   });
 }
@@ -311,7 +312,8 @@
 TEST_F(WorkerRestartTest, ACallForALaterLifeReachesNoEarlierOne) {
   this->ForEach([this](Call call, Before /*before*/) {
     this->Begin(kFirstStart);
-    EXPECT_EQ(this->SendAndWait(call, this->second), OrderResult::kOtherLife);
+    EXPECT_EQ(this->SendAndWait(call, this->second),
+              OrderResult::kOtherIncarnation);
     EXPECT_TRUE(this->HeardNothing());
   });
 }
