--- a/libraries/scheduler/event_notes.cc
+++ b/libraries/scheduler/event_collector.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "libraries/scheduler/event_notes.h"
+#include "libraries/scheduler/event_collector.h"
 
 #include "libraries/base/text.h"
 
@@ -7,27 +7,27 @@
 namespace {
 
 // Limits the length of a log line.
-constexpr std::size_t kMostRunsPerEvent = 64;
+constexpr std::size_t kMaxRunsPerEvent = 64;
 
 }  // namespace
 
-void EventNotes::Add(std::string what,
-                     const jobs::TaskId& task,
-                     RunNumber run,
-                     const WorkerId& worker,
-                     std::string reason) {
+void EventCollector::Add(std::string what,
+                         const jobs::TaskId& task,
+                         RunNumber run,
+                         const WorkerId& worker,
+                         std::string reason) {
   this->AddText(std::move(what), std::move(reason), false,
                 StrCat(task.ToText(), "#", run.value(), "@", worker.value()));
 }
 
-void EventNotes::AddText(std::string what,
-                         std::string reason,
-                         bool is_alarm,
-                         std::string text) {
+void EventCollector::AddText(std::string what,
+                             std::string reason,
+                             bool is_alarm,
+                             std::string text) {
   const bool is_same = !this->events.empty() &&
                        this->events.back().what == what &&
                        this->events.back().reason == reason &&
-                       this->events.back().runs.size() < kMostRunsPerEvent;
+                       this->events.back().runs.size() < kMaxRunsPerEvent;
   if (!is_same) {
     this->events.push_back(
         SchedulerEvent{std::move(what), std::move(reason), {}, is_alarm});
--- a/libraries/scheduler/event_notes.h
+++ b/libraries/scheduler/event_collector.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef LIBRARIES_SCHEDULER_EVENT_NOTES_H_
-#define LIBRARIES_SCHEDULER_EVENT_NOTES_H_
+#ifndef LIBRARIES_SCHEDULER_EVENT_COLLECTOR_H_
+#define LIBRARIES_SCHEDULER_EVENT_COLLECTOR_H_
 
 #include <string>
 #include <utility>
@@ -22,7 +22,7 @@
 };
 
 // Collects the events of a planning pass.
-class EventNotes {
+class EventCollector {
  public:
   // Adds an event about one run. Consecutive events of the same kind and reason
   // are merged into one.
@@ -47,4 +47,4 @@
 
 }  // namespace sumac::scheduler
 
-#endif  // LIBRARIES_SCHEDULER_EVENT_NOTES_H_
+#endif  // LIBRARIES_SCHEDULER_EVENT_COLLECTOR_H_
--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -115,10 +115,10 @@
     this->EndIncarnation(worker, IncarnationEnd::kPlanned, now);
     return;
   }
-  this->notes.AddText("worker-restarted", "it started again under its name",
-                      false,
-                      StrCat(worker.value(), " with ", session->runs().size(),
-                             " runs, now ", next->id.value()));
+  this->collected_events.AddText(
+      "worker-restarted", "it started again under its name", false,
+      StrCat(worker.value(), " with ", session->runs().size(), " runs, now ",
+             next->id.value()));
   this->EndIncarnation(worker, IncarnationEnd::kRestarted, now);
 }
 
@@ -252,13 +252,14 @@
     if (was_known) {
       this->ReleaseRun(session, end.task, end.run, "");
     }
-    this->notes.Add("run-ended", end.task, end.run, session.worker().id,
-                    end.cause == EndCause::kDone      ? "done"
-                    : end.cause == EndCause::kFailed  ? "failed"
-                    : end.cause == EndCause::kStopped ? "stopped"
-                    : end.cause == EndCause::kLapsed  ? "lapsed"
-                    : end.cause == EndCause::kBroken  ? "gang broken"
-                                                      : "gang incomplete");
+    this->collected_events.Add(
+        "run-ended", end.task, end.run, session.worker().id,
+        end.cause == EndCause::kDone      ? "done"
+        : end.cause == EndCause::kFailed  ? "failed"
+        : end.cause == EndCause::kStopped ? "stopped"
+        : end.cause == EndCause::kLapsed  ? "lapsed"
+        : end.cause == EndCause::kBroken  ? "gang broken"
+                                          : "gang incomplete");
   }
   if (result.up_to > 0) {
     session.open_ends.insert(result.after);
@@ -354,10 +355,10 @@
     this->NoteBegun(*job);
   }
   this->needs_plan = true;
-  this->notes.Add(is_wanted ? "run-adopted" : "run-unwanted", running.task,
-                  running.run, session.worker().id,
-                  is_wanted ? "it went on over a change of leader"
-                            : "its task is not wanted there");
+  this->collected_events.Add(is_wanted ? "run-adopted" : "run-unwanted",
+                             running.task, running.run, session.worker().id,
+                             is_wanted ? "it went on over a change of leader"
+                                       : "its task is not wanted there");
 }
 
 // Releases runs that the worker neither reports as running nor lists as ended.
@@ -520,8 +521,8 @@
     // stopped.
     return;
   }
-  this->notes.Add("start-unsettled", run.task, run.number, session.worker().id,
-                  reason);
+  this->collected_events.Add("start-unsettled", run.task, run.number,
+                             session.worker().id, reason);
   // The run may be running by the time the stop arrives: three such stops at
   // once have taken down all tasks of a step whose disruption budget was one.
   if (run.is_budgeted && !this->MayTakeAway(run.task, now)) {
@@ -589,8 +590,8 @@
   this->needs_plan = true;
   for (const auto& [key, run] : session.runs()) {
     if (run.is_filler) {
-      this->notes.Add("filler-paced", run.task, run.number, session.worker().id,
-                      reason);
+      this->collected_events.Add("filler-paced", run.task, run.number,
+                                 session.worker().id, reason);
     }
   }
 }
@@ -640,11 +641,11 @@
     ++memory.open_crashes;
     memory.crashed_at = now;
     memory.trial_wanted_at.reset();
-    this->notes.Add("run-crashed", run.task, run.run, session.worker().id,
-                    run.is_only_suspect ? "only suspect"
-                    : run.survived < jobs::TaskCrashes::kSuspectTime
-                        ? "suspect"
-                        : "bystander");
+    this->collected_events.Add(
+        "run-crashed", run.task, run.run, session.worker().id,
+        run.is_only_suspect                              ? "only suspect"
+        : run.survived < jobs::TaskCrashes::kSuspectTime ? "suspect"
+                                                         : "bystander");
   }
   this->ended_incarnations.Add(session.worker().id, std::move(runs));
 }
@@ -684,8 +685,9 @@
               (ended_at - run->ordered_at).count(), " ms)");
   }
   const bool is_crash = this->IsCrash(session, end);
-  this->notes.AddText(is_crash ? "worker-crashed" : "worker-ended",
-                      std::string(TextOf(end)), is_crash, std::move(text));
+  this->collected_events.AddText(is_crash ? "worker-crashed" : "worker-ended",
+                                 std::string(TextOf(end)), is_crash,
+                                 std::move(text));
 }
 
 // Ends an incarnation because another one is at its address. An address is
@@ -710,7 +712,8 @@
   }
   this->waiting.Reconsider(task.step.job);
   if (!reason.empty()) {
-    this->notes.Add("run-gone", task, run, session.worker().id, reason);
+    this->collected_events.Add("run-gone", task, run, session.worker().id,
+                               reason);
     this->BreakGang(task, run);
   }
   this->needs_plan = true;
@@ -780,7 +783,7 @@
         jobs::RecordBegun{{this->begun.begin(), this->begun.end()}});
     this->begun.clear();
   }
-  output.events = this->notes.Take();
+  output.events = this->collected_events.Take();
   return output;
 }
 
@@ -1021,8 +1024,8 @@
         this->AskWhoIsAtWork(run.task.step, now);
       } else if (this->HasPlaceElsewhere(run.task)) {
         session.BeginStop(run, now);
-        this->notes.Add("run-evacuated", run.task, run.number, id,
-                        "its instance is to be taken away");
+        this->collected_events.Add("run-evacuated", run.task, run.number, id,
+                                   "its instance is to be taken away");
       }
     }
   }
@@ -1056,7 +1059,7 @@
   ++memory.moves;
   memory.failed_on.insert(worker);
   straggler.session->BeginStop(run, now);
-  this->notes.Add(
+  this->collected_events.Add(
       "run-given-up", run.task, run.number, worker,
       straggler.pace == RunPace::kStalled ? "it stands still" : "it is slow");
 }
@@ -1216,11 +1219,12 @@
   const std::string& label = job.spec.steps[step.step].required_label;
   if (news != WaitingNews::kNone) {
     const bool is_alarm = news == WaitingNews::kWaitsWithoutNeed;
-    this->notes.AddText(is_alarm ? "feasible-not-placed" : "step-waits",
-                        std::string(NameOf(cause.reason)), is_alarm,
-                        StrCat(step.ToText(), ": ", tasks, " tasks",
-                               label.empty() ? "" : " that require ", label,
-                               "; ", cause.ToText()));
+    this->collected_events.AddText(
+        is_alarm ? "feasible-not-placed" : "step-waits",
+        std::string(NameOf(cause.reason)), is_alarm,
+        StrCat(step.ToText(), ": ", tasks, " tasks",
+               label.empty() ? "" : " that require ", label, "; ",
+               cause.ToText()));
   }
 }
 
@@ -1307,8 +1311,9 @@
     if (trial == TrialTurn::kNow) {
       session->BeginTrial(*session->FindRun(task, run));
       this->placement.NoteTrial(job.service);
-      this->notes.Add("run-on-trial", task, run, session->worker().id,
-                      "its worker crashed before");
+      this->collected_events.Add("run-on-trial", task, run,
+                                 session->worker().id,
+                                 "its worker crashed before");
     }
   }
   return is_all_placed;
@@ -1482,7 +1487,7 @@
                  .lease_end = lease_end,
                  .checkpoint = this->CheckpointOf(task, step).checkpoint,
                  .ticket = ticket == nullptr ? std::string() : *ticket});
-  this->notes.Add("run-ordered", task, run, session.worker().id, "");
+  this->collected_events.Add("run-ordered", task, run, session.worker().id, "");
 }
 
 RunNumber Scheduler::NextRun(const jobs::Job& job,
--- a/libraries/scheduler/scheduler.h
+++ b/libraries/scheduler/scheduler.h
@@ -20,7 +20,7 @@
 #include "libraries/jobs/task_id.h"
 #include "libraries/scheduler/demand_meter.h"
 #include "libraries/scheduler/ended_incarnations.h"
-#include "libraries/scheduler/event_notes.h"
+#include "libraries/scheduler/event_collector.h"
 #include "libraries/scheduler/incarnation_end.h"
 #include "libraries/scheduler/job_numbers.h"
 #include "libraries/scheduler/near_wait.h"
@@ -443,7 +443,7 @@
   // Workers to ask for a report in addition to the renewals.
   std::set<WorkerId> report_wanted;
   bool needs_plan = true;
-  EventNotes notes;
+  EventCollector collected_events;
 };
 
 }  // namespace sumac::scheduler
