--- a/benchmarks/scheduler_load.cc
+++ b/benchmarks/scheduler_load.cc
@@ -249,11 +249,11 @@
                               .percent = PercentOf(ends_at, now)});
   }
   const scheduler::EndsToRecord ends = this->meters->report.Measure([&] {
-    return this->scheduler->TakeReport(target.worker.id, report, now);
+    return this->scheduler->HandleReport(target.worker.id, report, now);
   });
   if (ends.up_to > 0) {
     this->Commit(jobs::RecordEnds{ends.ends});
-    this->scheduler->NoteRecorded(target.worker.id, ends);
+    this->scheduler->HandleEndsCommitted(target.worker.id, ends);
   }
 }
 
@@ -295,7 +295,7 @@
     }
   }
   this->meters->answer.Measure([&] {
-    this->scheduler->TakeAnswer(order, answer, this->clock.SteadyNow());
+    this->scheduler->HandleOrderAnswer(order, answer, this->clock.SteadyNow());
   });
 }
 
--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -161,9 +161,9 @@
   return session->NextRenewal(this->epoch, this->workers.size(), now);
 }
 
-EndsToRecord Scheduler::TakeReport(const WorkerId& worker,
-                                   const RenewReport& report,
-                                   SteadyTime now) {
+EndsToRecord Scheduler::HandleReport(const WorkerId& worker,
+                                     const RenewReport& report,
+                                     SteadyTime now) {
   WorkerSession* known = this->FindSession(worker);
   if (known == nullptr) {
     return {};
@@ -384,9 +384,9 @@
   }
 }
 
-void Scheduler::TakeRenewalFailure(const WorkerId& worker,
-                                   OrderResult result,
-                                   SteadyTime now) {
+void Scheduler::HandleRenewalFailure(const WorkerId& worker,
+                                     OrderResult result,
+                                     SteadyTime now) {
   WorkerSession* session = this->FindSession(worker);
   const bool says_nothing =
       result == OrderResult::kNotSent || result == OrderResult::kRelayLost;
@@ -400,8 +400,8 @@
   this->needs_plan = true;
 }
 
-void Scheduler::NoteRecorded(const WorkerId& worker,
-                             const EndsToRecord& recorded) {
+void Scheduler::HandleEndsCommitted(const WorkerId& worker,
+                                    const EndsToRecord& recorded) {
   for (const jobs::RunEnd& end : recorded.ends) {
     if (TaskMemory* memory = this->tasks.Find(end.task)) {
       --memory->open_ends;
@@ -410,18 +410,18 @@
   }
   WorkerSession* session = this->FindSession(worker);
   if (session != nullptr && recorded.up_to > 0) {
-    session->NoteRecorded(recorded.after);
+    session->HandleEndsCommitted(recorded.after);
   }
   this->needs_plan = true;
 }
 
-void Scheduler::TakeAnswer(const Order& order,
-                           const OrderAnswer& answer,
-                           SteadyTime now) {
+void Scheduler::HandleOrderAnswer(const Order& order,
+                                  const OrderAnswer& answer,
+                                  SteadyTime now) {
   if (const auto* start = std::get_if<StartOrder>(&order)) {
-    this->TakeStartAnswer(*start, answer, now);
+    this->HandleStartAnswer(*start, answer, now);
   } else if (const auto* stop = std::get_if<StopOrder>(&order)) {
-    this->TakeStopAnswer(*stop, answer, now);
+    this->HandleStopAnswer(*stop, answer, now);
   } else if (const auto* pace = std::get_if<PaceOrder>(&order)) {
     WorkerSession* session = this->FindSession(pace->worker);
     if (session != nullptr) {
@@ -438,9 +438,9 @@
   }
 }
 
-void Scheduler::TakeStartAnswer(const StartOrder& order,
-                                const OrderAnswer& answer,
-                                SteadyTime now) {
+void Scheduler::HandleStartAnswer(const StartOrder& order,
+                                  const OrderAnswer& answer,
+                                  SteadyTime now) {
   WorkerSession* known = this->FindSession(order.worker);
   if (known == nullptr) {
     return;
@@ -533,9 +533,9 @@
   this->BreakGang(run.task, run.number);
 }
 
-void Scheduler::TakeStopAnswer(const StopOrder& order,
-                               const OrderAnswer& answer,
-                               SteadyTime now) {
+void Scheduler::HandleStopAnswer(const StopOrder& order,
+                                 const OrderAnswer& answer,
+                                 SteadyTime now) {
   WorkerSession* session = this->FindSession(order.worker);
   if (session == nullptr) {
     return;
@@ -552,9 +552,9 @@
   }
 }
 
-void Scheduler::TakeAdvice(const AdviceQuestion& question,
-                           const AdviceAnswer& answer,
-                           SteadyTime now) {
+void Scheduler::HandleAdvice(const AdviceQuestion& question,
+                             const AdviceAnswer& answer,
+                             SteadyTime now) {
   this->advice.TakeAnswer(question, answer, now);
   this->advice.DropFinished(this->state);
   this->needs_plan = true;
--- a/libraries/scheduler/scheduler.h
+++ b/libraries/scheduler/scheduler.h
@@ -101,8 +101,8 @@
 // only while the leader holds its lease.
 struct SchedulerOutput {
   std::vector<Order> orders;
-  // Reports to request immediately. Their answers are passed to TakeReport like
-  // answers to renewals.
+  // Reports to request immediately. Their answers are passed to HandleReport
+  // like answers to renewals.
   std::vector<RenewOrder> report_requests;
   // Commands to commit.
   std::vector<jobs::Command> commands;
@@ -151,26 +151,27 @@
   std::optional<RenewOrder> NextRenewal(const WorkerId& worker, SteadyTime now);
   // Handles the answer to a renewal and returns the ends that must be
   // committed.
-  EndsToRecord TakeReport(const WorkerId& worker,
-                          const RenewReport& report,
-                          SteadyTime now);
+  EndsToRecord HandleReport(const WorkerId& worker,
+                            const RenewReport& report,
+                            SteadyTime now);
   // Handles a renewal that failed.
-  void TakeRenewalFailure(const WorkerId& worker,
-                          OrderResult result,
-                          SteadyTime now);
+  void HandleRenewalFailure(const WorkerId& worker,
+                            OrderResult result,
+                            SteadyTime now);
   // Handles the commit of these ends. They are acknowledged to the worker only
   // once all earlier ends are committed, too.
-  void NoteRecorded(const WorkerId& worker, const EndsToRecord& recorded);
+  void HandleEndsCommitted(const WorkerId& worker,
+                           const EndsToRecord& recorded);
 
   // Handles the answer to an order.
-  void TakeAnswer(const Order& order,
-                  const OrderAnswer& answer,
-                  SteadyTime now);
+  void HandleOrderAnswer(const Order& order,
+                         const OrderAnswer& answer,
+                         SteadyTime now);
 
   // Handles the placement policy's answer to a question.
-  void TakeAdvice(const AdviceQuestion& question,
-                  const AdviceAnswer& answer,
-                  SteadyTime now);
+  void HandleAdvice(const AdviceQuestion& question,
+                    const AdviceAnswer& answer,
+                    SteadyTime now);
 
   // Cordons these instances instead of the earlier ones: nothing is started on
   // them, and long-running tasks are moved off them as the disruption budgets
@@ -294,16 +295,16 @@
                 bool is_adopting,
                 SteadyTime now);
   void NoteBegun(const jobs::Job& job);
-  void TakeStartAnswer(const StartOrder& order,
-                       const OrderAnswer& answer,
-                       SteadyTime now);
+  void HandleStartAnswer(const StartOrder& order,
+                         const OrderAnswer& answer,
+                         SteadyTime now);
   void SettleStart(WorkerSession& session,
                    Run& run,
                    const std::string& reason,
                    SteadyTime now);
-  void TakeStopAnswer(const StopOrder& order,
-                      const OrderAnswer& answer,
-                      SteadyTime now);
+  void HandleStopAnswer(const StopOrder& order,
+                        const OrderAnswer& answer,
+                        SteadyTime now);
   void ReleaseRun(WorkerSession& session,
                   const jobs::TaskId& task,
                   RunNumber run,
--- a/libraries/scheduler/worker_session.cc
+++ b/libraries/scheduler/worker_session.cc
@@ -68,7 +68,7 @@
   return order;
 }
 
-void WorkerSession::NoteRecorded(std::uint64_t after) {
+void WorkerSession::HandleEndsCommitted(std::uint64_t after) {
   this->open_ends.erase(after);
   this->acknowledged_ends =
       this->open_ends.empty() ? this->seen_ends : *this->open_ends.begin();
--- a/libraries/scheduler/worker_session.h
+++ b/libraries/scheduler/worker_session.h
@@ -235,7 +235,7 @@
   SteadyTime report_asked_at{};
   // Records that the batch of ends that follows the end numbered `after` is
   // committed.
-  void NoteRecorded(std::uint64_t after);
+  void HandleEndsCommitted(std::uint64_t after);
 
   std::uint64_t seen_ends = 0;
   // The `after` numbers of the batches of ends that are not committed yet.
--- a/services/sumacd/job_controller.cc
+++ b/services/sumacd/job_controller.cc
@@ -712,8 +712,8 @@
     const WorkerId& worker,
     const scheduler::RenewAnswer& answer) {
   if (answer.result != scheduler::OrderResult::kDone) {
-    this->scheduler->TakeRenewalFailure(worker, answer.result,
-                                        this->clock.SteadyNow());
+    this->scheduler->HandleRenewalFailure(worker, answer.result,
+                                          this->clock.SteadyNow());
     this->SchedulePlan();
     return {.recorded = nullptr, .pause = kRenewalPause};
   }
@@ -735,7 +735,7 @@
     SteadyTime now) {
   const auto measured = this->load.work_times.Measure(Work::kReport);
   this->load.CountPiece(Piece::kReport);
-  return this->scheduler->TakeReport(worker, report, now);
+  return this->scheduler->HandleReport(worker, report, now);
 }
 
 // The worker is told that its ends are known only with the next renewal, after
@@ -743,7 +743,7 @@
 kj::Promise<void> JobController::RecordEnds(const WorkerId& worker,
                                             scheduler::EndsToRecord ends) {
   if (ends.ends.empty()) {
-    this->scheduler->NoteRecorded(worker, ends);
+    this->scheduler->HandleEndsCommitted(worker, ends);
     return kj::READY_NOW;
   }
   auto paf = kj::newPromiseAndFulfiller<void>();
@@ -800,7 +800,8 @@
               return;
             }
             for (WaitingEnds& waiting : batch) {
-              this->scheduler->NoteRecorded(waiting.worker, waiting.ends);
+              this->scheduler->HandleEndsCommitted(waiting.worker,
+                                                   waiting.ends);
               waiting.fulfiller->fulfill();
             }
             this->SchedulePlan();
@@ -904,7 +905,8 @@
              {"admitted", answer.tickets.size()},
              {"validity_ms",
               answer.validity.value_or(question.declared_validity).count()}});
-        this->scheduler->TakeAdvice(question, answer, this->clock.SteadyNow());
+        this->scheduler->HandleAdvice(question, answer,
+                                      this->clock.SteadyNow());
         this->SchedulePlan();
       }));
 }
@@ -913,9 +915,9 @@
   // NOTE: The lease is checked for each order, right before it leaves: a
   // process that was frozen must send nothing when it goes on.
   if (!this->host->MayAct()) {
-    this->scheduler->TakeAnswer(order,
-                                {.result = scheduler::OrderResult::kNotSent},
-                                this->clock.SteadyNow());
+    this->scheduler->HandleOrderAnswer(
+        order, {.result = scheduler::OrderResult::kNotSent},
+        this->clock.SteadyNow());
     return;
   }
   const Term term = this->term_watch.term();
@@ -926,16 +928,16 @@
   if (std::holds_alternative<scheduler::StartOrder>(order)) {
     answered = answered.attach(this->load.CountStart());
   }
-  this->tasks.add(
-      answered.then([this, term, order](const scheduler::OrderAnswer& answer) {
-        if (!this->scheduler || this->term_watch.term() != term) {
-          return;
-        }
-        this->scheduler->TakeAnswer(order, answer, this->clock.SteadyNow());
-        if (this->scheduler->is_dirty()) {
-          this->SchedulePlan();
-        }
-      }));
+  this->tasks.add(answered.then([this, term,
+                                 order](const scheduler::OrderAnswer& answer) {
+    if (!this->scheduler || this->term_watch.term() != term) {
+      return;
+    }
+    this->scheduler->HandleOrderAnswer(order, answer, this->clock.SteadyNow());
+    if (this->scheduler->is_dirty()) {
+      this->SchedulePlan();
+    }
+  }));
 }
 
 void JobController::LogEvents(
--- a/tests/libraries/scheduler/crowded_leader_test.cc
+++ b/tests/libraries/scheduler/crowded_leader_test.cc
@@ -51,8 +51,8 @@
   fleet.Submit("job", {.count = 1});
   const auto starts = StartsOf(fleet.scheduler->Plan(fleet.now, kWallNow));
   ASSERT_EQ(starts.size(), 1U);
-  fleet.scheduler->TakeAnswer(starts[0], {.result = OrderResult::kNotSent},
-                              fleet.now);
+  fleet.scheduler->HandleOrderAnswer(
+      starts[0], {.result = OrderResult::kNotSent}, fleet.now);
   const SchedulerOutput next = fleet.scheduler->Plan(fleet.now, kWallNow);
   EXPECT_EQ(next.orders.size(), 1U);
   ASSERT_EQ(StartsOf(next).size(), 1U);
@@ -64,9 +64,11 @@
   FakeFleet fleet(1);
   fleet.PassTime(Milliseconds(500));
   const WorkerId worker("w0");
-  fleet.scheduler->TakeRenewalFailure(worker, OrderResult::kNotSent, fleet.now);
+  fleet.scheduler->HandleRenewalFailure(worker, OrderResult::kNotSent,
+                                        fleet.now);
   EXPECT_TRUE(fleet.scheduler->sessions().at(worker).is_answering());
-  fleet.scheduler->TakeRenewalFailure(worker, OrderResult::kUnknown, fleet.now);
+  fleet.scheduler->HandleRenewalFailure(worker, OrderResult::kUnknown,
+                                        fleet.now);
   EXPECT_FALSE(fleet.scheduler->sessions().at(worker).is_answering());
 }
 
--- a/tests/libraries/scheduler/fake_fleet.cc
+++ b/tests/libraries/scheduler/fake_fleet.cc
@@ -240,7 +240,7 @@
                                                                 sent_in,
                                                                 is_refused] {
       if (sent_in == this->generation) {
-        this->scheduler->TakeRenewalFailure(
+        this->scheduler->HandleRenewalFailure(
             id, is_refused ? OrderResult::kUnreachable : OrderResult::kUnknown,
             this->now);
       }
@@ -253,8 +253,8 @@
   if (draw(this->random) < this->lost_report_permille) {
     this->At(this->now + kOrderLimit, [this, id, sent_in] {
       if (sent_in == this->generation) {
-        this->scheduler->TakeRenewalFailure(id, OrderResult::kUnknown,
-                                            this->now);
+        this->scheduler->HandleRenewalFailure(id, OrderResult::kUnknown,
+                                              this->now);
       }
     });
     finish(kRenewalPause + kOrderLimit);
@@ -284,7 +284,7 @@
   const WorkerId& id = order.worker;
   const auto fail = [this, id, sent_in](OrderResult result) {
     if (sent_in == this->generation) {
-      this->scheduler->TakeRenewalFailure(id, result, this->now);
+      this->scheduler->HandleRenewalFailure(id, result, this->now);
       this->EndRenewalLater(id, kRenewalPause);
     }
   };
@@ -351,7 +351,7 @@
 }
 
 void FakeFleet::TakeReport(const WorkerId& id, const RenewReport& report) {
-  EndsToRecord ends = this->scheduler->TakeReport(id, report, this->now);
+  EndsToRecord ends = this->scheduler->HandleReport(id, report, this->now);
   if (ends.up_to > 0) {
     this->RecordEnds(id, std::move(ends));
   }
@@ -360,7 +360,7 @@
 // Ends that arrive while a commit is in progress share the next commit.
 void FakeFleet::RecordEnds(const WorkerId& id, EndsToRecord ends) {
   if (ends.ends.empty()) {
-    this->scheduler->NoteRecorded(id, ends);
+    this->scheduler->HandleEndsCommitted(id, ends);
     return;
   }
   this->waiting_ends.push_back(WaitingEnds{id, std::move(ends)});
@@ -374,7 +374,7 @@
   const auto finish = [this, lot] {
     this->PutOnRecord(lot);
     for (const WaitingEnds& waiting : lot) {
-      this->scheduler->NoteRecorded(waiting.worker, waiting.ends);
+      this->scheduler->HandleEndsCommitted(waiting.worker, waiting.ends);
     }
   };
   if (this->commit_time == Milliseconds(0)) {
@@ -497,7 +497,7 @@
   const Generation sent_in = this->generation;
   this->At(this->now + question.expected, [this, question, answer, sent_in] {
     if (sent_in == this->generation) {
-      this->scheduler->TakeAdvice(question, answer, this->now);
+      this->scheduler->HandleAdvice(question, answer, this->now);
     }
   });
 }
@@ -544,8 +544,8 @@
            [this, order, sent_in] { this->Execute(order, false, sent_in); });
   this->At(this->now + kOrderLimit, [this, order, sent_in] {
     if (sent_in == this->generation) {
-      this->scheduler->TakeAnswer(order, {.result = OrderResult::kUnknown},
-                                  this->now);
+      this->scheduler->HandleOrderAnswer(
+          order, {.result = OrderResult::kUnknown}, this->now);
     }
   });
 }
@@ -566,7 +566,7 @@
 
 void FakeFleet::DeliverAnswer(const Order& order, const OrderAnswer& answer) {
   if (this->answer_delay == Milliseconds(0)) {
-    this->scheduler->TakeAnswer(order, answer, this->now);
+    this->scheduler->HandleOrderAnswer(order, answer, this->now);
     return;
   }
   std::uniform_int_distribution<std::int64_t> delay(0,
@@ -574,7 +574,7 @@
   this->At(this->now + Milliseconds(delay(this->random)),
            [this, order, answer, sent_in = this->generation] {
              if (sent_in == this->generation) {
-               this->scheduler->TakeAnswer(order, answer, this->now);
+               this->scheduler->HandleOrderAnswer(order, answer, this->now);
              }
            });
 }
@@ -587,8 +587,8 @@
   if (!answer) {
     this->At(this->now + kOrderLimit, [this, order, sent_in] {
       if (sent_in == this->generation) {
-        this->scheduler->TakeAnswer(order, {.result = OrderResult::kUnknown},
-                                    this->now);
+        this->scheduler->HandleOrderAnswer(
+            order, {.result = OrderResult::kUnknown}, this->now);
       }
     });
     return;
--- a/tests/libraries/scheduler/scheduler_test.cc
+++ b/tests/libraries/scheduler/scheduler_test.cc
@@ -478,8 +478,8 @@
                             .capacity = {.millicores = 8'000},
                             .sequence = 3};
   fleet.Commit(jobs::RecordWorker{before});
-  fleet.scheduler->TakeRenewalFailure(before.id, OrderResult::kOtherIncarnation,
-                                      fleet.now);
+  fleet.scheduler->HandleRenewalFailure(
+      before.id, OrderResult::kOtherIncarnation, fleet.now);
   fleet.PassTime(Milliseconds(500));
   EXPECT_EQ(fleet.state.FindWorker(before.id), nullptr);
   fleet.Commit(jobs::RecordWorker{before});
@@ -856,14 +856,14 @@
   };
   constexpr std::int64_t kLater = 100'000'000;
   const EndsToRecord first =
-      fleet.scheduler->TakeReport(worker, report(kLater, 1), fleet.now);
+      fleet.scheduler->HandleReport(worker, report(kLater, 1), fleet.now);
   const EndsToRecord second =
-      fleet.scheduler->TakeReport(worker, report(kLater + 1, 3), fleet.now);
+      fleet.scheduler->HandleReport(worker, report(kLater + 1, 3), fleet.now);
   EXPECT_EQ(second.after, 1U);
-  fleet.scheduler->NoteRecorded(worker, second);
+  fleet.scheduler->HandleEndsCommitted(worker, second);
   EXPECT_EQ(fleet.scheduler->NextRenewal(worker, fleet.now)->acknowledged_ends,
             0U);
-  fleet.scheduler->NoteRecorded(worker, first);
+  fleet.scheduler->HandleEndsCommitted(worker, first);
   EXPECT_EQ(fleet.scheduler->NextRenewal(worker, fleet.now)->acknowledged_ends,
             3U);
 }
@@ -905,7 +905,7 @@
   fleet.Submit("job", {.count = 1});
   fleet.PassTime(Milliseconds(300));
   const RenewReport old{.clock = WorkerTime(1)};
-  fleet.scheduler->TakeReport(WorkerId("w0"), old, fleet.now);
+  fleet.scheduler->HandleReport(WorkerId("w0"), old, fleet.now);
   fleet.PassTime(Milliseconds(300));
   EXPECT_EQ(fleet.starts, 1U);
   EXPECT_EQ(fleet.CountRunning("job"), 1U);
@@ -1016,7 +1016,7 @@
   }
   fleet.PassTime(Milliseconds(2'000));
   for (const auto& [id, report] : reports) {
-    fleet.scheduler->TakeReport(id, report, fleet.now);
+    fleet.scheduler->HandleReport(id, report, fleet.now);
   }
   EXPECT_FALSE(fleet.scheduler->MayTakeAway(task, fleet.now));
 }
@@ -1091,8 +1091,8 @@
   fleet.renews = false;
   fleet.PassTime(fleet.settings.lease.length + Milliseconds(2'000));
   for (int lost = 0; lost < 3; ++lost) {
-    fleet.scheduler->TakeRenewalFailure(worker, OrderResult::kRelayLost,
-                                        fleet.now);
+    fleet.scheduler->HandleRenewalFailure(worker, OrderResult::kRelayLost,
+                                          fleet.now);
     fleet.PassTime(Milliseconds(500));
   }
   EXPECT_TRUE(session.is_answering());
@@ -1100,7 +1100,8 @@
   EXPECT_FALSE(session.IsLapsed(fleet.now));
   EXPECT_EQ(session.runs().size(), 1U);
   EXPECT_EQ(fleet.starts, 1U);
-  fleet.scheduler->TakeRenewalFailure(worker, OrderResult::kUnknown, fleet.now);
+  fleet.scheduler->HandleRenewalFailure(worker, OrderResult::kUnknown,
+                                        fleet.now);
   EXPECT_FALSE(session.is_answering());
 }
 
@@ -1118,8 +1119,8 @@
   ASSERT_EQ(first.orders.size(), 1U);
   const auto* start = std::get_if<StartOrder>(&first.orders[0]);
   ASSERT_NE(start, nullptr);
-  fleet.scheduler->TakeAnswer(first.orders[0],
-                              {.result = OrderResult::kRelayLost}, fleet.now);
+  fleet.scheduler->HandleOrderAnswer(
+      first.orders[0], {.result = OrderResult::kRelayLost}, fleet.now);
   const SchedulerOutput next = plan();
   ASSERT_EQ(next.orders.size(), 1U);
   const auto* stop = std::get_if<StopOrder>(&next.orders[0]);
--- a/tests/services/sumacd/instance_keeper_test.cc
+++ b/tests/services/sumacd/instance_keeper_test.cc
@@ -112,7 +112,7 @@
                maintenance::CapacitySettings{.is_on = false},
                ProcessName("c"),
                this->fleet.now) {
-    this->fleet.scheduler->TakeRenewalFailure(
+    this->fleet.scheduler->HandleRenewalFailure(
         WorkerId("w0"), scheduler::OrderResult::kUnknown, this->fleet.now);
   }
 
--- a/tests/services/sumacd/worker_renewals_test.cc
+++ b/tests/services/sumacd/worker_renewals_test.cc
@@ -77,7 +77,7 @@
 
   RenewalOutcome Take(const WorkerId& worker,
                       const scheduler::RenewAnswer& answer) {
-    scheduler::EndsToRecord ends = this->fleet.scheduler->TakeReport(
+    scheduler::EndsToRecord ends = this->fleet.scheduler->HandleReport(
         worker, answer.report, this->fleet.now);
     if (ends.up_to == 0) {
       return {.recorded = nullptr, .pause = Milliseconds(0)};
@@ -85,7 +85,8 @@
     return {.recorded = this->parts->timer.afterDelay(ToKj(kRecordTime))
                             .then([this, worker, ends] {
                               this->fleet.Commit(jobs::RecordEnds{ends.ends});
-                              this->fleet.scheduler->NoteRecorded(worker, ends);
+                              this->fleet.scheduler->HandleEndsCommitted(worker,
+                                                                         ends);
                             }),
             .pause = kEndsPause};
   }
