--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -183,19 +183,19 @@
   if (is_adopting) {
     this->EndOtherIncarnations(session, now);
   }
-  EndsToRecord ends = this->TakeEnds(session, report, now);
-  this->TakeRunning(session, report, is_adopting, now);
+  EndsToRecord ends = this->ApplyEnds(session, report, now);
+  this->ApplyRunningRuns(session, report, is_adopting, now);
   if (!report.has_more_ends) {
-    this->TakeMissing(session, report);
+    this->ReleaseMissingRuns(session, report);
   }
   if (auto reason = this->sharing.TakeReport(session, now)) {
-    this->NotePace(session, *reason);
+    this->LogPaceChange(session, *reason);
   }
   this->needs_plan = this->needs_plan || is_adopting || ends.up_to > 0;
   return ends;
 }
 
-void Scheduler::NoteRunTime(const Run& run, SteadyTime now) {
+void Scheduler::RecordRunTime(const Run& run, SteadyTime now) {
   const jobs::Job* job = this->state.FindJob(run.task.step.job);
   if (job != nullptr) {
     this->run_times.Note(job->queue, now - run.ordered_at);
@@ -204,9 +204,9 @@
 
 // Applies the ends in a report. A worker repeats its ends until they are
 // acknowledged; each is applied once.
-EndsToRecord Scheduler::TakeEnds(WorkerSession& session,
-                                 const RenewReport& report,
-                                 SteadyTime now) {
+EndsToRecord Scheduler::ApplyEnds(WorkerSession& session,
+                                  const RenewReport& report,
+                                  SteadyTime now) {
   EndsToRecord result;
   for (const EndReport& end : report.ended) {
     if (end.number <= session.seen_ends) {
@@ -221,7 +221,7 @@
     const bool was_known = known_run != nullptr;
     if (was_known && end.cause == EndCause::kDone &&
         known_run->start_expires > WorkerTime(0)) {
-      this->NoteRunTime(*known_run, now);
+      this->RecordRunTime(*known_run, now);
     }
     const bool is_final =
         end.cause == EndCause::kDone || end.cause == EndCause::kFailed;
@@ -267,10 +267,10 @@
   return result;
 }
 
-void Scheduler::TakeRunning(WorkerSession& session,
-                            const RenewReport& report,
-                            bool is_adopting,
-                            SteadyTime now) {
+void Scheduler::ApplyRunningRuns(WorkerSession& session,
+                                 const RenewReport& report,
+                                 bool is_adopting,
+                                 SteadyTime now) {
   for (const RunningReport& running : report.running) {
     Run* run = session.FindRun(running.task, running.run);
     if (run == nullptr) {
@@ -303,8 +303,8 @@
 // have.
 // NOTE: A leader that handled a failure started the next run immediately, so
 // the end of an earlier run, committed or not, does not rule out a later one.
-bool Scheduler::MayGoOn(const jobs::Job& job,
-                        const RunningReport& running) const {
+bool Scheduler::MayContinue(const jobs::Job& job,
+                            const RunningReport& running) const {
   const jobs::TaskProgress progress = job.ProgressOf(running.task);
   if (progress.is_done || running.run <= progress.last_ended_run) {
     return false;
@@ -324,7 +324,7 @@
   const jobs::Job* job = this->state.FindJob(running.task.step.job);
   const jobs::StepSpec* step = this->state.FindStep(running.task);
   const bool is_wanted = is_adopting && step != nullptr && job->is_active() &&
-                         this->MayGoOn(*job, running);
+                         this->MayContinue(*job, running);
   Run run{
       .task = running.task,
       .number = running.run,
@@ -352,7 +352,7 @@
   }
   if (is_wanted) {
     this->tasks.Get(running.task).placed = {session.worker().id, running.run};
-    this->NoteBegun(*job);
+    this->RequestBegunRecord(*job);
   }
   this->needs_plan = true;
   this->collected_events.Add(is_wanted ? "run-adopted" : "run-unwanted",
@@ -362,7 +362,8 @@
 }
 
 // Releases runs that the worker neither reports as running nor lists as ended.
-void Scheduler::TakeMissing(WorkerSession& session, const RenewReport& report) {
+void Scheduler::ReleaseMissingRuns(WorkerSession& session,
+                                   const RenewReport& report) {
   std::vector<std::pair<jobs::TaskId, RunNumber>> gone;
   for (const auto& [key, run] : session.runs()) {
     if (run.seen_in_report == session.report_count()) {
@@ -388,9 +389,9 @@
                                      OrderResult result,
                                      SteadyTime now) {
   WorkerSession* session = this->FindSession(worker);
-  const bool says_nothing =
+  const bool is_inconclusive =
       result == OrderResult::kNotSent || result == OrderResult::kRelayLost;
-  if (session == nullptr || says_nothing) {
+  if (session == nullptr || is_inconclusive) {
     return;
   }
   session->NoteFailure(now);
@@ -432,7 +433,7 @@
 
 // Requests a record that the job has begun, with each start of its tasks until
 // that record is committed.
-void Scheduler::NoteBegun(const jobs::Job& job) {
+void Scheduler::RequestBegunRecord(const jobs::Job& job) {
   if (!job.has_begun && job.is_active()) {
     this->begun.insert(job.id);
   }
@@ -460,7 +461,7 @@
         run->phase = RunPhase::kRunning;
       }
       if (const jobs::Job* job = this->state.FindJob(order.task.step.job)) {
-        this->NoteBegun(*job);
+        this->RequestBegunRecord(*job);
       }
       break;
     case OrderResult::kNoRoom:
@@ -585,8 +586,8 @@
   }
 }
 
-void Scheduler::NotePace(const WorkerSession& session,
-                         const std::string& reason) {
+void Scheduler::LogPaceChange(const WorkerSession& session,
+                              const std::string& reason) {
   this->needs_plan = true;
   for (const auto& [key, run] : session.runs()) {
     if (run.is_filler) {
@@ -605,9 +606,9 @@
   }
   this->LogIncarnationEnd(found->second, end, now);
   if (this->IsCrash(found->second, end)) {
-    this->TakeCrash(found->second, now);
+    this->RecordCrash(found->second, now);
   }
-  this->ReleaseAll(found->second, std::string(TextOf(end)));
+  this->ReleaseAllRuns(found->second, std::string(TextOf(end)));
   this->health.Forget(worker);
   this->RemoveFromInstance(found->second.worker());
   this->workers.erase(found);
@@ -628,7 +629,7 @@
 // Records the crash of a worker for the tasks that were running there.
 // NOTE: These tasks are not started until the crash is committed, so that each
 // start by any leader is decided with all earlier crashes known.
-void Scheduler::TakeCrash(const WorkerSession& session, SteadyTime now) {
+void Scheduler::RecordCrash(const WorkerSession& session, SteadyTime now) {
   std::vector<jobs::CrashedRun> runs = FindCrashedRuns(session, this->state);
   std::erase_if(runs, [this](const jobs::CrashedRun& run) {
     return this->state.IsCrashSettled(run);
@@ -748,7 +749,8 @@
   return this->tasks.Get({task.step, step.is_gang ? 0 : task.index});
 }
 
-void Scheduler::ReleaseAll(WorkerSession& session, const std::string& reason) {
+void Scheduler::ReleaseAllRuns(WorkerSession& session,
+                               const std::string& reason) {
   std::vector<std::pair<jobs::TaskId, RunNumber>> all;
   for (const auto& [key, run] : session.runs()) {
     all.push_back(key);
@@ -825,7 +827,7 @@
     this->FollowTrials(session, now);
     const bool is_lapsed = session.IsLapsed(now);
     if (is_lapsed && (session.is_adopted() || !session.runs().empty())) {
-      this->ReleaseAll(session, "its lease is over");
+      this->ReleaseAllRuns(session, "its lease is over");
       session.Reset();
     }
     // NOTE: Workers join continuously while pools grow. A worker that was first
--- a/libraries/scheduler/scheduler.h
+++ b/libraries/scheduler/scheduler.h
@@ -279,22 +279,22 @@
   using Sessions = std::map<WorkerId, WorkerSession>;
 
   WorkerSession* FindSession(const WorkerId& worker);
-  void TakeRunning(WorkerSession& session,
-                   const RenewReport& report,
-                   bool is_adopting,
-                   SteadyTime now);
-  void TakeMissing(WorkerSession& session, const RenewReport& report);
-  EndsToRecord TakeEnds(WorkerSession& session,
+  void ApplyRunningRuns(WorkerSession& session,
                         const RenewReport& report,
+                        bool is_adopting,
                         SteadyTime now);
-  void NoteRunTime(const Run& run, SteadyTime now);
-  bool MayGoOn(const jobs::Job& job, const RunningReport& running) const;
+  void ReleaseMissingRuns(WorkerSession& session, const RenewReport& report);
+  EndsToRecord ApplyEnds(WorkerSession& session,
+                         const RenewReport& report,
+                         SteadyTime now);
+  void RecordRunTime(const Run& run, SteadyTime now);
+  bool MayContinue(const jobs::Job& job, const RunningReport& running) const;
   void AdoptRun(WorkerSession& session,
                 const RunningReport& running,
                 const RenewReport& report,
                 bool is_adopting,
                 SteadyTime now);
-  void NoteBegun(const jobs::Job& job);
+  void RequestBegunRecord(const jobs::Job& job);
   void HandleStartAnswer(const StartOrder& order,
                          const OrderAnswer& answer,
                          SteadyTime now);
@@ -309,8 +309,8 @@
                   const jobs::TaskId& task,
                   RunNumber run,
                   const std::string& reason);
-  void ReleaseAll(WorkerSession& session, const std::string& reason);
-  void NotePace(const WorkerSession& session, const std::string& reason);
+  void ReleaseAllRuns(WorkerSession& session, const std::string& reason);
+  void LogPaceChange(const WorkerSession& session, const std::string& reason);
   const jobs::PlacementPolicy* PolicyOf(const jobs::Job& job) const;
   const PlacementAdvice* AdviceFor(const jobs::Job& job) const;
   void AskForAdvice(const Candidate& candidate,
@@ -325,7 +325,7 @@
   void EndReplacedWorker(const WorkerId& worker, SteadyTime now);
   void EndOtherIncarnations(const WorkerSession& answering, SteadyTime now);
   bool IsCrash(const WorkerSession& session, IncarnationEnd end) const;
-  void TakeCrash(const WorkerSession& session, SteadyTime now);
+  void RecordCrash(const WorkerSession& session, SteadyTime now);
   void SettleCrashes(const WorkerId& worker);
   void LogIncarnationEnd(const WorkerSession& session,
                          IncarnationEnd end,
