--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -857,26 +857,27 @@
   }
 }
 
-bool Scheduler::NeedsLifeCheck() const {
+bool Scheduler::NeedsInstanceCheck() const {
   return std::any_of(this->workers.begin(), this->workers.end(),
                      [](const auto& worker) {
-                       return worker.second.is_in_doubt() &&
+                       return worker.second.is_possibly_down() &&
                               !worker.second.worker().instance.value().empty();
                      });
 }
 
-std::set<InstanceName> Scheduler::InstancesInDoubt() const {
+std::set<InstanceName> Scheduler::PossiblyDownInstances() const {
   std::set<InstanceName> instances;
   for (const auto& [id, session] : this->workers) {
-    if (session.is_in_doubt() && !session.worker().instance.value().empty()) {
+    if (session.is_possibly_down() &&
+        !session.worker().instance.value().empty()) {
       instances.insert(session.worker().instance);
     }
   }
   return instances;
 }
 
-void Scheduler::TakeInstanceLives(
-    const std::map<InstanceName, InstanceLife>& lives,
+void Scheduler::HandleInstanceStatus(
+    const std::map<InstanceName, InstanceStatus>& lives,
     SteadyTime asked_at) {
   if (lives.empty()) {
     // A platform that lists no instance at all has lost its list, not its
@@ -886,7 +887,7 @@
   std::vector<WorkerId> dead;
   for (const auto& [id, session] : this->workers) {
     const InstanceName& instance = session.worker().instance;
-    if (instance.value().empty() || !session.is_in_doubt() ||
+    if (instance.value().empty() || !session.is_possibly_down() ||
         session.began_at() >= asked_at) {
       continue;
     }
--- a/libraries/scheduler/scheduler.h
+++ b/libraries/scheduler/scheduler.h
@@ -112,7 +112,7 @@
 };
 
 // The status of one instance as reported by the platform.
-struct InstanceLife {
+struct InstanceStatus {
   bool is_up = false;
   // The name of the worker that runs there, whichever its incarnation; empty if
   // unknown.
@@ -184,14 +184,14 @@
 
   // Returns true while some worker fails to answer. The caller should then ask
   // the platform whether the worker's instance is up.
-  bool NeedsLifeCheck() const;
+  bool NeedsInstanceCheck() const;
   // Returns the instances of all workers that fail to answer.
-  std::set<InstanceName> InstancesInDoubt() const;
+  std::set<InstanceName> PossiblyDownInstances() const;
   // Handles the status that the platform, asked at `asked_at`, reported for at
   // least the instances of workers that fail to answer. The incarnation of such
   // a worker is over if its instance is down, gone, or runs another worker.
-  void TakeInstanceLives(const std::map<InstanceName, InstanceLife>& lives,
-                         SteadyTime asked_at);
+  void HandleInstanceStatus(const std::map<InstanceName, InstanceStatus>& lives,
+                            SteadyTime asked_at);
 
   // Ends a worker's incarnation as of `now` and releases its runs.
   void EndIncarnation(const WorkerId& worker,
--- a/libraries/scheduler/worker_session.h
+++ b/libraries/scheduler/worker_session.h
@@ -167,7 +167,7 @@
   }
   // Returns true if the worker failed to answer and it is not confirmed yet
   // whether it is still running.
-  bool is_in_doubt() const { return this->failures > 0; }
+  bool is_possibly_down() const { return this->failures > 0; }
   // Returns when the worker first failed to answer since its last answer, or
   // `now` if it has not failed since.
   SteadyTime SilentSince(SteadyTime now) const {
--- a/services/sumacd/instance_keeper.cc
+++ b/services/sumacd/instance_keeper.cc
@@ -61,12 +61,12 @@
 }
 
 // What the list says of these instances.
-std::map<InstanceName, scheduler::InstanceLife> LivesOf(
+std::map<InstanceName, scheduler::InstanceStatus> LivesOf(
     const maintenance::InstanceListing& listing,
     const std::set<InstanceName>& instances) {
-  std::map<InstanceName, scheduler::InstanceLife> lives;
+  std::map<InstanceName, scheduler::InstanceStatus> lives;
   for (const InstanceName& name : instances) {
-    scheduler::InstanceLife& life = lives[name];
+    scheduler::InstanceStatus& life = lives[name];
     const maintenance::ListedInstance* row = listing.Find(name);
     // One that only the last list lacks, or whose row tells nothing, may be up
     // as before.
@@ -215,7 +215,7 @@
 
 void InstanceKeeper::RefreshList(SteadyTime now) {
   const Milliseconds interval =
-      this->scheduler.NeedsLifeCheck()
+      this->scheduler.NeedsInstanceCheck()
           ? LifeCheckInterval(this->scheduler.sessions().size())
       : maintenance::MaintenancePlanner::NeedsList(this->state)
           ? kListInterval
@@ -263,9 +263,10 @@
   if (this->listing.has_nameless_rows() || this->listing.rows().empty()) {
     return;
   }
-  const std::set<InstanceName> instances = this->scheduler.InstancesInDoubt();
-  this->scheduler.TakeInstanceLives(LivesOf(this->listing, instances),
-                                    this->last_list);
+  const std::set<InstanceName> instances =
+      this->scheduler.PossiblyDownInstances();
+  this->scheduler.HandleInstanceStatus(LivesOf(this->listing, instances),
+                                       this->last_list);
 }
 
 // One line a list: how many instances of each pool are in which state.
--- a/tests/libraries/scheduler/fake_fleet.cc
+++ b/tests/libraries/scheduler/fake_fleet.cc
@@ -189,17 +189,17 @@
 // Reports for each instance whether it is up, and which worker it runs, as the
 // platform does.
 void FakeFleet::CheckLives() {
-  if (!this->lists_instances || !this->scheduler->NeedsLifeCheck()) {
+  if (!this->lists_instances || !this->scheduler->NeedsInstanceCheck()) {
     return;
   }
-  std::map<InstanceName, InstanceLife> lives;
+  std::map<InstanceName, InstanceStatus> lives;
   for (const auto& [id, worker] : this->workers) {
-    InstanceLife& life = lives[worker.description.instance];
+    InstanceStatus& life = lives[worker.description.instance];
     if (worker.is_up) {
-      life = InstanceLife{true, worker.description.name};
+      life = InstanceStatus{true, worker.description.name};
     }
   }
-  this->scheduler->TakeInstanceLives(lives, this->now);
+  this->scheduler->HandleInstanceStatus(lives, this->now);
 }
 
 bool FakeFleet::Reaches(const WorkerId& id) const {
--- a/tests/libraries/scheduler/scheduler_test.cc
+++ b/tests/libraries/scheduler/scheduler_test.cc
@@ -263,8 +263,8 @@
   fleet.PassTime(Milliseconds(300));
   fleet.worker("w9").is_cut = true;
   fleet.PassTime(Milliseconds(1'000));
-  ASSERT_TRUE(fleet.scheduler->NeedsLifeCheck());
-  fleet.scheduler->TakeInstanceLives(
+  ASSERT_TRUE(fleet.scheduler->NeedsInstanceCheck());
+  fleet.scheduler->HandleInstanceStatus(
       {{InstanceName("m0"), {true, WorkerName("w0")}},
        {InstanceName("m9"), {false, WorkerName()}}},
       asked_at);
@@ -1096,7 +1096,7 @@
     fleet.PassTime(Milliseconds(500));
   }
   EXPECT_TRUE(session.is_answering());
-  EXPECT_FALSE(session.is_in_doubt());
+  EXPECT_FALSE(session.is_possibly_down());
   EXPECT_FALSE(session.IsLapsed(fleet.now));
   EXPECT_EQ(session.runs().size(), 1U);
   EXPECT_EQ(fleet.starts, 1U);
