--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -71,16 +71,16 @@
   const jobs::Worker* worker = this->state.FindWorker(id);
   if (worker == nullptr) {
     this->SettleCrashes(id);
-    this->forgotten.erase(id);
+    this->pending_removals.erase(id);
     this->EndObsoleteIncarnation(id, now);
     return;
   }
-  const auto forgetting = this->forgotten.find(id);
-  if (forgetting != this->forgotten.end() &&
-      worker->sequence <= forgetting->second.sequence) {
+  const auto removal = this->pending_removals.find(id);
+  if (removal != this->pending_removals.end() &&
+      worker->sequence <= removal->second.sequence) {
     return;
   }
-  this->forgotten.erase(id);
+  this->pending_removals.erase(id);
   if (this->ended_incarnations.Has(id)) {
     this->EndIncarnation(id, IncarnationEnd::kReplacedOnInstance, now);
     return;
@@ -254,12 +254,12 @@
     }
     this->collected_events.Add(
         "run-ended", end.task, end.run, session.worker().id,
-        end.cause == EndCause::kDone      ? "done"
-        : end.cause == EndCause::kFailed  ? "failed"
-        : end.cause == EndCause::kStopped ? "stopped"
-        : end.cause == EndCause::kLapsed  ? "lapsed"
-        : end.cause == EndCause::kBroken  ? "gang broken"
-                                          : "gang incomplete");
+        end.cause == EndCause::kDone           ? "done"
+        : end.cause == EndCause::kFailed       ? "failed"
+        : end.cause == EndCause::kStopped      ? "stopped"
+        : end.cause == EndCause::kLeaseExpired ? "lapsed"
+        : end.cause == EndCause::kBroken       ? "gang broken"
+                                               : "gang incomplete");
   }
   if (result.up_to > 0) {
     session.open_ends.insert(result.after);
@@ -766,9 +766,9 @@
   this->needs_plan = false;
   this->starts_left = allowed;
   SchedulerOutput output;
-  this->LapseSilentWorkers(now);
+  this->ExpireSilentWorkers(now);
   this->placement.BeginTurn(this->workers, now);
-  this->ForgetGoneWorkers(now, output);
+  this->RemoveSilentWorkers(now, output);
   this->EvacuateCordoned(now);
   this->GiveUpStragglers(now);
   this->StopUnwanted(now, output);
@@ -819,14 +819,14 @@
   }
 }
 
-void Scheduler::LapseSilentWorkers(SteadyTime now) {
+void Scheduler::ExpireSilentWorkers(SteadyTime now) {
   this->uncertain.clear();
   this->run_count = 0;
   for (auto& [id, session] : this->workers) {
     this->run_count += session.runs().size();
     this->FollowTrials(session, now);
-    const bool is_lapsed = session.IsLapsed(now);
-    if (is_lapsed && (session.is_adopted() || !session.runs().empty())) {
+    const bool is_expired = session.IsExpired(now);
+    if (is_expired && (session.is_adopted() || !session.runs().empty())) {
       this->ReleaseAllRuns(session, "its lease is over");
       session.Reset();
     }
@@ -834,7 +834,7 @@
     // recorded under this leader has had no orders from another one, so it must
     // not make all older jobs of its service wait.
     const bool is_inherited = session.began_at() == this->began_at;
-    if (is_inherited && !is_lapsed && !session.is_adopted()) {
+    if (is_inherited && !is_expired && !session.is_adopted()) {
       this->uncertain.insert(session.worker().service);
     }
   }
@@ -905,20 +905,20 @@
   }
 }
 
-void Scheduler::ForgetGoneWorkers(SteadyTime now, SchedulerOutput& output) {
+void Scheduler::RemoveSilentWorkers(SteadyTime now, SchedulerOutput& output) {
   for (jobs::Command& command :
-       this->ended_incarnations.TakeDue(now, this->settings.forget_retry)) {
+       this->ended_incarnations.TakeDue(now, this->settings.removal_retry)) {
     output.commands.emplace_back(std::move(command));
   }
-  if (now - this->looked_for_gone < this->settings.judge_interval) {
+  if (now - this->last_silent_scan < this->settings.judge_interval) {
     return;
   }
-  this->looked_for_gone = now;
+  this->last_silent_scan = now;
   std::map<WorkerId, std::uint64_t> gone;
   for (const auto& [id, session] : this->workers) {
     const bool is_gone =
-        session.IsLapsed(now) && !session.is_adopted() &&
-        now - session.last_answer > this->settings.forget_after;
+        session.IsExpired(now) && !session.is_adopted() &&
+        now - session.last_answer > this->settings.removal_delay;
     if (is_gone) {
       gone.emplace(id, session.worker().sequence);
     }
@@ -928,15 +928,15 @@
   // started there.
   for (const auto& [id, sequence] : gone) {
     this->EndIncarnation(id, IncarnationEnd::kSilent, now);
-    this->forgotten[id] = {.ask_at = now, .sequence = sequence};
+    this->pending_removals[id] = {.ask_at = now, .sequence = sequence};
   }
-  for (auto& [id, forgetting] : this->forgotten) {
-    if (now >= forgetting.ask_at) {
+  for (auto& [id, removal] : this->pending_removals) {
+    if (now >= removal.ask_at) {
       // The command may be submitted twice; the sequence number keeps the
       // second one from ending runs that the worker has begun since.
-      forgetting.ask_at = now + this->settings.forget_after;
+      removal.ask_at = now + this->settings.removal_delay;
       output.commands.emplace_back(
-          jobs::ForgetWorker{id, false, forgetting.sequence});
+          jobs::ForgetWorker{id, false, removal.sequence});
     }
   }
 }
--- a/libraries/scheduler/scheduler.h
+++ b/libraries/scheduler/scheduler.h
@@ -68,7 +68,7 @@
   std::uint32_t most_moves = 2;
   // How long a worker may stay silent, after its lease is over, before its
   // record is removed.
-  Milliseconds forget_after{10'000};
+  Milliseconds removal_delay{10'000};
   // How long a task that crashed two workers is not started after the second
   // crash.
   Milliseconds crash_pause{500};
@@ -81,7 +81,7 @@
   Milliseconds longest_repeated_wait{2'500};
   // How long to wait before resending the command that records that a worker's
   // incarnation is over.
-  Milliseconds forget_retry{1'000};
+  Milliseconds removal_retry{1'000};
   // The interval between full scans of the active jobs. Between them only jobs
   // that have changed are examined.
   Milliseconds full_look_interval{1'000};
@@ -272,7 +272,7 @@
   enum class TrialTurn { kNone, kNow, kLater, kApart };
   // A silent worker whose record is being removed: when to send the command
   // (again), and the sequence number of the worker's last announcement.
-  struct Forgetting {
+  struct PendingRemoval {
     SteadyTime ask_at{};
     std::uint64_t sequence = 0;
   };
@@ -332,8 +332,8 @@
                          SteadyTime now);
   void RequestReports(SteadyTime now, SchedulerOutput& output);
   void AskWhoIsAtWork(const jobs::StepId& step, SteadyTime now);
-  void LapseSilentWorkers(SteadyTime now);
-  void ForgetGoneWorkers(SteadyTime now, SchedulerOutput& output);
+  void ExpireSilentWorkers(SteadyTime now);
+  void RemoveSilentWorkers(SteadyTime now, SchedulerOutput& output);
   void EvacuateCordoned(SteadyTime now);
   WorkerSession* ChooseWorker(const jobs::Job& job,
                               const jobs::TaskId& task,
@@ -417,7 +417,7 @@
   EndedIncarnations ended_incarnations;
   // Workers that have been silent for too long but may come back, until the
   // removal of their records is committed.
-  std::map<WorkerId, Forgetting> forgotten;
+  std::map<WorkerId, PendingRemoval> pending_removals;
   // The number of finished jobs at the time of the last scan for unwanted runs,
   // and the time of that scan.
   std::uint64_t seen_finish_count = 0;
@@ -440,7 +440,7 @@
   // Starts ordered since this leadership began.
   LatenessCounts starts_ordered;
   SteadyTime judged_at{};
-  SteadyTime looked_for_gone{};
+  SteadyTime last_silent_scan{};
   // Workers to ask for a report in addition to the renewals.
   std::set<WorkerId> report_wanted;
   bool needs_plan = true;
--- a/libraries/scheduler/worker_messages.h
+++ b/libraries/scheduler/worker_messages.h
@@ -156,7 +156,7 @@
   kDone,
   kFailed,
   kStopped,
-  kLapsed,
+  kLeaseExpired,
   // Another member of its gang ended.
   kBroken,
   // The run waited too long for the other members of its gang.
--- a/libraries/scheduler/worker_session.cc
+++ b/libraries/scheduler/worker_session.cc
@@ -135,7 +135,7 @@
   return now >= this->bound;
 }
 
-bool WorkerSession::IsLapsed(SteadyTime now) const {
+bool WorkerSession::IsExpired(SteadyTime now) const {
   return this->IsLeaseOver(now) && this->last_failure >= this->bound;
 }
 
--- a/libraries/scheduler/worker_session.h
+++ b/libraries/scheduler/worker_session.h
@@ -181,7 +181,7 @@
   // Returns true if the lease is over and a later call to the worker has
   // failed. A leader that was late itself, or sent no call, knows only that the
   // runs there have ended, but not how.
-  bool IsLapsed(SteadyTime now) const;
+  bool IsExpired(SteadyTime now) const;
   // Returns true if the worker answers and accepts starts.
   bool IsUsable(SteadyTime now) const;
 
--- a/tests/libraries/scheduler/fake_worker.cc
+++ b/tests/libraries/scheduler/fake_worker.cc
@@ -18,7 +18,7 @@
   const bool has_lapsed = this->ClockAt(now) >= this->lease_end;
   for (const auto& [task, running] : this->tasks) {
     if (has_lapsed) {
-      over.emplace_back(task, EndCause::kLapsed);
+      over.emplace_back(task, EndCause::kLeaseExpired);
     } else if (running.stops_at && now >= *running.stops_at) {
       over.emplace_back(task, EndCause::kStopped);
     } else if (now >= running.ends_at) {
--- a/tests/libraries/scheduler/run_history.cc
+++ b/tests/libraries/scheduler/run_history.cc
@@ -65,7 +65,7 @@
 
 void RunHistory::ShortenLeases() {
   this->fleet.settings.lease.length = Milliseconds(1'200);
-  this->fleet.settings.forget_after = Milliseconds(300);
+  this->fleet.settings.removal_delay = Milliseconds(300);
   this->fleet.ChangeLeader();
 }
 
--- a/tests/libraries/scheduler/run_uniqueness_test.cc
+++ b/tests/libraries/scheduler/run_uniqueness_test.cc
@@ -138,7 +138,7 @@
   fleet.worker("w0").is_cut = true;
   fleet.worker("w0").is_cut_with_resets = true;
   fleet.commit_time = Milliseconds(1'000);
-  PassTime(fleet, ledger, fleet.settings.forget_after + Milliseconds(100));
+  PassTime(fleet, ledger, fleet.settings.removal_delay + Milliseconds(100));
   ASSERT_NE(fleet.state.FindWorker(WorkerId("w0")), nullptr);
   fleet.worker("w0").is_cut = false;
   fleet.work = kLongWork;
@@ -158,7 +158,7 @@
 TEST(RunUniquenessTest, ASecondForgettingEndsNothingThatRuns) {
   FakeFleet fleet(2);
   RunLedger ledger;
-  fleet.settings.forget_after = Milliseconds(500);
+  fleet.settings.removal_delay = Milliseconds(500);
   fleet.ChangeLeader();
   fleet.announce_interval = Milliseconds(100);
   PassTime(fleet, ledger, Milliseconds(300));
--- a/tests/libraries/scheduler/scheduler_test.cc
+++ b/tests/libraries/scheduler/scheduler_test.cc
@@ -443,7 +443,7 @@
   fleet.lists_instances = false;
   jobs::Worker forgotten = fleet.worker("w0").description;
   fleet.worker("w0").is_cut = true;
-  fleet.PassTime(fleet.settings.lease.length + fleet.settings.forget_after +
+  fleet.PassTime(fleet.settings.lease.length + fleet.settings.removal_delay +
                  Milliseconds(2'000));
   ASSERT_EQ(fleet.state.FindWorker(WorkerId("w0")), nullptr);
   fleet.worker("w0").Crash();
@@ -881,7 +881,7 @@
   fleet.worker("w0").is_cut = true;
   // Longer than the lease and the time after which a silent worker's record is
   // removed.
-  fleet.PassTime(fleet.settings.forget_after + Milliseconds(1'000));
+  fleet.PassTime(fleet.settings.removal_delay + Milliseconds(1'000));
   ASSERT_NE(fleet.state.FindWorker(WorkerId("w0")), nullptr);
   fleet.worker("w0").is_cut = false;
   // A worker whose record is being removed gets no orders until the removal is
@@ -1097,7 +1097,7 @@
   }
   EXPECT_TRUE(session.is_answering());
   EXPECT_FALSE(session.is_possibly_down());
-  EXPECT_FALSE(session.IsLapsed(fleet.now));
+  EXPECT_FALSE(session.IsExpired(fleet.now));
   EXPECT_EQ(session.runs().size(), 1U);
   EXPECT_EQ(fleet.starts, 1U);
   fleet.scheduler->HandleRenewalFailure(worker, OrderResult::kUnknown,
