--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -336,7 +336,7 @@
       .is_budgeted = step != nullptr && step->has_disruption_budget,
       .ordered_at = now,
       .settled_at =
-          now + this->settings.longest_stop + this->settings.lease.margin,
+          now + this->settings.max_stop_time + this->settings.lease.margin,
       .confirmed_clock = report.clock,
       .seen_in_report = session.report_count(),
       .percent = running.percent,
@@ -526,7 +526,7 @@
                              session.worker().id, reason);
   // The run may be running by the time the stop arrives: three such stops at
   // once have taken down all tasks of a step whose disruption budget was one.
-  if (run.is_budgeted && !this->MayTakeAway(run.task, now)) {
+  if (run.is_budgeted && !this->MayDisrupt(run.task, now)) {
     this->report_wanted.insert(session.worker().id);
     return;
   }
@@ -800,7 +800,7 @@
 
 // Requests reports from the workers of a step's tasks whose last report is too
 // old to show whether their task is running.
-void Scheduler::AskWhoIsAtWork(const jobs::StepId& step, SteadyTime now) {
+void Scheduler::RequestStepReports(const jobs::StepId& step, SteadyTime now) {
   const jobs::TaskId first{step, 0};
   const jobs::StepSpec* spec = this->state.FindStep(first);
   for (std::uint32_t index = 0; spec != nullptr && index < spec->count;
@@ -811,8 +811,8 @@
                                  : this->FindSession(memory->placed->first);
     const bool is_stale =
         session != nullptr && session->is_answering() &&
-        now - session->reported_at() > this->settings.fresh_report / 2 &&
-        now - session->report_asked_at > this->settings.fresh_report / 2;
+        now - session->reported_at() > this->settings.max_report_age / 2 &&
+        now - session->report_asked_at > this->settings.max_report_age / 2;
     if (is_stale) {
       this->report_wanted.insert(session->worker().id);
     }
@@ -952,7 +952,8 @@
   this->needs_plan = true;
 }
 
-bool Scheduler::IsAtWork(const jobs::TaskId& task, SteadyTime now) const {
+bool Scheduler::IsConfirmedRunning(const jobs::TaskId& task,
+                                   SteadyTime now) const {
   constexpr std::uint32_t kWholePercent = 100;
   const TaskMemory* memory = this->tasks.Find(task);
   if (memory == nullptr || !memory->placed) {
@@ -966,7 +967,7 @@
   // The next report may contain an end. In one evacuation the leader counted
   // tasks as running by reports that were 2.3 s old, although their leases had
   // ended 0.9 s before.
-  if (now - session->second.reported_at() > this->settings.fresh_report) {
+  if (now - session->second.reported_at() > this->settings.max_report_age) {
     return false;
   }
   const auto run = session->second.runs().find({task, number});
@@ -976,7 +977,7 @@
          run->second.percent >= kWholePercent;
 }
 
-bool Scheduler::MayTakeAway(const jobs::TaskId& task, SteadyTime now) const {
+bool Scheduler::MayDisrupt(const jobs::TaskId& task, SteadyTime now) const {
   const jobs::StepSpec* step = this->state.FindStep(task);
   if (step == nullptr || !step->has_disruption_budget) {
     return true;
@@ -985,7 +986,7 @@
   for (std::uint32_t index = 0; index < step->count; ++index) {
     const jobs::TaskId other{task.step, index};
     away += static_cast<std::uint32_t>(index != task.index &&
-                                       !this->IsAtWork(other, now));
+                                       !this->IsConfirmedRunning(other, now));
   }
   return away < step->disruption_budget;
 }
@@ -1023,8 +1024,8 @@
       if (!should_leave) {
         continue;
       }
-      if (!this->MayTakeAway(run.task, now)) {
-        this->AskWhoIsAtWork(run.task.step, now);
+      if (!this->MayDisrupt(run.task, now)) {
+        this->RequestStepReports(run.task.step, now);
       } else if (this->HasPlaceElsewhere(run.task)) {
         session.BeginStop(run, now);
         this->collected_events.Add("run-evacuated", run.task, run.number, id,
@@ -1047,10 +1048,10 @@
     // NOTE: A long-running task that was not in operation according to the last
     // report may be so by the time the stop arrives, so the disruption budget
     // applies anyway.
-    if (this->MayTakeAway(straggler.run->task, now)) {
+    if (this->MayDisrupt(straggler.run->task, now)) {
       this->GiveUp(straggler, now);
     } else {
-      this->AskWhoIsAtWork(straggler.run->task.step, now);
+      this->RequestStepReports(straggler.run->task.step, now);
     }
   }
 }
@@ -1123,10 +1124,10 @@
     const bool is_unconfirmed = run.phase == RunPhase::kOrdered &&
                                 now - run.ordered_at > kUnconfirmedTime;
     if (is_unconfirmed) {
-      if (!run.is_budgeted || this->MayTakeAway(run.task, now)) {
+      if (!run.is_budgeted || this->MayDisrupt(run.task, now)) {
         session.BeginStop(run, now);
       } else {
-        this->AskWhoIsAtWork(run.task.step, now);
+        this->RequestStepReports(run.task.step, now);
       }
     }
     if (run.phase == RunPhase::kStopping && now >= run.stop_due) {
--- a/libraries/scheduler/scheduler.h
+++ b/libraries/scheduler/scheduler.h
@@ -46,10 +46,10 @@
   ForecastSettings forecast;
   // The maximum time that a worker takes to carry out a stop, as guaranteed by
   // the platform.
-  Milliseconds longest_stop{1'000};
+  Milliseconds max_stop_time{1'000};
   // The maximum age of a report that counts as evidence of what is running:
   // twice the time for which a worker with runs may delay its report.
-  Milliseconds fresh_report{1'200};
+  Milliseconds max_report_age{1'200};
   // How long to wait before resending a stop that has had no effect yet.
   Milliseconds stop_retry{450};
   // How long a worker that reported that it is full gets no starts.
@@ -180,7 +180,7 @@
   // Returns true if a planned action may stop the task's run now because the
   // disruption budget of its step has room for it. Every other task of the step
   // that no recent report confirms as running counts against the budget.
-  bool MayTakeAway(const jobs::TaskId& task, SteadyTime now) const;
+  bool MayDisrupt(const jobs::TaskId& task, SteadyTime now) const;
 
   // Returns true while some worker fails to answer. The caller should then ask
   // the platform whether the worker's instance is up.
@@ -331,7 +331,7 @@
                          IncarnationEnd end,
                          SteadyTime now);
   void RequestReports(SteadyTime now, SchedulerOutput& output);
-  void AskWhoIsAtWork(const jobs::StepId& step, SteadyTime now);
+  void RequestStepReports(const jobs::StepId& step, SteadyTime now);
   void ExpireSilentWorkers(SteadyTime now);
   void RemoveSilentWorkers(SteadyTime now, SchedulerOutput& output);
   void EvacuateCordoned(SteadyTime now);
@@ -339,7 +339,7 @@
                               const jobs::TaskId& task,
                               bool is_suspect = false) const;
   bool HasPlaceElsewhere(const jobs::TaskId& task) const;
-  bool IsAtWork(const jobs::TaskId& task, SteadyTime now) const;
+  bool IsConfirmedRunning(const jobs::TaskId& task, SteadyTime now) const;
   void MarkCordoned(WorkerSession& session) const {
     session.is_cordoned = this->cordoned.contains(session.worker().instance);
   }
--- a/services/sumacd/job_controller.cc
+++ b/services/sumacd/job_controller.cc
@@ -250,7 +250,7 @@
   }
   chosen.lease.length = std::min(chosen.lease.length, times.longest_lease);
   chosen.lease.most_waiting = this->worker_calls.most_waiting;
-  chosen.longest_stop = times.longest_stop;
+  chosen.max_stop_time = times.longest_stop;
   this->scheduler.emplace(this->jobs_state, chosen, now);
   const maintenance::MaintenanceSettings maintenance{
       .holder_pause = times.instance_lease,
--- a/tests/libraries/scheduler/crowded_leader_test.cc
+++ b/tests/libraries/scheduler/crowded_leader_test.cc
@@ -107,7 +107,7 @@
   fleet.renews = false;
   fleet.PassTime(Milliseconds(1'500));
   const jobs::TaskId task{{JobId("job"), 0, 0}, 0};
-  ASSERT_FALSE(fleet.scheduler->MayTakeAway(task, fleet.now));
+  ASSERT_FALSE(fleet.scheduler->MayDisrupt(task, fleet.now));
   fleet.scheduler->SetCordoned({fleet.scheduler->sessions()
                                     .at(WorkerId(fleet.WorkersOf("job")[0]))
                                     .worker()
--- a/tests/libraries/scheduler/scheduler_test.cc
+++ b/tests/libraries/scheduler/scheduler_test.cc
@@ -638,7 +638,7 @@
 TEST(SchedulerTest, TheBudgetCountsStopsOfTheLeaderBefore) {
   FakeFleet fleet(4);
   fleet.work = Milliseconds(60'000);
-  fleet.settings.longest_stop = Milliseconds(900);
+  fleet.settings.max_stop_time = Milliseconds(900);
   fleet.Submit("job", {.count = 2,
                        .most_per_worker = 1,
                        .is_long_running = true,
@@ -696,7 +696,7 @@
                        .has_disruption_budget = true,
                        .disruption_budget = 0});
   fleet.PassTime(Milliseconds(400));
-  EXPECT_FALSE(fleet.scheduler->MayTakeAway(
+  EXPECT_FALSE(fleet.scheduler->MayDisrupt(
       jobs::TaskId{{JobId("job"), 0, 0}, 0}, fleet.now));
 }
 
@@ -983,13 +983,13 @@
                        .disruption_budget = 1});
   fleet.PassTime(Milliseconds(3'000));
   const jobs::TaskId task{{JobId("job"), 0, 0}, 0};
-  ASSERT_TRUE(fleet.scheduler->MayTakeAway(task, fleet.now));
+  ASSERT_TRUE(fleet.scheduler->MayDisrupt(task, fleet.now));
   fleet.renews = false;
   fleet.PassTime(Milliseconds(2'000));
-  EXPECT_FALSE(fleet.scheduler->MayTakeAway(task, fleet.now));
+  EXPECT_FALSE(fleet.scheduler->MayDisrupt(task, fleet.now));
   fleet.renews = true;
   fleet.PassTime(Milliseconds(500));
-  EXPECT_TRUE(fleet.scheduler->MayTakeAway(task, fleet.now));
+  EXPECT_TRUE(fleet.scheduler->MayDisrupt(task, fleet.now));
 }
 
 // A report that waited in its relay or for the leader's event loop may describe
@@ -1004,7 +1004,7 @@
                        .disruption_budget = 1});
   fleet.PassTime(Milliseconds(3'000));
   const jobs::TaskId task{{JobId("job"), 0, 0}, 0};
-  ASSERT_TRUE(fleet.scheduler->MayTakeAway(task, fleet.now));
+  ASSERT_TRUE(fleet.scheduler->MayDisrupt(task, fleet.now));
   fleet.renews = false;
   std::map<WorkerId, RenewReport> reports;
   for (const auto& [id, session] : fleet.scheduler->sessions()) {
@@ -1018,7 +1018,7 @@
   for (const auto& [id, report] : reports) {
     fleet.scheduler->HandleReport(id, report, fleet.now);
   }
-  EXPECT_FALSE(fleet.scheduler->MayTakeAway(task, fleet.now));
+  EXPECT_FALSE(fleet.scheduler->MayDisrupt(task, fleet.now));
 }
 
 // The leader changes while the worker of a job's only tasks is silent. Whether
