--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -824,7 +824,7 @@
   this->run_count = 0;
   for (auto& [id, session] : this->workers) {
     this->run_count += session.runs().size();
-    this->FollowTrials(session, now);
+    this->CheckTrials(session, now);
     const bool is_expired = session.IsExpired(now);
     if (is_expired && (session.is_adopted() || !session.runs().empty())) {
       this->ReleaseAllRuns(session, "its lease is over");
@@ -843,7 +843,7 @@
 // Requests a report from a worker with a trial that has lasted long enough: a
 // run that is still reported after that time has not crashed its worker.
 // Waiting for the next renewal could take longer.
-void Scheduler::FollowTrials(WorkerSession& session, SteadyTime now) {
+void Scheduler::CheckTrials(WorkerSession& session, SteadyTime now) {
   static constexpr Milliseconds kTime = jobs::TaskCrashes::kSuspectTime;
   if (session.trials() == 0 || now - session.report_asked_at < kTime) {
     return;
@@ -1294,13 +1294,13 @@
     if (!may_have_place || !this->MayStart(candidate.lateness)) {
       return false;
     }
-    const TrialTurn trial = this->JudgeTrial(job, task, now);
-    if (trial == TrialTurn::kLater) {
+    const TrialDecision trial = this->DecideTrial(job, task, now);
+    if (trial == TrialDecision::kLater) {
       is_all_placed = false;
       continue;
     }
     WorkerSession* session =
-        this->ChooseWorker(job, task, trial != TrialTurn::kNone);
+        this->ChooseWorker(job, task, trial != TrialDecision::kNone);
     if (session == nullptr) {
       // Tasks of one step have the same needs: if there is no room for one,
       // there is none for the others.
@@ -1312,7 +1312,7 @@
     }
     const RunNumber run = this->NextRun(job, task);
     this->StartOn(*session, candidate, task, run, now, output);
-    if (trial == TrialTurn::kNow) {
+    if (trial == TrialDecision::kNow) {
       session->BeginTrial(*session->FindRun(task, run));
       this->placement.NoteTrial(job.service);
       this->collected_events.Add("run-on-trial", task, run,
@@ -1327,30 +1327,30 @@
 // worker is tried on a worker of its own, so that a second crash identifies the
 // task and affects few other runs. Members of a gang can only start together
 // and are not tried.
-Scheduler::TrialTurn Scheduler::JudgeTrial(const jobs::Job& job,
-                                           const jobs::TaskId& task,
-                                           SteadyTime now) {
+Scheduler::TrialDecision Scheduler::DecideTrial(const jobs::Job& job,
+                                                const jobs::TaskId& task,
+                                                SteadyTime now) {
   const jobs::TaskCrashes* crashes = job.FindCrashes(task);
   if (crashes == nullptr || !crashes->IsSuspect()) {
-    return TrialTurn::kNone;
+    return TrialDecision::kNone;
   }
   TaskMemory& memory = this->tasks.Get(task);
   const bool is_repeated = crashes->crashes.size() > 1;
   const bool is_paused = memory.crashed_at &&
                          now - *memory.crashed_at < this->settings.crash_pause;
   if (is_repeated && is_paused) {
-    return TrialTurn::kLater;
+    return TrialDecision::kLater;
   }
   const SteadyTime wanted_at = memory.trial_wanted_at.value_or(now);
   memory.trial_wanted_at = wanted_at;
   const bool has_waited =
-      now - wanted_at >= (is_repeated ? this->settings.longest_repeated_wait
-                                      : this->settings.longest_trial_wait);
+      now - wanted_at >= (is_repeated ? this->settings.max_repeated_trial_wait
+                                      : this->settings.max_trial_wait);
   if (this->placement.HasTrialPlace(job.service) &&
       (is_repeated || !has_waited)) {
-    return TrialTurn::kNow;
+    return TrialDecision::kNow;
   }
-  return has_waited ? TrialTurn::kApart : TrialTurn::kLater;
+  return has_waited ? TrialDecision::kApart : TrialDecision::kLater;
 }
 
 // Returns true if the task should wait for room near its data instead of
--- a/libraries/scheduler/scheduler.h
+++ b/libraries/scheduler/scheduler.h
@@ -75,10 +75,10 @@
   // The maximum time that a task that may crash its worker waits for a worker
   // to run its trial on. The limit keeps a crash of a whole pool from blocking
   // jobs.
-  Milliseconds longest_trial_wait{1'000};
+  Milliseconds max_trial_wait{1'000};
   // The same for a task under which two workers have crashed. It is longer
   // because such tasks are few and a third crash may fail their jobs.
-  Milliseconds longest_repeated_wait{2'500};
+  Milliseconds max_repeated_trial_wait{2'500};
   // How long to wait before resending the command that records that a worker's
   // incarnation is over.
   Milliseconds removal_retry{1'000};
@@ -269,7 +269,7 @@
   // Whether the next start of a task is a trial. A task that has waited too
   // long for a trial starts without one but apart from other suspect tasks, as
   // far as there are workers for that (kApart).
-  enum class TrialTurn { kNone, kNow, kLater, kApart };
+  enum class TrialDecision { kNone, kNow, kLater, kApart };
   // A silent worker whose record is being removed: when to send the command
   // (again), and the sequence number of the worker's last announcement.
   struct PendingRemoval {
@@ -367,10 +367,10 @@
   bool StartStep(const Candidate& candidate,
                  SteadyTime now,
                  SchedulerOutput& output);
-  TrialTurn JudgeTrial(const jobs::Job& job,
-                       const jobs::TaskId& task,
-                       SteadyTime now);
-  void FollowTrials(WorkerSession& session, SteadyTime now);
+  TrialDecision DecideTrial(const jobs::Job& job,
+                            const jobs::TaskId& task,
+                            SteadyTime now);
+  void CheckTrials(WorkerSession& session, SteadyTime now);
   bool WaitsForNear(const jobs::Job& job,
                     const jobs::TaskId& task,
                     const jobs::Worker& worker,
