--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -40,7 +40,7 @@
       waiting(state,
               this->run_times,
               settings.orders_by_slack,
-              settings.full_look_interval),
+              settings.full_scan_interval),
       sharing(state),
       placement(this->health),
       stragglers(
@@ -910,7 +910,7 @@
        this->ended_incarnations.TakeDue(now, this->settings.removal_retry)) {
     output.commands.emplace_back(std::move(command));
   }
-  if (now - this->last_silent_scan < this->settings.judge_interval) {
+  if (now - this->last_silent_scan < this->settings.straggler_interval) {
     return;
   }
   this->last_silent_scan = now;
@@ -1039,11 +1039,11 @@
 // worker with no known problem.
 void Scheduler::GiveUpStragglers(SteadyTime now) {
   if (!this->settings.leaves_bad_workers ||
-      now - this->judged_at <
-          this->ScaledToRuns(this->settings.judge_interval)) {
+      now - this->last_straggler_scan <
+          this->ScaledToRuns(this->settings.straggler_interval)) {
     return;
   }
-  this->judged_at = now;
+  this->last_straggler_scan = now;
   for (const Straggler& straggler : this->stragglers.Find(this->workers, now)) {
     // NOTE: A long-running task that was not in operation according to the last
     // report may be so by the time the stop arrives, so the disruption budget
@@ -1070,7 +1070,7 @@
 
 Milliseconds Scheduler::ScaledToRuns(Milliseconds interval) const {
   const std::size_t parts =
-      this->run_count / this->settings.runs_of_interval + 1;
+      this->run_count / this->settings.runs_per_interval + 1;
   return interval * static_cast<std::int64_t>(parts);
 }
 
@@ -1082,12 +1082,14 @@
 
 // Marks runs whose job or task has finished as stopping.
 void Scheduler::FindUnwanted(SteadyTime now) {
-  const bool has_news = this->seen_finish_count != this->state.finish_count();
-  if (!has_news || now - this->looked_for_unwanted <
-                       this->ScaledToRuns(this->settings.unwanted_interval)) {
+  const bool has_newly_finished =
+      this->seen_finish_count != this->state.finish_count();
+  if (!has_newly_finished ||
+      now - this->last_unwanted_scan <
+          this->ScaledToRuns(this->settings.unwanted_scan_interval)) {
     return;
   }
-  this->looked_for_unwanted = now;
+  this->last_unwanted_scan = now;
   this->seen_finish_count = this->state.finish_count();
   for (auto& [id, session] : this->workers) {
     for (auto& [key, run] : session.runs()) {
--- a/libraries/scheduler/scheduler.h
+++ b/libraries/scheduler/scheduler.h
@@ -63,7 +63,7 @@
   bool leaves_bad_workers = true;
   // The minimum interval between two scans for stragglers and silent workers.
   // The interval between scans for stragglers grows with the number of runs.
-  Milliseconds judge_interval{100};
+  Milliseconds straggler_interval{100};
   // The maximum number of times that a run of the same task is given up.
   std::uint32_t most_moves = 2;
   // How long a worker may stay silent, after its lease is over, before its
@@ -84,15 +84,15 @@
   Milliseconds removal_retry{1'000};
   // The interval between full scans of the active jobs. Between them only jobs
   // that have changed are examined.
-  Milliseconds full_look_interval{1'000};
+  Milliseconds full_scan_interval{1'000};
   // How long to wait, after jobs have finished, before the scan of all runs for
   // those that belong to them. Small compared with the time that a stop may
   // take. The interval grows with the number of runs.
-  Milliseconds unwanted_interval{50};
+  Milliseconds unwanted_scan_interval{50};
   // The number of runs for which the two scan intervals above are meant; with
   // more runs they are multiplied. A scan costs about 0.2 microseconds per run,
   // so this keeps it to 1 % of a core.
-  std::size_t runs_of_interval = 1'000;
+  std::size_t runs_per_interval = 1'000;
 };
 
 using Order = std::variant<StartOrder, StopOrder, PaceOrder>;
@@ -421,7 +421,7 @@
   // The number of finished jobs at the time of the last scan for unwanted runs,
   // and the time of that scan.
   std::uint64_t seen_finish_count = 0;
-  SteadyTime looked_for_unwanted{};
+  SteadyTime last_unwanted_scan{};
   RunTimes run_times;
   WaitingJobs waiting;
   StartForecast forecast;
@@ -439,7 +439,7 @@
   StartAllowance starts_left;
   // Starts ordered since this leadership began.
   LatenessCounts starts_ordered;
-  SteadyTime judged_at{};
+  SteadyTime last_straggler_scan{};
   SteadyTime last_silent_scan{};
   // Workers to ask for a report in addition to the renewals.
   std::set<WorkerId> report_wanted;
--- a/tests/libraries/scheduler/fake_fleet.h
+++ b/tests/libraries/scheduler/fake_fleet.h
@@ -101,7 +101,7 @@
   std::optional<Scheduler> scheduler;
   // Settings practically without full scans of the jobs, so that a missed
   // change shows as a task that is never started.
-  SchedulerSettings settings{.full_look_interval = Milliseconds(3'600'000)};
+  SchedulerSettings settings{.full_scan_interval = Milliseconds(3'600'000)};
   SteadyTime now{Milliseconds(1'000)};
   // Makes the leader's calls if it is set.
   std::optional<CallCarrier> carrier;
