--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -820,7 +820,7 @@
 }
 
 void Scheduler::ExpireSilentWorkers(SteadyTime now) {
-  this->uncertain.clear();
+  this->services_with_unseen_runs.clear();
   this->run_count = 0;
   for (auto& [id, session] : this->workers) {
     this->run_count += session.runs().size();
@@ -835,7 +835,7 @@
     // not make all older jobs of its service wait.
     const bool is_inherited = session.began_at() == this->began_at;
     if (is_inherited && !is_expired && !session.is_adopted()) {
-      this->uncertain.insert(session.worker().service);
+      this->services_with_unseen_runs.insert(session.worker().service);
     }
   }
 }
@@ -1038,7 +1038,7 @@
 // Stops runs that are stalled or slow, so that their tasks start again on a
 // worker with no known problem.
 void Scheduler::GiveUpStragglers(SteadyTime now) {
-  if (!this->settings.leaves_bad_workers ||
+  if (!this->settings.avoids_bad_workers ||
       now - this->last_straggler_scan <
           this->ScaledToRuns(this->settings.straggler_interval)) {
     return;
@@ -1270,10 +1270,10 @@
   if (job.sequence >= this->first_own_sequence) {
     return false;
   }
-  return this->uncertain.contains(job.service) ||
+  return this->services_with_unseen_runs.contains(job.service) ||
          std::any_of(job.former_services.begin(), job.former_services.end(),
                      [this](const ServiceName& service) {
-                       return this->uncertain.contains(service);
+                       return this->services_with_unseen_runs.contains(service);
                      });
 }
 
@@ -1445,7 +1445,7 @@
 
 // Subtracts one start from what this planning pass may still order.
 // NOTE: A gang starts as a whole and may use more starts than are left.
-void Scheduler::TakeStart(Lateness lateness) {
+void Scheduler::ConsumeStart(Lateness lateness) {
   const auto take = [](std::size_t& left) {
     left -= std::min<std::size_t>(left, 1);
   };
@@ -1461,7 +1461,7 @@
                         RunNumber run,
                         SteadyTime now,
                         SchedulerOutput& output) {
-  this->TakeStart(candidate.lateness);
+  this->ConsumeStart(candidate.lateness);
   this->starts_ordered.Count(candidate.lateness);
   const WorkerTime lease_end = session.GrantLease(now);
   const jobs::StepSpec& step = candidate.job->spec.steps[candidate.step];
--- a/libraries/scheduler/scheduler.h
+++ b/libraries/scheduler/scheduler.h
@@ -60,7 +60,7 @@
   bool orders_by_slack = true;
   // Whether runs that make no progress are given up and started elsewhere, and
   // workers that fail tasks or are stalled get no tasks for a while.
-  bool leaves_bad_workers = true;
+  bool avoids_bad_workers = true;
   // The minimum interval between two scans for stragglers and silent workers.
   // The interval between scans for stragglers grows with the number of runs.
   Milliseconds straggler_interval{100};
@@ -251,7 +251,7 @@
 
   // Returns true while a worker gets no tasks because its earlier runs failed
   // or stalled.
-  bool IsSetAside(const WorkerId& worker, SteadyTime now) const {
+  bool IsWorkerQuarantined(const WorkerId& worker, SteadyTime now) const {
     return this->health.IsQuarantined(worker, now);
   }
 
@@ -385,7 +385,7 @@
                          const TaskMemory* memory);
   bool MayRunUnseen(const jobs::Job& job) const;
   bool MayStart(Lateness lateness) const;
-  void TakeStart(Lateness lateness);
+  void ConsumeStart(Lateness lateness);
   void StartOn(WorkerSession& session,
                const Candidate& candidate,
                const jobs::TaskId& task,
@@ -409,7 +409,7 @@
   SteadyTime began_at;
   // Services with a worker that an earlier leader used and that has not yet
   // reported its runs to this leader.
-  std::set<ServiceName> uncertain;
+  std::set<ServiceName> services_with_unseen_runs;
   std::set<InstanceName> cordoned;
   // Jobs of which a task has begun, until the next planning pass emits the
   // command that records it.
--- a/services/sumacd/job_controller.cc
+++ b/services/sumacd/job_controller.cc
@@ -244,7 +244,7 @@
   scheduler::SchedulerSettings chosen;
   const PolicySettings& policy = this->settings.policy;
   chosen.orders_by_slack = policy.order_by_slack;
-  chosen.leaves_bad_workers = policy.leave_bad_workers;
+  chosen.avoids_bad_workers = policy.leave_bad_workers;
   if (!policy.forecast) {
     chosen.forecast.horizon = Milliseconds(0);
   }
--- a/services/sumacd/job_queries.cc
+++ b/services/sumacd/job_queries.cc
@@ -152,18 +152,19 @@
                     const scheduler::WorkerSession& session,
                     SteadyTime now) {
   const jobs::Worker& worker = session.worker();
-  return {{"id", worker.id.value()},
-          {"instance", worker.instance.value()},
-          {"service", worker.service.value()},
-          {"data_centre", worker.data_centre.value()},
-          {"rack", worker.rack.value()},
-          {"runs", session.runs().size()},
-          {"free_millicores", session.Room().millicores},
-          {"state", worker.is_draining                     ? "draining"
-                    : !session.is_answering()              ? "silent"
-                    : scheduler.IsSetAside(worker.id, now) ? "set-aside"
-                                                           : "ready"},
-          {"silent_ms", (now - session.last_answer).count()}};
+  return {
+      {"id", worker.id.value()},
+      {"instance", worker.instance.value()},
+      {"service", worker.service.value()},
+      {"data_centre", worker.data_centre.value()},
+      {"rack", worker.rack.value()},
+      {"runs", session.runs().size()},
+      {"free_millicores", session.Room().millicores},
+      {"state", worker.is_draining                              ? "draining"
+                : !session.is_answering()                       ? "silent"
+                : scheduler.IsWorkerQuarantined(worker.id, now) ? "set-aside"
+                                                                : "ready"},
+      {"silent_ms", (now - session.last_answer).count()}};
 }
 
 fleet::Answer ShowWorkers(const JobSources& sources,
