--- a/libraries/scheduler/scheduler.h
+++ b/libraries/scheduler/scheduler.h
@@ -65,7 +65,7 @@
   // The interval between scans for stragglers grows with the number of runs.
   Milliseconds straggler_interval{100};
   // The maximum number of times that a run of the same task is given up.
-  std::uint32_t most_moves = 2;
+  std::uint32_t max_moves = 2;
   // How long a worker may stay silent, after its lease is over, before its
   // record is removed.
   Milliseconds removal_delay{10'000};
--- a/libraries/scheduler/stragglers.cc
+++ b/libraries/scheduler/stragglers.cc
@@ -106,7 +106,7 @@
   constexpr Milliseconds kRestart{700};
   const jobs::Job* job = this->state.FindJob(run.task.step.job);
   const TaskMemory* memory = this->tasks.Find(run.task);
-  if (memory == nullptr || memory->moves >= this->most_moves) {
+  if (memory == nullptr || memory->moves >= this->max_moves) {
     return false;
   }
   if (pace != RunPace::kStalled) {
--- a/libraries/scheduler/stragglers.h
+++ b/libraries/scheduler/stragglers.h
@@ -35,21 +35,21 @@
   // The placement policy's advice for a job's queue; nothing without one.
   using AdviceFor = std::function<const PlacementAdvice*(const jobs::Job&)>;
 
-  // A run of a task is given up `most_moves` times at most.
+  // A run of a task is given up `max_moves` times at most.
   Stragglers(const jobs::JobsState& state,
              const RunTimes& run_times,
              const TaskTable& tasks,
              const Placement& placement,
              WorkerHealth& health,
              AdviceFor advice_for,
-             std::uint32_t most_moves)
+             std::uint32_t max_moves)
       : state(state),
         run_times(run_times),
         tasks(tasks),
         placement(placement),
         health(health),
         advice_for(std::move(advice_for)),
-        most_moves(most_moves) {}
+        max_moves(max_moves) {}
 
   // The stragglers by the last reports.
   std::vector<Straggler> Find(Sessions& sessions, SteadyTime now);
@@ -71,7 +71,7 @@
   const Placement& placement;
   WorkerHealth& health;
   AdviceFor advice_for;
-  std::uint32_t most_moves;
+  std::uint32_t max_moves;
 };
 
 }  // namespace sumac::scheduler
--- a/libraries/scheduler/worker_calls.h
+++ b/libraries/scheduler/worker_calls.h
@@ -31,7 +31,7 @@
   std::function<kj::Promise<AdviceAnswer>(const AdviceQuestion&)> advise;
   // The maximum number of workers that may delay an answer at the same time:
   // each of them occupies a connection meanwhile.
-  std::size_t most_waiting = std::numeric_limits<std::size_t>::max();
+  std::size_t max_waiting = std::numeric_limits<std::size_t>::max();
   // Called when the worker's incarnation is over.
   std::function<void(const WorkerId&)> forget;
 };
--- a/libraries/scheduler/worker_session.cc
+++ b/libraries/scheduler/worker_session.cc
@@ -35,10 +35,10 @@
                                     : this->settings.renewal_wait;
   constexpr std::int64_t kSecond = 1'000;
   const Milliseconds paced(static_cast<std::int64_t>(workers) * kSecond /
-                           this->settings.most_renewals_a_second);
+                           this->settings.max_renewals_per_second);
   // Some platforms allow only leases that are shorter than usual.
   const Milliseconds longest =
-      std::min(this->settings.longest_renewal_wait, this->settings.length / 3);
+      std::min(this->settings.max_renewal_wait, this->settings.length / 3);
   return std::max(shortest, std::min(paced, longest));
 }
 
@@ -62,7 +62,7 @@
   if (this->clock && this->has_answered && this->failures == 0 &&
       !has_run_out) {
     order.lease_end = this->GrantLease(now);
-    const bool waits_here = workers > this->settings.most_waiting;
+    const bool waits_here = workers > this->settings.max_waiting;
     (waits_here ? order.pause : order.wait) = this->RenewalWait(workers);
   }
   return order;
--- a/libraries/scheduler/worker_session.h
+++ b/libraries/scheduler/worker_session.h
@@ -38,13 +38,13 @@
   // The target rate of renewals over all workers while no run ends. A leader of
   // many workers lets each of them wait longer to stay below it, since one
   // renewal costs the leader about 70 microseconds.
-  std::int64_t most_renewals_a_second = 600;
+  std::int64_t max_renewals_per_second = 600;
   // With more workers than this the leader waits between renewals, instead of
   // the workers delaying their answers, since it has no connection to spare for
   // each of them.
-  std::size_t most_waiting = std::numeric_limits<std::size_t>::max();
+  std::size_t max_waiting = std::numeric_limits<std::size_t>::max();
   // The maximum wait per renewal, so that a lease outlasts two lost renewals.
-  Milliseconds longest_renewal_wait{2'000};
+  Milliseconds max_renewal_wait{2'000};
   // By how many thousandths a worker's clock may run slow.
   std::int64_t slow_clock_permille = 20;
   // A margin for timers that fire late, added to every bound on lease ends.
--- a/services/sumacd/job_controller.cc
+++ b/services/sumacd/job_controller.cc
@@ -249,7 +249,7 @@
     chosen.forecast.horizon = Milliseconds(0);
   }
   chosen.lease.length = std::min(chosen.lease.length, times.longest_lease);
-  chosen.lease.most_waiting = this->worker_calls.most_waiting;
+  chosen.lease.max_waiting = this->worker_calls.max_waiting;
   chosen.max_stop_time = times.longest_stop;
   this->scheduler.emplace(this->jobs_state, chosen, now);
   const maintenance::MaintenanceSettings maintenance{
--- a/tests/libraries/scheduler/crowded_leader_test.cc
+++ b/tests/libraries/scheduler/crowded_leader_test.cc
@@ -88,7 +88,7 @@
             Milliseconds(1'500));
   // Without a connection for each worker the leader itself waits between
   // renewals.
-  const RenewOrder crowded = wait_of(1'100, {.most_waiting = 1'000});
+  const RenewOrder crowded = wait_of(1'100, {.max_waiting = 1'000});
   EXPECT_EQ(crowded.wait, Milliseconds(0));
   EXPECT_EQ(crowded.pause, Milliseconds(1'833));
 }
