--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -173,12 +173,12 @@
     return {};
   }
   const bool is_adopting = !session.is_adopted();
-  session.NoteClock(report.clock, now);
-  session.NoteReport(report.clock, now);
+  session.RecordClock(report.clock, now);
+  session.RecordReport(report.clock, now);
   // While the list of ends is incomplete, the outcome of the worker's runs is
   // not known yet.
   if (!is_adopting || !report.has_more_ends) {
-    session.NoteAnswer(now);
+    session.RecordAnswer(now);
   }
   if (is_adopting) {
     this->EndOtherIncarnations(session, now);
@@ -394,7 +394,7 @@
   if (session == nullptr || is_inconclusive) {
     return;
   }
-  session->NoteFailure(now);
+  session->RecordFailure(now);
   if (result == OrderResult::kOtherIncarnation) {
     this->EndReplacedWorker(worker, now);
   }
@@ -448,7 +448,7 @@
   }
   WorkerSession& session = *known;
   if (answer.clock) {
-    session.NoteClock(*answer.clock, now);
+    session.RecordClock(*answer.clock, now);
   }
   Run* run = session.FindRun(order.task, order.run);
   if (run == nullptr) {
@@ -488,7 +488,7 @@
       this->EndReplacedWorker(order.worker, now);
       break;
     case OrderResult::kUnreachable:
-      session.NoteFailure(now);
+      session.RecordFailure(now);
       this->ReleaseRun(session, order.task, order.run, "nobody listens there");
       break;
     case OrderResult::kNotSent:
--- a/libraries/scheduler/worker_session.cc
+++ b/libraries/scheduler/worker_session.cc
@@ -22,7 +22,7 @@
   // now.
   const Milliseconds stretched =
       settings.length * kPermille / (kPermille - settings.slow_clock_permille);
-  this->bound = now + stretched + settings.margin;
+  this->lease_bound = now + stretched + settings.margin;
 }
 
 Milliseconds WorkerSession::RenewalWait(std::size_t workers) const {
@@ -58,7 +58,7 @@
   // without a lease, so that its silence shows within one call and not after
   // another lease.
   const bool has_run_out =
-      this->IsLeaseOver(now) && this->last_answer < this->bound;
+      this->IsLeaseOver(now) && this->last_answer < this->lease_bound;
   if (this->clock && this->has_answered && this->failures == 0 &&
       !has_run_out) {
     order.lease_end = this->GrantLease(now);
@@ -97,20 +97,20 @@
   // slow from then on.
   const Milliseconds longest((lease_end.value() - reading.value()) * kPermille /
                              (kPermille - this->settings.slow_clock_permille));
-  this->bound =
-      std::max(this->bound, read_at + longest + this->settings.margin);
+  this->lease_bound =
+      std::max(this->lease_bound, read_at + longest + this->settings.margin);
   return lease_end;
 }
 
-void WorkerSession::NoteClock(WorkerTime reading, SteadyTime now) {
-  // An answer that was read late gives a looser bound than the reading before
-  // it.
+void WorkerSession::RecordClock(WorkerTime reading, SteadyTime now) {
+  // An answer that was read late gives a looser lease_bound than the reading
+  // before it.
   if (!this->clock || reading >= this->ClockAt(now)) {
     this->clock = {reading, now};
   }
 }
 
-void WorkerSession::NoteReport(WorkerTime report_clock, SteadyTime now) {
+void WorkerSession::RecordReport(WorkerTime report_clock, SteadyTime now) {
   this->last_report = report_clock;
   ++this->reports;
   // A slow clock advances by less than the time that has passed.
@@ -123,7 +123,7 @@
   this->last_report_made_at = std::min(now, read_at + longest);
 }
 
-void WorkerSession::NoteAnswer(SteadyTime now) {
+void WorkerSession::RecordAnswer(SteadyTime now) {
   this->has_answered = true;
   this->failures = 0;
   this->last_answer = now;
@@ -132,11 +132,11 @@
 bool WorkerSession::IsLeaseOver(SteadyTime now) const {
   // NOTE: A refused connection proves nothing: a network partition may refuse
   // connections to a worker that is still running.
-  return now >= this->bound;
+  return now >= this->lease_bound;
 }
 
 bool WorkerSession::IsExpired(SteadyTime now) const {
-  return this->IsLeaseOver(now) && this->last_failure >= this->bound;
+  return this->IsLeaseOver(now) && this->last_failure >= this->lease_bound;
 }
 
 bool WorkerSession::IsUsable(SteadyTime now) const {
--- a/libraries/scheduler/worker_session.h
+++ b/libraries/scheduler/worker_session.h
@@ -25,7 +25,7 @@
 struct LeaseSettings {
   // How long a worker may keep its runs going without a renewal. It must
   // outlast the loss of a leader, the following election and the new leader's
-  // first round of renewals; the platform sets an upper bound.
+  // first round of renewals; the platform sets an upper lease_bound.
   Milliseconds length{6'000};
   // The maximum time that a worker without runs, and one with runs, may delay
   // its answer to a renewal. It bounds how late a silent worker or a lost
@@ -47,7 +47,8 @@
   Milliseconds max_renewal_wait{2'000};
   // By how many thousandths a worker's clock may run slow.
   std::int64_t slow_clock_permille = 20;
-  // A margin for timers that fire late, added to every bound on lease ends.
+  // A margin for timers that fire late, added to every lease_bound on lease
+  // ends.
   Milliseconds margin{150};
 };
 
@@ -116,14 +117,15 @@
   }
 
   // Returns the next renewal for this worker, one of `workers` in total. If the
-  // renewal carries a lease, extends the bound on when runs there must have
-  // ended.
+  // renewal carries a lease, extends the lease_bound on when runs there must
+  // have ended.
   RenewOrder NextRenewal(LeaderEpoch epoch,
                          std::size_t workers,
                          SteadyTime now);
 
   // Returns the lease end that an order sent now may carry, and extends the
-  // bound on when runs there must have ended. The worker's clock must be known.
+  // lease_bound on when runs there must have ended. The worker's clock must be
+  // known.
   WorkerTime GrantLease(SteadyTime now);
 
   // Returns a request for a report of what is running and what has ended there.
@@ -135,9 +137,9 @@
   bool IsNewest(WorkerTime report_clock) const {
     return report_clock >= this->last_report;
   }
-  // Records a report that was read now. NoteClock must be called with the
+  // Records a report that was read now. RecordClock must be called with the
   // report's clock first.
-  void NoteReport(WorkerTime report_clock, SteadyTime now);
+  void RecordReport(WorkerTime report_clock, SteadyTime now);
   // The latest time at which the worker can have made its last report. It is
   // earlier than the time of reading if the report had to wait to be read.
   SteadyTime reported_at() const { return this->last_report_made_at; }
@@ -146,11 +148,11 @@
   std::uint64_t report_count() const { return this->reports; }
 
   // Records the worker's clock as read from an answer.
-  void NoteClock(WorkerTime clock, SteadyTime now);
+  void RecordClock(WorkerTime clock, SteadyTime now);
   // Records that the worker answered.
-  void NoteAnswer(SteadyTime now);
+  void RecordAnswer(SteadyTime now);
   // Records that a renewal or an order failed.
-  void NoteFailure(SteadyTime now) {
+  void RecordFailure(SteadyTime now) {
     if (this->failures == 0) {
       this->first_failure = now;
     }
@@ -249,8 +251,8 @@
  private:
   // Returns how long the worker may delay its answer to the next renewal.
   Milliseconds RenewalWait(std::size_t workers) const;
-  // Returns a lower bound of what the worker's clock shows. The worker's clock
-  // must be known.
+  // Returns a lower lease_bound of what the worker's clock shows. The worker's
+  // clock must be known.
   WorkerTime ClockAt(SteadyTime now) const;
 
   jobs::Worker description;
@@ -261,7 +263,7 @@
   SteadyTime first_failure{};
   SteadyTime last_failure{};
   SteadyTime session_began;
-  SteadyTime bound;
+  SteadyTime lease_bound;
   // The worker's clock in the last report, and the latest time on this
   // process's clock that this can correspond to.
   WorkerTime last_report;
--- a/tests/libraries/scheduler/crowded_leader_test.cc
+++ b/tests/libraries/scheduler/crowded_leader_test.cc
@@ -76,8 +76,8 @@
   const SteadyTime now{Milliseconds(1'000)};
   const auto wait_of = [&](std::size_t workers, LeaseSettings settings) {
     WorkerSession session({.id = WorkerId("w")}, settings, now);
-    session.NoteClock(WorkerTime(1), now);
-    session.NoteAnswer(now);
+    session.RecordClock(WorkerTime(1), now);
+    session.RecordAnswer(now);
     return session.NextRenewal(LeaderEpoch(1), workers, now);
   };
   EXPECT_EQ(wait_of(50, {}).wait, Milliseconds(1'000));
--- a/tests/libraries/scheduler/scheduler_test.cc
+++ b/tests/libraries/scheduler/scheduler_test.cc
@@ -1046,10 +1046,10 @@
   const LeaseSettings lease;
   SteadyTime now{Milliseconds(50'000)};
   WorkerSession session(jobs::Worker{.id = WorkerId("w")}, lease, now);
-  session.NoteClock(kReading, now);
+  session.RecordClock(kReading, now);
   // The worker answered 10 ms later, and the answer is read 3 s later.
   now += kLate;
-  session.NoteClock(WorkerTime(kReading.value() + 10), now);
+  session.RecordClock(WorkerTime(kReading.value() + 10), now);
   const std::int64_t there = kReading.value() + kLate.count();
   const WorkerTime granted = session.GrantLease(now);
   EXPECT_GE(granted.value() - there, lease.length.count() * 98 / 100);
