--- a/libraries/scheduler/crashed_runs.cc
+++ b/libraries/scheduler/crashed_runs.cc
@@ -9,10 +9,10 @@
 // A long-running task outlives many crashes of its workers, whatever causes
 // them. One that had been running for this long on a worker is not considered a
 // cause of its crash.
-constexpr Milliseconds kSoundTime{5'000};
+constexpr Milliseconds kUnsuspiciousTime{5'000};
 
-bool HasCrashesOnRecord(const jobs::JobsState& state,
-                        const jobs::TaskId& task) {
+bool HasCommittedCrashes(const jobs::JobsState& state,
+                         const jobs::TaskId& task) {
   const jobs::Job* job = state.FindJob(task.step.job);
   return job != nullptr && job->FindCrashes(task) != nullptr;
 }
@@ -29,7 +29,7 @@
       continue;
     }
     late.push_back(&run);
-    if (HasCrashesOnRecord(state, run.task)) {
+    if (HasCommittedCrashes(state, run.task)) {
       repeated.push_back(&run);
     }
   }
@@ -49,9 +49,9 @@
     const jobs::StepSpec* step = state.FindStep(run.task);
     const Milliseconds survived =
         std::max(session.last_answer - run.ordered_at, Milliseconds(0));
-    const bool is_sound =
-        step != nullptr && step->is_long_running && survived >= kSoundTime;
-    if (step != nullptr && !is_sound) {
+    const bool is_unsuspicious = step != nullptr && step->is_long_running &&
+                                 survived >= kUnsuspiciousTime;
+    if (step != nullptr && !is_unsuspicious) {
       crashed.push_back(
           jobs::CrashedRun{.task = run.task,
                            .run = run.number,
--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -244,7 +244,7 @@
                                            end.cause == EndCause::kDone
                                                ? jobs::RunOutcome::kDone
                                                : jobs::RunOutcome::kFailed});
-        ++memory.open_ends;
+        ++memory.uncommitted_ends;
         memory.has_done_run =
             memory.has_done_run || end.cause == EndCause::kDone;
       }
@@ -262,7 +262,7 @@
                                                : "gang incomplete");
   }
   if (result.up_to > 0) {
-    session.open_ends.insert(result.after);
+    session.uncommitted_ends.insert(result.after);
   }
   return result;
 }
@@ -405,7 +405,7 @@
                                     const EndsToRecord& recorded) {
   for (const jobs::RunEnd& end : recorded.ends) {
     if (TaskMemory* memory = this->tasks.Find(end.task)) {
-      --memory->open_ends;
+      --memory->uncommitted_ends;
     }
     this->waiting.Reconsider(end.task.step.job);
   }
@@ -639,7 +639,7 @@
   }
   for (const jobs::CrashedRun& run : runs) {
     TaskMemory& memory = this->tasks.Get(run.task);
-    ++memory.open_crashes;
+    ++memory.uncommitted_crashes;
     memory.crashed_at = now;
     memory.trial_wanted_at.reset();
     this->collected_events.Add(
@@ -655,7 +655,7 @@
   for (const jobs::CrashedRun& run :
        this->ended_incarnations.Settle(worker, this->state)) {
     if (TaskMemory* memory = this->tasks.Find(run.task)) {
-      --memory->open_crashes;
+      --memory->uncommitted_crashes;
     }
     this->waiting.Reconsider(run.task.step.job);
   }
--- a/libraries/scheduler/task_table.cc
+++ b/libraries/scheduler/task_table.cc
@@ -43,12 +43,12 @@
   return step[task.index];
 }
 
-bool TaskTable::JobMemory::has_open_task() const {
+bool TaskTable::JobMemory::has_unsettled_task() const {
   for (const auto& [number, steps] : this->occurrences) {
     for (const Step& step : steps) {
       const bool has_any =
           std::any_of(step.begin(), step.end(), [](const TaskMemory& task) {
-            return task.known_runs > 0 || task.open_ends > 0;
+            return task.known_runs > 0 || task.uncommitted_ends > 0;
           });
       if (has_any) {
         return true;
@@ -66,7 +66,7 @@
          ++item) {
       const jobs::Job* job = state.FindJob(item->first);
       if ((job == nullptr || !job->is_active()) &&
-          !item->second.has_open_task()) {
+          !item->second.has_unsettled_task()) {
         finished.push_back(item->first);
       }
     }
--- a/libraries/scheduler/task_table.h
+++ b/libraries/scheduler/task_table.h
@@ -29,10 +29,10 @@
   std::uint32_t known_runs = 0;
   // The number of runs that ended as done or failed and whose record is not
   // committed yet.
-  std::uint32_t open_ends = 0;
+  std::uint32_t uncommitted_ends = 0;
   // The number of runs that were lost in a crash of their worker and whose
   // record is not committed yet.
-  std::uint32_t open_crashes = 0;
+  std::uint32_t uncommitted_crashes = 0;
   // When the last such crash was detected.
   std::optional<SteadyTime> crashed_at;
   // Since when the task has been waiting only for a place for its trial.
@@ -51,8 +51,8 @@
   // Returns true while nothing may be started: a run may exist, or an end or a
   // crash is not committed yet.
   bool is_unsettled() const {
-    return this->known_runs > 0 || this->open_ends > 0 ||
-           this->open_crashes > 0 || this->has_done_run;
+    return this->known_runs > 0 || this->uncommitted_ends > 0 ||
+           this->uncommitted_crashes > 0 || this->has_done_run;
   }
 };
 
@@ -76,7 +76,7 @@
     std::map<std::uint32_t, std::vector<Step>> occurrences;
 
     // Returns true while a run may exist or an end is not committed yet.
-    bool has_open_task() const;
+    bool has_unsettled_task() const;
   };
 
   std::unordered_map<JobId, JobMemory> jobs;
--- a/libraries/scheduler/worker_session.cc
+++ b/libraries/scheduler/worker_session.cc
@@ -69,9 +69,10 @@
 }
 
 void WorkerSession::HandleEndsCommitted(std::uint64_t after) {
-  this->open_ends.erase(after);
-  this->acknowledged_ends =
-      this->open_ends.empty() ? this->seen_ends : *this->open_ends.begin();
+  this->uncommitted_ends.erase(after);
+  this->acknowledged_ends = this->uncommitted_ends.empty()
+                                ? this->seen_ends
+                                : *this->uncommitted_ends.begin();
 }
 
 RenewOrder WorkerSession::NextReportRequest(LeaderEpoch epoch) const {
--- a/libraries/scheduler/worker_session.h
+++ b/libraries/scheduler/worker_session.h
@@ -241,7 +241,7 @@
 
   std::uint64_t seen_ends = 0;
   // The `after` numbers of the batches of ends that are not committed yet.
-  std::set<std::uint64_t> open_ends;
+  std::set<std::uint64_t> uncommitted_ends;
   std::uint64_t acknowledged_ends = 0;
   // No starts are sent before this time, since the worker reported that it had
   // no room.
