--- a/libraries/scheduler/worker_messages.h
+++ b/libraries/scheduler/worker_messages.h
@@ -156,6 +156,7 @@
   kDone,
   kFailed,
   kStopped,
+  // The worker's lease expired before the run ended.
   kLeaseExpired,
   // Another member of its gang ended.
   kBroken,
--- a/libraries/scheduler/worker_session.cc
+++ b/libraries/scheduler/worker_session.cc
@@ -104,8 +104,8 @@
 }
 
 void WorkerSession::RecordClock(WorkerTime reading, SteadyTime now) {
-  // An answer that was read late gives a looser lease_bound than the reading
-  // before it.
+  // An answer that was read late gives a looser bound than the reading before
+  // it.
   if (!this->clock || reading >= this->ClockAt(now)) {
     this->clock = {reading, now};
   }
--- a/libraries/scheduler/worker_session.h
+++ b/libraries/scheduler/worker_session.h
@@ -25,7 +25,7 @@
 struct LeaseSettings {
   // How long a worker may keep its runs going without a renewal. It must
   // outlast the loss of a leader, the following election and the new leader's
-  // first round of renewals; the platform sets an upper lease_bound.
+  // first round of renewals; the platform sets an upper bound.
   Milliseconds length{6'000};
   // The maximum time that a worker without runs, and one with runs, may delay
   // its answer to a renewal. It bounds how late a silent worker or a lost
@@ -47,8 +47,7 @@
   Milliseconds max_renewal_wait{2'000};
   // By how many thousandths a worker's clock may run slow.
   std::int64_t slow_clock_permille = 20;
-  // A margin for timers that fire late, added to every lease_bound on lease
-  // ends.
+  // A margin for timers that fire late, added to every bound on lease ends.
   Milliseconds margin{150};
 };
 
@@ -117,15 +116,14 @@
   }
 
   // Returns the next renewal for this worker, one of `workers` in total. If the
-  // renewal carries a lease, extends the lease_bound on when runs there must
-  // have ended.
+  // renewal carries a lease, extends the bound on when runs there must have
+  // ended.
   RenewOrder NextRenewal(LeaderEpoch epoch,
                          std::size_t workers,
                          SteadyTime now);
 
   // Returns the lease end that an order sent now may carry, and extends the
-  // lease_bound on when runs there must have ended. The worker's clock must be
-  // known.
+  // bound on when runs there must have ended. The worker's clock must be known.
   WorkerTime GrantLease(SteadyTime now);
 
   // Returns a request for a report of what is running and what has ended there.
@@ -251,8 +249,8 @@
  private:
   // Returns how long the worker may delay its answer to the next renewal.
   Milliseconds RenewalWait(std::size_t workers) const;
-  // Returns a lower lease_bound of what the worker's clock shows. The worker's
-  // clock must be known.
+  // Returns a lower bound of what the worker's clock shows. The worker's clock
+  // must be known.
   WorkerTime ClockAt(SteadyTime now) const;
 
   jobs::Worker description;
@@ -263,6 +261,8 @@
   SteadyTime first_failure{};
   SteadyTime last_failure{};
   SteadyTime session_began;
+  // The time from which nothing can be running there any more, unless the lease
+  // is renewed.
   SteadyTime lease_bound;
   // The worker's clock in the last report, and the latest time on this
   // process's clock that this can correspond to.
--- a/tests/stand_ins/task_worker.cc
+++ b/tests/stand_ins/task_worker.cc
@@ -37,7 +37,7 @@
       return "failed";
     case kStopped:
       return "stopped";
-    case kLapsed:
+    case kLeaseExpired:
       return "lapsed";
     case kBroken:
       return "broken";
@@ -154,7 +154,7 @@
     }
     this->logged_end = end.number;
     Milliseconds ago{0};
-    if (end.cause == scheduler::EndCause::kLapsed) {
+    if (end.cause == scheduler::EndCause::kLeaseExpired) {
       ago = since_lapse;
     } else if (end.cause == scheduler::EndCause::kDone) {
       ago = now - earlier.at(end.task).ends_at;
