--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -258,7 +258,7 @@
         : end.cause == EndCause::kFailed       ? "failed"
         : end.cause == EndCause::kStopped      ? "stopped"
         : end.cause == EndCause::kLeaseExpired ? "lapsed"
-        : end.cause == EndCause::kBroken       ? "gang broken"
+        : end.cause == EndCause::kGangBroken   ? "gang broken"
                                                : "gang incomplete");
   }
   if (result.up_to > 0) {
--- a/libraries/scheduler/worker_messages.h
+++ b/libraries/scheduler/worker_messages.h
@@ -159,9 +159,9 @@
   // The worker's lease expired before the run ended.
   kLeaseExpired,
   // Another member of its gang ended.
-  kBroken,
+  kGangBroken,
   // The run waited too long for the other members of its gang.
-  kAlone,
+  kGangIncomplete,
 };
 
 struct EndReport {
--- a/tests/stand_ins/task_worker.cc
+++ b/tests/stand_ins/task_worker.cc
@@ -39,9 +39,9 @@
       return "stopped";
     case kLeaseExpired:
       return "lapsed";
-    case kBroken:
+    case kGangBroken:
       return "broken";
-    case kAlone:
+    case kGangIncomplete:
       return "alone";
   }
   return "?";
