--- a/tests/libraries/scheduler/capacity_change_test.cc
+++ b/tests/libraries/scheduler/capacity_change_test.cc
@@ -63,7 +63,7 @@
 }
 
 // Applies one random event to the fleet.
-void Happen(FakeFleet& fleet, int& next_job) {
+void ApplyEvent(FakeFleet& fleet, int& next_job) {
   const std::string worker = StrCat("w", *rc::gen::inRange(0, 3));
   switch (*rc::gen::inRange(0, 8)) {
     case 0:
@@ -106,7 +106,7 @@
   fleet.work = Milliseconds(*rc::gen::inRange(500, 8'000));
   int next_job = 0;
   for (int step = 0; step < kSteps && fleet.problem.empty(); ++step) {
-    Happen(fleet, next_job);
+    ApplyEvent(fleet, next_job);
   }
   if (!fleet.problem.empty()) {
     RC_FAIL(fleet.problem);
--- a/tests/libraries/scheduler/crashing_task_test.cc
+++ b/tests/libraries/scheduler/crashing_task_test.cc
@@ -250,7 +250,7 @@
 }
 
 // Applies one random event to the fleet.
-void Happen(FakeFleet& fleet, int& next_job) {
+void ApplyEvent(FakeFleet& fleet, int& next_job) {
   const int number = *rc::gen::inRange(0, 6);
   const WorkerId worker(StrCat("w", number));
   switch (*rc::gen::inRange(0, 9)) {
@@ -295,7 +295,7 @@
   fleet.crashes = CrashesItsWorker;
   int next_job = 0;
   for (int step = 0; step < kSteps && fleet.problem.empty(); ++step) {
-    Happen(fleet, next_job);
+    ApplyEvent(fleet, next_job);
   }
   fleet.late_permille = 0;
   fleet.commit_time = Milliseconds(0);
--- a/tests/libraries/scheduler/run_history.cc
+++ b/tests/libraries/scheduler/run_history.cc
@@ -37,10 +37,10 @@
 
 }  // namespace
 
-std::ostream& operator<<(std::ostream& out, const Happening& happening) {
-  return out << kNames.at(static_cast<std::size_t>(happening.kind)) << " w"
-             << happening.worker << " " << happening.amount << ", then "
-             << happening.pause_ms << " ms";
+std::ostream& operator<<(std::ostream& out, const HistoryEvent& event) {
+  return out << kNames.at(static_cast<std::size_t>(event.kind)) << " w"
+             << event.worker << " " << event.amount << ", then "
+             << event.pause_ms << " ms";
 }
 
 RunHistory::RunHistory(std::uint64_t seed)
@@ -58,7 +58,7 @@
            (this->failing == Failing::kEveryOther &&
             order.run.value() % 2 == 1);
   };
-  for (const std::string& life : this->lives) {
+  for (const std::string& life : this->incarnations) {
     this->fleet.worker(life).stop_time = kStopTime;
   }
 }
@@ -89,12 +89,12 @@
   }
 }
 
-FakeWorker& RunHistory::LifeOn(int number) {
-  return this->fleet.worker(this->lives.at(number));
+FakeWorker& RunHistory::IncarnationOn(int number) {
+  return this->fleet.worker(this->incarnations.at(number));
 }
 
 // Submits a job of long-running tasks with a disruption budget.
-void RunHistory::SubmitLasting(int amount) {
+void RunHistory::SubmitLongRunning(int amount) {
   constexpr std::uint32_t kTasks = 3;
   const std::string name = "lasting" + std::to_string(this->next_job++);
   this->fleet.Submit(
@@ -102,7 +102,7 @@
              .is_long_running = true,
              .has_disruption_budget = true,
              .disruption_budget = static_cast<std::uint32_t>(amount) % kTasks});
-  this->lasting_jobs.emplace_back(name);
+  this->long_running_jobs.emplace_back(name);
 }
 
 void RunHistory::Cordon(const FakeWorker& worker, bool is_cordoned) {
@@ -115,23 +115,23 @@
 }
 
 void RunHistory::Restart(int number) {
-  FakeWorker& before = this->LifeOn(number);
+  FakeWorker& before = this->IncarnationOn(number);
   before.Crash();
-  const std::string life = "life" + std::to_string(this->next_life++);
+  const std::string life = "life" + std::to_string(this->next_incarnation++);
   this->fleet.AddWorker(life, before.description.instance.value());
-  this->lives.at(number) = life;
+  this->incarnations.at(number) = life;
 }
 
 void RunHistory::StartAgain(int number) {
-  std::string& life = this->lives.at(number);
-  this->earlier_lives.push_back(life);
+  std::string& life = this->incarnations.at(number);
+  this->earlier_incarnations.push_back(life);
   life = this->fleet.StartAgain(life).description.id.value();
 }
 
 // Delivers the first announcement of an earlier incarnation on the instance,
 // which is over.
 void RunHistory::AnnounceLate(const FakeWorker& present) {
-  const std::string life = "late" + std::to_string(this->next_life++);
+  const std::string life = "late" + std::to_string(this->next_incarnation++);
   this->fleet.AddWorker(life, present.description.instance.value()).Crash();
 }
 
@@ -145,117 +145,118 @@
   }
 }
 
-void RunHistory::HarmRelay(const Happening& happening) {
+void RunHistory::HarmRelay(const HistoryEvent& event) {
   constexpr int kHalf = 50;
   const std::size_t relay =
-      static_cast<std::size_t>(happening.amount) % FakeRelays::kCount;
-  const bool is_much = happening.amount >= kHalf;
+      static_cast<std::size_t>(event.amount) % FakeRelays::kCount;
+  const bool is_much = event.amount >= kHalf;
   if (!this->relays) {
     return;
   }
-  if (happening.kind == Kind::kLoseRelay) {
+  if (event.kind == EventKind::kLoseRelay) {
     this->relays->Lose(relay, this->fleet.now);
-  } else if (happening.kind == Kind::kMoveCalls) {
-    this->relays->Move(this->LifeOn(happening.worker).description.id,
+  } else if (event.kind == EventKind::kMoveCalls) {
+    this->relays->Move(this->IncarnationOn(event.worker).description.id,
                        this->fleet.now);
-  } else if (happening.kind == Kind::kPauseRelay) {
+  } else if (event.kind == EventKind::kPauseRelay) {
     is_much ? this->relays->Pause(relay) : this->relays->GoOn(relay);
   } else {
     is_much ? this->relays->CutOff(relay) : this->relays->Heal(relay);
   }
 }
 
-void RunHistory::Happen(const Happening& happening) {
+void RunHistory::ApplyEvent(const HistoryEvent& event) {
   constexpr int kHalf = 50;
   constexpr std::uint32_t kFactor = 10;
-  const int amount = happening.amount;
+  const int amount = event.amount;
   const auto permille = static_cast<std::uint32_t>(amount) * kFactor;
   const bool is_much = amount >= kHalf;
-  FakeWorker& worker = this->LifeOn(happening.worker);
-  switch (happening.kind) {
-    case Kind::kSubmit:
+  FakeWorker& worker = this->IncarnationOn(event.worker);
+  switch (event.kind) {
+    case EventKind::kSubmit:
       this->fleet.Submit("job" + std::to_string(this->next_job++),
                          {.count = is_much ? 2U : 1U});
       break;
-    case Kind::kChangeLeader:
+    case EventKind::kChangeLeader:
       this->fleet.keeps_open_commits = is_much;
       this->fleet.ChangeLeader();
       this->fleet.scheduler->SetCordoned(this->cordoned);
       break;
-    case Kind::kCut:
+    case EventKind::kCut:
       worker.is_cut = true;
       worker.is_cut_with_resets = is_much;
       break;
-    case Kind::kHeal:
+    case EventKind::kHeal:
       worker.is_cut = false;
       break;
-    case Kind::kRestart:
-      this->Restart(happening.worker);
+    case EventKind::kRestart:
+      this->Restart(event.worker);
       break;
-    case Kind::kStartAgain:
-      this->StartAgain(happening.worker);
+    case EventKind::kRestartUnderName:
+      this->StartAgain(event.worker);
       break;
-    case Kind::kAnnounceEarlier:
-      if (!this->earlier_lives.empty()) {
-        this->fleet.AnnounceAgain(this->earlier_lives.at(
-            static_cast<std::size_t>(amount) % this->earlier_lives.size()));
+    case EventKind::kAnnounceEarlier:
+      if (!this->earlier_incarnations.empty()) {
+        this->fleet.AnnounceAgain(
+            this->earlier_incarnations.at(static_cast<std::size_t>(amount) %
+                                          this->earlier_incarnations.size()));
       }
       break;
-    case Kind::kAnnounceLate:
+    case EventKind::kAnnounceLate:
       this->AnnounceLate(worker);
       break;
-    case Kind::kLoseOrders:
+    case EventKind::kLoseOrders:
       this->fleet.late_permille = is_much ? permille : 0;
       break;
-    case Kind::kLoseReports:
+    case EventKind::kLoseReports:
       this->fleet.lost_report_permille = is_much ? 0 : permille;
       this->fleet.late_report_permille = is_much ? permille : 0;
       break;
-    case Kind::kDelayAnswers:
+    case EventKind::kDelayAnswers:
       this->fleet.answer_delay = Milliseconds(is_much ? 4 * amount : 0);
       break;
-    case Kind::kFail:
+    case EventKind::kFail:
       this->failing = static_cast<Failing>(amount % kFailings);
       break;
-    case Kind::kWork:
+    case EventKind::kWork:
       this->fleet.work = Milliseconds(kFactor * (1 + amount));
       break;
-    case Kind::kCommit:
+    case EventKind::kCommit:
       this->fleet.commit_time = Milliseconds(is_much ? 4 * amount : amount / 2);
       break;
-    case Kind::kStopSlowly:
+    case EventKind::kStopSlowly:
       worker.stop_time = Milliseconds(is_much ? 4 * amount : 0);
       break;
-    case Kind::kRefuseStarts:
+    case EventKind::kRefuseStarts:
       Refuse(worker.start_refusal, amount);
       break;
-    case Kind::kRefuseStops:
+    case EventKind::kRefuseStops:
       Refuse(worker.stop_refusal, amount);
       break;
-    case Kind::kHideInstances:
+    case EventKind::kHideInstances:
       this->fleet.lists_instances = !is_much;
       break;
-    case Kind::kSubmitLasting:
-      this->SubmitLasting(amount);
+    case EventKind::kSubmitLongRunning:
+      this->SubmitLongRunning(amount);
       break;
-    case Kind::kCordon:
+    case EventKind::kCordon:
       this->Cordon(worker, is_much);
       break;
-    case Kind::kMoveQueue:
+    case EventKind::kMoveQueue:
       this->fleet.MoveClipsTo(is_much ? "thumbs" : "previews");
       break;
-    case Kind::kResend:
+    case EventKind::kResend:
       this->fleet.resent_permille = is_much ? permille : 0;
       this->fleet.resend_after = Milliseconds(1 + amount);
       break;
-    case Kind::kPauseRelay:
-    case Kind::kLoseRelay:
-    case Kind::kCutRelay:
-    case Kind::kMoveCalls:
-      this->HarmRelay(happening);
+    case EventKind::kPauseRelay:
+    case EventKind::kLoseRelay:
+    case EventKind::kCutRelay:
+    case EventKind::kMoveCalls:
+      this->HarmRelay(event);
       break;
   }
-  this->PassTime(Milliseconds(happening.pause_ms));
+  this->PassTime(Milliseconds(event.pause_ms));
 }
 
 void RunHistory::Recover() {
@@ -265,9 +266,9 @@
   this->fleet.lost_report_permille = 0;
   this->fleet.resent_permille = 0;
   for (int number = 0; number < kHistoryWorkers; ++number) {
-    this->LifeOn(number).is_cut = false;
-    this->LifeOn(number).start_refusal.reset();
-    this->LifeOn(number).stop_refusal.reset();
+    this->IncarnationOn(number).is_cut = false;
+    this->IncarnationOn(number).start_refusal.reset();
+    this->IncarnationOn(number).stop_refusal.reset();
   }
   for (std::size_t relay = 0; this->relays && relay < FakeRelays::kCount;
        ++relay) {
@@ -276,7 +277,7 @@
   }
   this->cordoned.clear();
   this->fleet.scheduler->SetCordoned({});
-  for (const JobId& job : this->lasting_jobs) {
+  for (const JobId& job : this->long_running_jobs) {
     this->fleet.Commit(jobs::CancelJob{job});
   }
   for (int second = 0; second < kMostSeconds && !this->is_finished();
--- a/tests/libraries/scheduler/run_history.h
+++ b/tests/libraries/scheduler/run_history.h
@@ -20,7 +20,7 @@
 constexpr int kHistoryWorkers = 3;
 
 // The kinds of events that may happen to a fleet.
-enum class Kind {
+enum class EventKind {
   kSubmit,
   kChangeLeader,
   kCut,
@@ -39,9 +39,9 @@
   kHideInstances,
   kMoveQueue,
   kResend,
-  kSubmitLasting,
+  kSubmitLongRunning,
   kCordon,
-  kStartAgain,
+  kRestartUnderName,
   kAnnounceEarlier,
   kPauseRelay,
   kLoseRelay,
@@ -49,8 +49,8 @@
   kMoveCalls,
 };
 
-struct Happening {
-  Kind kind = Kind::kSubmit;
+struct HistoryEvent {
+  EventKind kind = EventKind::kSubmit;
   int worker = 0;
   // The intensity of the event, from 0 to 99.
   int amount = 0;
@@ -58,7 +58,7 @@
   int pause_ms = 0;
 };
 
-std::ostream& operator<<(std::ostream& out, const Happening& happening);
+std::ostream& operator<<(std::ostream& out, const HistoryEvent& event);
 
 // Which runs fail.
 enum class Failing { kNone, kAll, kEveryOther };
@@ -76,7 +76,7 @@
   void UseRelays();
 
   // Applies an event and lets the time after it pass.
-  void Happen(const Happening& happening);
+  void ApplyEvent(const HistoryEvent& event);
 
   void PassTime(Milliseconds time);
 
@@ -97,13 +97,13 @@
   }
 
  private:
-  FakeWorker& LifeOn(int number);
-  void SubmitLasting(int amount);
+  FakeWorker& IncarnationOn(int number);
+  void SubmitLongRunning(int amount);
   void Cordon(const FakeWorker& worker, bool is_cordoned);
   void Restart(int number);
   void StartAgain(int number);
   void AnnounceLate(const FakeWorker& present);
-  void HarmRelay(const Happening& happening);
+  void HarmRelay(const HistoryEvent& event);
   void Refuse(std::optional<OrderResult>& refusal, int amount);
 
   std::uint64_t seed;
@@ -113,13 +113,13 @@
   BudgetLedger budgets;
   Failing failing = Failing::kNone;
   int next_job = 0;
-  int next_life = 0;
-  std::vector<JobId> lasting_jobs;
+  int next_incarnation = 0;
+  std::vector<JobId> long_running_jobs;
   std::set<InstanceName> cordoned;
   // Incarnations that were followed by another one of the same name.
-  std::vector<std::string> earlier_lives;
+  std::vector<std::string> earlier_incarnations;
   // The present incarnation on each instance.
-  std::array<std::string, kHistoryWorkers> lives = {"w0", "w1", "w2"};
+  std::array<std::string, kHistoryWorkers> incarnations = {"w0", "w1", "w2"};
 };
 
 }  // namespace sumac::scheduler
--- a/tests/libraries/scheduler/run_uniqueness_property_test.cc
+++ b/tests/libraries/scheduler/run_uniqueness_property_test.cc
@@ -12,31 +12,33 @@
 namespace sumac::scheduler {
 namespace {
 
-constexpr int kMostHappenings = 40;
+constexpr int kMaxHistoryEvents = 40;
 
 // The events of most histories. Jobs and changes of leader are more frequent
 // than the rest.
-std::vector<Kind> CommonKinds() {
-  return {Kind::kSubmit, Kind::kSubmit,       Kind::kChangeLeader,
-          Kind::kFail,   Kind::kChangeLeader, Kind::kCut,
-          Kind::kHeal,   Kind::kDelayAnswers, Kind::kWork,
-          Kind::kCommit, Kind::kStopSlowly};
+std::vector<EventKind> CommonKinds() {
+  return {
+      EventKind::kSubmit, EventKind::kSubmit,       EventKind::kChangeLeader,
+      EventKind::kFail,   EventKind::kChangeLeader, EventKind::kCut,
+      EventKind::kHeal,   EventKind::kDelayAnswers, EventKind::kWork,
+      EventKind::kCommit, EventKind::kStopSlowly};
 }
 
 // The same with losses, refusals and restarts.
-std::vector<Kind> FaultyKinds() {
-  std::vector<Kind> kinds = CommonKinds();
-  kinds.insert(kinds.end(),
-               {Kind::kRestart, Kind::kAnnounceLate, Kind::kLoseOrders,
-                Kind::kLoseReports, Kind::kRefuseStarts, Kind::kRefuseStops,
-                Kind::kHideInstances});
+std::vector<EventKind> FaultyKinds() {
+  std::vector<EventKind> kinds = CommonKinds();
+  kinds.insert(kinds.end(), {EventKind::kRestart, EventKind::kAnnounceLate,
+                             EventKind::kLoseOrders, EventKind::kLoseReports,
+                             EventKind::kRefuseStarts, EventKind::kRefuseStops,
+                             EventKind::kHideInstances});
   return kinds;
 }
 
 // Adds events of relays, as frequent as all other `kinds` together.
-std::vector<Kind> WithRelayKinds(std::vector<Kind> kinds) {
-  constexpr std::array kOfRelays = {Kind::kPauseRelay, Kind::kLoseRelay,
-                                    Kind::kCutRelay, Kind::kMoveCalls};
+std::vector<EventKind> WithRelayKinds(std::vector<EventKind> kinds) {
+  constexpr std::array kOfRelays = {EventKind::kPauseRelay,
+                                    EventKind::kLoseRelay, EventKind::kCutRelay,
+                                    EventKind::kMoveCalls};
   const std::size_t others = kinds.size();
   for (std::size_t added = 0; added < others; ++added) {
     kinds.push_back(kOfRelays.at(added % kOfRelays.size()));
@@ -44,28 +46,30 @@
   return kinds;
 }
 
-rc::Gen<std::vector<Happening>> GenerateHistory(
-    const std::vector<Kind>& kinds) {
+rc::Gen<std::vector<HistoryEvent>> GenerateHistory(
+    const std::vector<EventKind>& kinds) {
   constexpr int kWhole = 100;
   constexpr int kLongestPause = 400;
   return rc::gen::resize(
-      kMostHappenings,
-      rc::gen::container<std::vector<Happening>>(rc::gen::build<Happening>(
-          rc::gen::set(&Happening::kind, rc::gen::elementOf(kinds)),
-          rc::gen::set(&Happening::worker,
-                       rc::gen::inRange(0, kHistoryWorkers)),
-          rc::gen::set(
-              &Happening::amount,
-              rc::gen::resize(rc::kNominalSize, rc::gen::inRange(0, kWhole))),
-          rc::gen::set(&Happening::pause_ms,
-                       rc::gen::resize(rc::kNominalSize,
-                                       rc::gen::inRange(0, kLongestPause))))));
+      kMaxHistoryEvents,
+      rc::gen::container<std::vector<HistoryEvent>>(
+          rc::gen::build<HistoryEvent>(
+              rc::gen::set(&HistoryEvent::kind, rc::gen::elementOf(kinds)),
+              rc::gen::set(&HistoryEvent::worker,
+                           rc::gen::inRange(0, kHistoryWorkers)),
+              rc::gen::set(&HistoryEvent::amount,
+                           rc::gen::resize(rc::kNominalSize,
+                                           rc::gen::inRange(0, kWhole))),
+              rc::gen::set(
+                  &HistoryEvent::pause_ms,
+                  rc::gen::resize(rc::kNominalSize,
+                                  rc::gen::inRange(0, kLongestPause))))));
 }
 
 enum class Leases { kLong, kShort };
 enum class Calls { kByTheLeader, kByRelays };
 
-void Check(const std::vector<Kind>& kinds,
+void Check(const std::vector<EventKind>& kinds,
            Leases leases,
            Calls calls = Calls::kByTheLeader) {
   RunHistory history(*rc::gen::inRange<std::uint64_t>(1, 1'000'000));
@@ -75,8 +79,8 @@
   if (calls == Calls::kByRelays) {
     history.UseRelays();
   }
-  for (const Happening& happening : *GenerateHistory(kinds)) {
-    history.Happen(happening);
+  for (const HistoryEvent& event : *GenerateHistory(kinds)) {
+    history.ApplyEvent(event);
     if (!history.problem().empty()) {
       RC_FAIL(history.problem());
     }
@@ -103,37 +107,40 @@
 }
 
 RC_GTEST_PROP(RunUniquenessPropertyTest, OneRunWhereQueuesMove, ()) {
-  std::vector<Kind> kinds = CommonKinds();
-  kinds.insert(kinds.end(), {Kind::kMoveQueue, Kind::kMoveQueue});
+  std::vector<EventKind> kinds = CommonKinds();
+  kinds.insert(kinds.end(), {EventKind::kMoveQueue, EventKind::kMoveQueue});
   Check(kinds, Leases::kLong);
 }
 
 RC_GTEST_PROP(RunUniquenessPropertyTest, OneRunWhereOrdersComeTwice, ()) {
-  std::vector<Kind> kinds = FaultyKinds();
-  kinds.insert(kinds.end(), {Kind::kResend, Kind::kResend});
+  std::vector<EventKind> kinds = FaultyKinds();
+  kinds.insert(kinds.end(), {EventKind::kResend, EventKind::kResend});
   Check(kinds, Leases::kLong);
 }
 
 RC_GTEST_PROP(RunUniquenessPropertyTest, OneRunWhereWorkersStartAgain, ()) {
-  std::vector<Kind> kinds = FaultyKinds();
+  std::vector<EventKind> kinds = FaultyKinds();
   kinds.insert(kinds.end(),
-               {Kind::kStartAgain, Kind::kStartAgain, Kind::kStartAgain,
-                Kind::kAnnounceEarlier, Kind::kResend});
+               {EventKind::kRestartUnderName, EventKind::kRestartUnderName,
+                EventKind::kRestartUnderName, EventKind::kAnnounceEarlier,
+                EventKind::kResend});
   Check(kinds, *rc::gen::element(Leases::kLong, Leases::kShort));
 }
 
 RC_GTEST_PROP(RunUniquenessPropertyTest, BudgetsHoldInAnyHistory, ()) {
-  std::vector<Kind> kinds = CommonKinds();
+  std::vector<EventKind> kinds = CommonKinds();
   kinds.insert(kinds.end(),
-               {Kind::kSubmitLasting, Kind::kSubmitLasting, Kind::kCordon,
-                Kind::kCordon, Kind::kRestart, Kind::kLoseReports});
+               {EventKind::kSubmitLongRunning, EventKind::kSubmitLongRunning,
+                EventKind::kCordon, EventKind::kCordon, EventKind::kRestart,
+                EventKind::kLoseReports});
   Check(kinds, Leases::kLong);
 }
 
 RC_GTEST_PROP(RunUniquenessPropertyTest, OneRunInAnyHistory, ()) {
-  std::vector<Kind> kinds = FaultyKinds();
-  kinds.insert(kinds.end(), {Kind::kMoveQueue, Kind::kResend, Kind::kStartAgain,
-                             Kind::kAnnounceEarlier});
+  std::vector<EventKind> kinds = FaultyKinds();
+  kinds.insert(kinds.end(),
+               {EventKind::kMoveQueue, EventKind::kResend,
+                EventKind::kRestartUnderName, EventKind::kAnnounceEarlier});
   Check(kinds, *rc::gen::element(Leases::kLong, Leases::kShort));
 }
 
@@ -142,18 +149,20 @@
 }
 
 RC_GTEST_PROP(RunUniquenessPropertyTest, OneRunWhereMuchFailsBesideRelays, ()) {
-  std::vector<Kind> kinds = FaultyKinds();
+  std::vector<EventKind> kinds = FaultyKinds();
   kinds.insert(kinds.end(),
-               {Kind::kStartAgain, Kind::kAnnounceEarlier, Kind::kMoveQueue});
+               {EventKind::kRestartUnderName, EventKind::kAnnounceEarlier,
+                EventKind::kMoveQueue});
   Check(WithRelayKinds(kinds), *rc::gen::element(Leases::kLong, Leases::kShort),
         Calls::kByRelays);
 }
 
 RC_GTEST_PROP(RunUniquenessPropertyTest, BudgetsHoldWhereRelaysMakeCalls, ()) {
-  std::vector<Kind> kinds = CommonKinds();
+  std::vector<EventKind> kinds = CommonKinds();
   kinds.insert(kinds.end(),
-               {Kind::kSubmitLasting, Kind::kSubmitLasting, Kind::kCordon,
-                Kind::kCordon, Kind::kRestart, Kind::kLoseReports});
+               {EventKind::kSubmitLongRunning, EventKind::kSubmitLongRunning,
+                EventKind::kCordon, EventKind::kCordon, EventKind::kRestart,
+                EventKind::kLoseReports});
   Check(WithRelayKinds(kinds), Leases::kLong, Calls::kByRelays);
 }
 
--- a/tests/libraries/scheduler/scheduler_property_test.cc
+++ b/tests/libraries/scheduler/scheduler_property_test.cc
@@ -13,7 +13,7 @@
 constexpr int kSteps = 60;
 
 // Applies one random event to the fleet.
-void Happen(FakeFleet& fleet, int& next_job, int& next_life) {
+void ApplyEvent(FakeFleet& fleet, int& next_job, int& next_life) {
   const std::string worker =
       "w" + std::to_string(*rc::gen::inRange<int>(0, kWorkers));
   FakeWorker& chosen = fleet.worker(worker);
@@ -61,7 +61,7 @@
   int next_job = 0;
   int next_life = 0;
   for (int step = 0; step < kSteps && fleet.problem.empty(); ++step) {
-    Happen(fleet, next_job, next_life);
+    ApplyEvent(fleet, next_job, next_life);
   }
   if (!fleet.problem.empty()) {
     RC_FAIL(fleet.problem);
