--- a/tests/libraries/scheduler/crashing_task_test.cc
+++ b/tests/libraries/scheduler/crashing_task_test.cc
@@ -160,7 +160,7 @@
 }
 
 TEST_F(CrashingTaskTest, ALongRunningTaskOutlivesItsWorkers) {
-  this->fleet.lasting_work = Milliseconds(1'000'000);
+  this->fleet.long_running_work = Milliseconds(1'000'000);
   this->fleet.Submit("lasting", {.count = 4, .is_long_running = true});
   this->fleet.PassTime(Milliseconds(7'000));
   for (int round = 0; round < 5; ++round) {
@@ -172,7 +172,7 @@
 }
 
 TEST_F(CrashingTaskTest, ALongRunningTaskThatCrashesItsWorkersIsGivenUp) {
-  this->fleet.lasting_work = Milliseconds(1'000'000);
+  this->fleet.long_running_work = Milliseconds(1'000'000);
   this->fleet.Submit("bad", {.count = 4, .is_long_running = true});
   this->fleet.PassTime(Milliseconds(20'000));
   EXPECT_EQ(this->StateOf("bad"), jobs::JobState::kFailed);
--- a/tests/libraries/scheduler/fake_fleet.cc
+++ b/tests/libraries/scheduler/fake_fleet.cc
@@ -17,7 +17,7 @@
 // The interval between announcements of a worker. A reduced capacity is
 // enforced kShrinkSlack after the change: the time until the worker is in
 // contact again plus one announcement.
-constexpr Milliseconds kBeat{1'500};
+constexpr Milliseconds kAnnouncementInterval{1'500};
 // The time after which a leader that took over from a killed one is in contact
 // with the workers.
 constexpr Milliseconds kContactTime{3'000};
@@ -90,7 +90,7 @@
   return added;
 }
 
-FakeWorker& FakeFleet::StartAgain(const std::string& id) {
+FakeWorker& FakeFleet::RestartUnderName(const std::string& id) {
   FakeWorker& before = this->worker(id);
   before.Crash();
   jobs::Worker next = before.description;
@@ -123,9 +123,9 @@
 
 void FakeFleet::ChangeLeader() {
   if (this->keeps_open_commits) {
-    this->PutOnRecord(this->open_lot);
+    this->ApplyCommittedEnds(this->committing_ends);
   }
-  this->open_lot.clear();
+  this->committing_ends.clear();
   this->waiting_ends.clear();
   ++this->generation;
   this->led_since = this->now;
@@ -180,7 +180,7 @@
     if (this->renews) {
       this->SendRenewals();
     }
-    this->CheckLives();
+    this->CheckInstances();
     this->Plan();
   }
   this->CheckRunning();
@@ -188,7 +188,7 @@
 
 // Reports for each instance whether it is up, and which worker it runs, as the
 // platform does.
-void FakeFleet::CheckLives() {
+void FakeFleet::CheckInstances() {
   if (!this->lists_instances || !this->scheduler->NeedsInstanceCheck()) {
     return;
   }
@@ -364,7 +364,7 @@
     return;
   }
   this->waiting_ends.push_back(WaitingEnds{id, std::move(ends)});
-  if (this->open_lot.empty()) {
+  if (this->committing_ends.empty()) {
     this->CommitWaitingEnds();
   }
 }
@@ -372,7 +372,7 @@
 void FakeFleet::CommitWaitingEnds() {
   const std::vector<WaitingEnds> lot = std::exchange(this->waiting_ends, {});
   const auto finish = [this, lot] {
-    this->PutOnRecord(lot);
+    this->ApplyCommittedEnds(lot);
     for (const WaitingEnds& waiting : lot) {
       this->scheduler->HandleEndsCommitted(waiting.worker, waiting.ends);
     }
@@ -381,13 +381,13 @@
     finish();
     return;
   }
-  this->open_lot = lot;
+  this->committing_ends = lot;
   this->At(this->now + this->commit_time,
            [this, finish, sent_in = this->generation] {
              if (sent_in != this->generation) {
                return;
              }
-             this->open_lot.clear();
+             this->committing_ends.clear();
              finish();
              if (!this->waiting_ends.empty()) {
                this->CommitWaitingEnds();
@@ -395,10 +395,10 @@
            });
 }
 
-void FakeFleet::PutOnRecord(const std::vector<WaitingEnds>& lot) {
+void FakeFleet::ApplyCommittedEnds(const std::vector<WaitingEnds>& lot) {
   for (const WaitingEnds& waiting : lot) {
     this->Commit(jobs::RecordEnds{waiting.ends.ends});
-    this->NoteEnds(waiting.ends.ends);
+    this->RecordCommittedEnds(waiting.ends.ends);
   }
 }
 
@@ -593,7 +593,7 @@
     });
     return;
   }
-  if (is_second && !this->believes_second_copies &&
+  if (is_second && !this->trusts_second_copies &&
       answer->result != OrderResult::kDone &&
       answer->result != OrderResult::kOtherIncarnation) {
     answer->result = OrderResult::kUnknown;
@@ -619,9 +619,9 @@
     const jobs::StepSpec step = job == nullptr
                                     ? jobs::StepSpec()
                                     : job->spec.steps[start->task.step.step];
-    const Milliseconds length = step.is_long_running
-                                    ? this->lasting_work.value_or(this->work)
-                                    : this->work;
+    const Milliseconds length =
+        step.is_long_running ? this->long_running_work.value_or(this->work)
+                             : this->work;
     answer = found->second.Start(*start, length, this->fails(*start), step,
                                  this->now);
     if (found->second.running().size() > before) {
@@ -640,7 +640,7 @@
 }
 
 // Records committed ends. The members of a gang share their runs and ends.
-void FakeFleet::NoteEnds(const std::vector<jobs::RunEnd>& ends) {
+void FakeFleet::RecordCommittedEnds(const std::vector<jobs::RunEnd>& ends) {
   for (const jobs::RunEnd& end : ends) {
     const jobs::StepSpec& step = *this->state.FindStep(end.task);
     for (std::uint32_t index = 0; index < step.count; ++index) {
@@ -677,7 +677,7 @@
   }
   worker.Crash();
   this->At(this->now + this->restart_time,
-           [this, name = id.value()] { this->StartAgain(name); });
+           [this, name = id.value()] { this->RestartUnderName(name); });
 }
 
 // Schedules a crash of the worker if the task is one that crashes its worker.
@@ -702,7 +702,8 @@
   this->shrunk_from[id] = {description.capacity, this->now};
   description.capacity = capacity;
   description.sequence += 1;
-  std::uniform_int_distribution<std::int64_t> until_beat(0, kBeat.count());
+  std::uniform_int_distribution<std::int64_t> until_beat(
+      0, kAnnouncementInterval.count());
   this->At(this->now + Milliseconds(until_beat(this->random)),
            [this, announced = description] {
              this->Commit(jobs::RecordWorker{announced});
@@ -736,10 +737,10 @@
   this->CheckRoom(order.worker);
   ++this->starts;
   constexpr std::uint32_t kMostCrashes = 3;
-  constexpr std::uint32_t kMostStartsAfter = 2;
-  const bool is_in_touch = this->now - this->led_since >= kContactTime;
-  if (is_in_touch && this->CountCrashes(order.task) >= kMostCrashes &&
-      ++this->starts_after_limit[order.task] > kMostStartsAfter) {
+  constexpr std::uint32_t kMaxStartsAfterLimit = 2;
+  const bool is_in_contact = this->now - this->led_since >= kContactTime;
+  if (is_in_contact && this->CountCrashes(order.task) >= kMostCrashes &&
+      ++this->starts_after_limit[order.task] > kMaxStartsAfterLimit) {
     this->problem = StrCat(order.task.ToText(),
                            " was started repeatedly after three crashes");
   }
--- a/tests/libraries/scheduler/fake_fleet.h
+++ b/tests/libraries/scheduler/fake_fleet.h
@@ -61,7 +61,7 @@
                         const std::string& rack = "r1",
                         const std::string& service = "previews");
   // Kills the process of a worker and restarts it under its name.
-  FakeWorker& StartAgain(const std::string& id);
+  FakeWorker& RestartUnderName(const std::string& id);
   // Kills the process of a worker because of its tasks and restarts it under
   // its name after `restart_time`.
   void CrashWorker(const WorkerId& id);
@@ -134,7 +134,7 @@
   std::uint32_t resent_permille = 0;
   Milliseconds resend_after{1};
   // Whether a refusal of the second copy is passed on unchanged.
-  bool believes_second_copies = false;
+  bool trusts_second_copies = false;
   // Whether starts are checked against recorded ends. False if another model
   // does so, which knows the ends that no leader had to know of.
   bool checks_ends = true;
@@ -162,7 +162,7 @@
   bool loses_answers_of_crashes = false;
   Milliseconds restart_time{2'000};
   // How long long-running tasks run; `work` applies if it is not set.
-  std::optional<Milliseconds> lasting_work;
+  std::optional<Milliseconds> long_running_work;
   std::uint64_t starts = 0;
 
  private:
@@ -179,7 +179,7 @@
   void Step();
   void At(SteadyTime at, std::function<void()> happen);
   void SendRenewals();
-  void CheckLives();
+  void CheckInstances();
   void Renew(const WorkerId& id);
   void EndRenewalLater(const WorkerId& id, Milliseconds pause);
   bool CarryRenewal(const RenewOrder& order);
@@ -193,7 +193,7 @@
   void Resend(const Order& order);
   Milliseconds DrawLateness();
   // As in the adapter, a refusal of a second copy proves nothing, unless
-  // `believes_second_copies` is set.
+  // `trusts_second_copies` is set.
   void Execute(const Order& order,
                bool is_answered,
                Generation generation,
@@ -206,7 +206,7 @@
   void DeliverAnswer(const Order& order, const OrderAnswer& answer);
   void RecordEnds(const WorkerId& id, EndsToRecord ends);
   void CommitWaitingEnds();
-  void PutOnRecord(const std::vector<WaitingEnds>& lot);
+  void ApplyCommittedEnds(const std::vector<WaitingEnds>& lot);
   void CommitLater(jobs::Command command);
   void AnnounceUnknown();
   void RequestReport(const RenewOrder& order);
@@ -214,7 +214,7 @@
   void CheckStart(const StartOrder& order);
   void CheckRoom(const WorkerId& id);
   void CrashLater(const StartOrder& order);
-  void NoteEnds(const std::vector<jobs::RunEnd>& ends);
+  void RecordCommittedEnds(const std::vector<jobs::RunEnd>& ends);
   bool AreEarlierStepsDone(const jobs::Job& job, const jobs::TaskId& task);
   void CheckRunning();
   bool Reaches(const WorkerId& id) const;
@@ -238,7 +238,7 @@
   SteadyTime led_since{};
   // Ends that wait for the next commit, and the ends in the present one.
   std::vector<WaitingEnds> waiting_ends;
-  std::vector<WaitingEnds> open_lot;
+  std::vector<WaitingEnds> committing_ends;
   std::uint64_t declared_version = 1;
 };
 
--- a/tests/libraries/scheduler/fake_relays.cc
+++ b/tests/libraries/scheduler/fake_relays.cc
@@ -103,7 +103,7 @@
   }
   std::erase_if(relay.calls, [](const Call& call) {
     const bool is_over =
-        call.stage == Stage::kForgotten || call.stage == Stage::kAnswered;
+        call.stage == Stage::kAbandoned || call.stage == Stage::kAnswered;
     return is_over && !call.answer && call.arrives_at == SteadyTime::max();
   });
 }
@@ -141,7 +141,7 @@
 
 void FakeRelays::Answer(std::size_t number, Call& call, SteadyTime now) {
   if (call.stage == Stage::kSent && now >= call.unanswered_at) {
-    call.stage = Stage::kForgotten;
+    call.stage = Stage::kAbandoned;
     if (call.is_open) {
       this->routes.NoteFailure(call.worker, number, now);
     }
@@ -166,7 +166,7 @@
     if (is_under_way || may_leave) {
       this->Delay(call, now);
     }
-    call.stage = Stage::kForgotten;
+    call.stage = Stage::kAbandoned;
     call.answer = nullptr;
   }
   relay.is_paused = false;
--- a/tests/libraries/scheduler/fake_relays.h
+++ b/tests/libraries/scheduler/fake_relays.h
@@ -30,10 +30,10 @@
   // Handles everything that is due.
   void Step(SteadyTime now);
 
-  // Pause stops the relay's process while its network continues; GoOn resumes
+  // Pause stops the relay's process while its network continues; Resume resumes
   // it.
   void Pause(std::size_t relay) { this->relays.at(relay).is_paused = true; }
-  void GoOn(std::size_t relay) { this->relays.at(relay).is_paused = false; }
+  void Resume(std::size_t relay) { this->relays.at(relay).is_paused = false; }
   // The relay's process dies and is restarted immediately.
   void Lose(std::size_t relay, SteadyTime now);
   // While the relay is cut off, it receives nothing from the workers, and what
@@ -58,7 +58,7 @@
     kAnswered,
     // Neither relay nor leader waits for the call any more, though it may still
     // be carried out.
-    kForgotten,
+    kAbandoned,
   };
   struct Call {
     WorkerId worker;
--- a/tests/libraries/scheduler/fake_worker.cc
+++ b/tests/libraries/scheduler/fake_worker.cc
@@ -78,7 +78,7 @@
     return answer;
   }
   const SteadyTime ends_at =
-      this->stands_still ? SteadyTime::max() : now + work * this->slowness;
+      this->stalls_runs ? SteadyTime::max() : now + work * this->slowness;
   this->tasks[order.task] =
       Running{.run = order.run,
               .began_at = now,
--- a/tests/libraries/scheduler/fake_worker.h
+++ b/tests/libraries/scheduler/fake_worker.h
@@ -91,7 +91,7 @@
   bool is_cut = false;
   // Whether runs that are started there make no progress, and by what factor
   // they are slowed down.
-  bool stands_still = false;
+  bool stalls_runs = false;
   int slowness = 1;
   // The tail latency of serving runs there, in milliseconds: by themselves, and
   // how much a filler at full speed adds.
--- a/tests/libraries/scheduler/run_history.cc
+++ b/tests/libraries/scheduler/run_history.cc
@@ -51,7 +51,7 @@
   // The ledger checks ends instead, and takes expired leases into account.
   this->fleet.checks_ends = false;
   this->fleet.work = Milliseconds(100);
-  this->fleet.lasting_work = Milliseconds(3'000);
+  this->fleet.long_running_work = Milliseconds(3'000);
   this->fleet.commit_time = Milliseconds(30);
   this->fleet.fails = [this](const StartOrder& order) {
     return this->failing == Failing::kAll ||
@@ -122,10 +122,10 @@
   this->incarnations.at(number) = life;
 }
 
-void RunHistory::StartAgain(int number) {
+void RunHistory::RestartUnderName(int number) {
   std::string& life = this->incarnations.at(number);
   this->earlier_incarnations.push_back(life);
-  life = this->fleet.StartAgain(life).description.id.value();
+  life = this->fleet.RestartUnderName(life).description.id.value();
 }
 
 // Delivers the first announcement of an earlier incarnation on the instance,
@@ -159,7 +159,7 @@
     this->relays->Move(this->IncarnationOn(event.worker).description.id,
                        this->fleet.now);
   } else if (event.kind == EventKind::kPauseRelay) {
-    is_much ? this->relays->Pause(relay) : this->relays->GoOn(relay);
+    is_much ? this->relays->Pause(relay) : this->relays->Resume(relay);
   } else {
     is_much ? this->relays->CutOff(relay) : this->relays->Heal(relay);
   }
@@ -193,7 +193,7 @@
       this->Restart(event.worker);
       break;
     case EventKind::kRestartUnderName:
-      this->StartAgain(event.worker);
+      this->RestartUnderName(event.worker);
       break;
     case EventKind::kAnnounceEarlier:
       if (!this->earlier_incarnations.empty()) {
@@ -272,7 +272,7 @@
   }
   for (std::size_t relay = 0; this->relays && relay < FakeRelays::kCount;
        ++relay) {
-    this->relays->GoOn(relay);
+    this->relays->Resume(relay);
     this->relays->Heal(relay);
   }
   this->cordoned.clear();
--- a/tests/libraries/scheduler/run_history.h
+++ b/tests/libraries/scheduler/run_history.h
@@ -101,7 +101,7 @@
   void SubmitLongRunning(int amount);
   void Cordon(const FakeWorker& worker, bool is_cordoned);
   void Restart(int number);
-  void StartAgain(int number);
+  void RestartUnderName(int number);
   void AnnounceLate(const FakeWorker& present);
   void HarmRelay(const HistoryEvent& event);
   void Refuse(std::optional<OrderResult>& refusal, int amount);
--- a/tests/libraries/scheduler/run_uniqueness_test.cc
+++ b/tests/libraries/scheduler/run_uniqueness_test.cc
@@ -190,7 +190,7 @@
   fleet.resent_permille = 1'000;
   fleet.late_by = Milliseconds(1);
   fleet.resend_after = Milliseconds(100);
-  fleet.believes_second_copies = true;
+  fleet.trusts_second_copies = true;
   fleet.lost_report_permille = 1'000;
   fleet.Submit("job", {.count = 1});
   PassTime(fleet, ledger, Milliseconds(200));
@@ -234,7 +234,7 @@
   fleet.work = kLongWork;
   fleet.worker("w0").stop_time = Milliseconds(400);
   fleet.worker("w0").start_refusal = OrderResult::kNoRoom;
-  fleet.believes_second_copies = true;
+  fleet.trusts_second_copies = true;
   fleet.resent_permille = 1'000;
   fleet.late_by = Milliseconds(300);
   fleet.Submit("job", {.count = 1});
@@ -290,7 +290,7 @@
   AwaitStarts(fleet, ledger, 6);
   fleet.worker("w0").Crash();
   PassTime(fleet, ledger, GetParam());
-  const std::string next = fleet.StartAgain("w0").description.id.value();
+  const std::string next = fleet.RestartUnderName("w0").description.id.value();
   PassTime(fleet, ledger, Milliseconds(5'000));
   EXPECT_EQ(ledger.problem, "");
   EXPECT_EQ(fleet.starts, 9U);
@@ -311,7 +311,7 @@
   fleet.Submit("job", {.count = 4});
   AwaitStarts(fleet, ledger, 4);
   fleet.ChangeLeader();
-  fleet.StartAgain("w0");
+  fleet.RestartUnderName("w0");
   PassTime(fleet, ledger, Milliseconds(100));
   fleet.AnnounceAgain("w0");
   PassTime(fleet, ledger, Milliseconds(9'000));
--- a/tests/libraries/scheduler/scheduler_test.cc
+++ b/tests/libraries/scheduler/scheduler_test.cc
@@ -236,7 +236,7 @@
 // earlier one.
 TEST(SchedulerTest, AJobOfTheLeaderBeforeDoesNotWaitForWorkersThatJoin) {
   FakeFleet fleet(1);
-  fleet.lasting_work = Milliseconds(3'600'000);
+  fleet.long_running_work = Milliseconds(3'600'000);
   fleet.PassTime(Milliseconds(300));
   fleet.Submit("lasting", {.count = 1, .is_long_running = true});
   fleet.PassTime(Milliseconds(300));
@@ -273,7 +273,7 @@
 
 TEST(SchedulerTest, ARunThatStandsStillIsGivenUpAndStartedElsewhere) {
   FakeFleet fleet(2);
-  fleet.worker("w0").stands_still = true;
+  fleet.worker("w0").stalls_runs = true;
   fleet.Submit("job", {.count = 1, .estimate = Milliseconds(800)});
   fleet.PassTime(Milliseconds(1'000));
   EXPECT_EQ(fleet.WorkersOf("job"), std::vector<std::string>{"w0"});
@@ -307,7 +307,7 @@
   for (const std::uint32_t budget : {0U, 1U}) {
     FakeFleet fleet(2);
     fleet.work = Milliseconds(60'000);
-    fleet.worker("w0").stands_still = true;
+    fleet.worker("w0").stalls_runs = true;
     fleet.Submit("job", {.count = 1,
                          .is_long_running = true,
                          .has_disruption_budget = true,
--- a/tests/services/sumacd/instance_orders_test.cc
+++ b/tests/services/sumacd/instance_orders_test.cc
@@ -46,7 +46,7 @@
   InstanceOrdersTest() : fleet(3) {
     // The pool needs all that it has, so nothing is moved.
     this->demand[ServiceName("previews")].fewest_instances = 3;
-    this->fleet.lasting_work = Milliseconds(3'600'000);
+    this->fleet.long_running_work = Milliseconds(3'600'000);
     this->BeginPlanners();
   }
 
--- a/tests/stand_ins/task_worker.h
+++ b/tests/stand_ins/task_worker.h
@@ -55,7 +55,7 @@
 
   // While it does, what is started there never gets on.
   void set_stands_still(bool stands_still) {
-    this->worker.stands_still = stands_still;
+    this->worker.stalls_runs = stands_still;
   }
 
   std::uint64_t starts() const { return this->start_count; }
