--- a/tests/libraries/scheduler/budget_ledger.cc
+++ b/tests/libraries/scheduler/budget_ledger.cc
@@ -8,7 +8,7 @@
 
 // A task that has been away for this long counts as away whatever the cause,
 // under the platform's terms.
-constexpr Milliseconds kNotice{4'500};
+constexpr Milliseconds kCountedAbsence{4'500};
 
 }  // namespace
 
@@ -16,7 +16,7 @@
   for (const auto& [id, worker] : fleet.all_workers()) {
     this->ReadEnds(fleet, worker);
   }
-  this->FollowAbsences(fleet);
+  this->UpdateAbsences(fleet);
 }
 
 void BudgetLedger::ReadEnds(const FakeFleet& fleet, const FakeWorker& worker) {
@@ -24,12 +24,12 @@
   for (; read < worker.all_ends().size(); ++read) {
     const EndReport& end = worker.all_ends()[read];
     if (end.cause == EndCause::kStopped) {
-      this->TakeStop(fleet, end);
+      this->RecordStop(fleet, end);
     }
   }
 }
 
-void BudgetLedger::TakeStop(const FakeFleet& fleet, const EndReport& end) {
+void BudgetLedger::RecordStop(const FakeFleet& fleet, const EndReport& end) {
   const jobs::Job* job = fleet.state.FindJob(end.task.step.job);
   const jobs::StepSpec* step = fleet.state.FindStep(end.task);
   if (job == nullptr || !job->is_active() || !step->has_disruption_budget) {
@@ -40,8 +40,9 @@
   jobs::TaskId other{end.task.step, 0};
   for (; other.index < step->count; ++other.index) {
     const auto& absence = this->absences[other];
-    const bool is_counted = absence && (absence->is_ordered ||
-                                        fleet.now - absence->since >= kNotice);
+    const bool is_counted =
+        absence &&
+        (absence->is_ordered || fleet.now - absence->since >= kCountedAbsence);
     away += static_cast<std::uint32_t>(other != end.task && is_counted);
   }
   this->absences[end.task] = Absence{.since = fleet.now, .is_ordered = true};
@@ -51,7 +52,7 @@
   }
 }
 
-void BudgetLedger::FollowAbsences(const FakeFleet& fleet) {
+void BudgetLedger::UpdateAbsences(const FakeFleet& fleet) {
   for (const auto& [sequence, job] : fleet.state.active_jobs()) {
     this->CountAbsent(fleet, *job);
   }
--- a/tests/libraries/scheduler/budget_ledger.h
+++ b/tests/libraries/scheduler/budget_ledger.h
@@ -37,8 +37,8 @@
   };
 
   void ReadEnds(const FakeFleet& fleet, const FakeWorker& worker);
-  void TakeStop(const FakeFleet& fleet, const EndReport& end);
-  void FollowAbsences(const FakeFleet& fleet);
+  void RecordStop(const FakeFleet& fleet, const EndReport& end);
+  void UpdateAbsences(const FakeFleet& fleet);
   void CountAbsent(const FakeFleet& fleet, const jobs::Job& job);
 
   std::map<WorkerId, std::size_t> read_ends;
--- a/tests/libraries/scheduler/run_ledger.cc
+++ b/tests/libraries/scheduler/run_ledger.cc
@@ -9,7 +9,7 @@
   for (const auto& [id, worker] : fleet.all_workers()) {
     this->ReadEnds(fleet, worker);
   }
-  this->FollowNotes(fleet);
+  this->UpdateRecordedEnds(fleet);
   // Within one step of the clock, runs end before others start.
   for (const auto& [id, worker] : fleet.all_workers()) {
     this->ReadStarts(fleet, worker);
@@ -35,16 +35,16 @@
   }
 }
 
-void RunLedger::FollowNotes(const FakeFleet& fleet) {
+void RunLedger::UpdateRecordedEnds(const FakeFleet& fleet) {
   for (auto& [task, ends] : this->final_ends) {
     for (FinalEnd& end : ends) {
       const FakeWorker& worker = fleet.all_workers().at(end.worker);
-      if (end.is_noted || end.is_excused) {
+      if (end.is_recorded || end.is_excused) {
         continue;
       }
-      end.is_noted = worker.acknowledged_ends() >= end.number;
-      end.is_excused = !end.is_noted && !worker.HasLease(fleet.now);
-      if (end.is_noted && end.is_done && !end.later_start.empty()) {
+      end.is_recorded = worker.acknowledged_ends() >= end.number;
+      end.is_excused = !end.is_recorded && !worker.HasLease(fleet.now);
+      if (end.is_recorded && end.is_done && !end.later_start.empty()) {
         this->problem =
             StrCat(task.ToText(), " run ", end.run.value(), " was done on ",
                    end.worker.value(), ", then started ", end.later_start);
@@ -58,19 +58,19 @@
   std::size_t& read = this->positions[id].starts;
   for (; read < worker.begun_runs().size(); ++read) {
     const auto& [task, run] = worker.begun_runs()[read];
-    this->TakeStart(fleet, task,
-                    StrCat("run ", run.value(), " on ", id.value()));
+    this->RecordStart(fleet, task,
+                      StrCat("run ", run.value(), " on ", id.value()));
   }
 }
 
-void RunLedger::TakeStart(const FakeFleet& fleet,
-                          const jobs::TaskId& task,
-                          const std::string& start) {
+void RunLedger::RecordStart(const FakeFleet& fleet,
+                            const jobs::TaskId& task,
+                            const std::string& start) {
   std::uint32_t failures = 0;
   for (FinalEnd& end : this->final_ends[task]) {
     end.later_start = start;
-    failures += static_cast<std::uint32_t>(!end.is_done && end.is_noted);
-    if (end.is_done && end.is_noted) {
+    failures += static_cast<std::uint32_t>(!end.is_done && end.is_recorded);
+    if (end.is_done && end.is_recorded) {
       this->problem =
           StrCat(task.ToText(), " was recorded as done, then started ", start);
     }
--- a/tests/libraries/scheduler/run_ledger.h
+++ b/tests/libraries/scheduler/run_ledger.h
@@ -34,7 +34,7 @@
     // Whether the worker's lease was over before the end was recorded: then no
     // leader had to know of the end.
     bool is_excused = false;
-    bool is_noted = false;
+    bool is_recorded = false;
     // The last start of the task after this end.
     std::string later_start;
   };
@@ -45,11 +45,11 @@
   };
 
   void ReadEnds(const FakeFleet& fleet, const FakeWorker& worker);
-  void FollowNotes(const FakeFleet& fleet);
+  void UpdateRecordedEnds(const FakeFleet& fleet);
   void ReadStarts(const FakeFleet& fleet, const FakeWorker& worker);
-  void TakeStart(const FakeFleet& fleet,
-                 const jobs::TaskId& task,
-                 const std::string& start);
+  void RecordStart(const FakeFleet& fleet,
+                   const jobs::TaskId& task,
+                   const std::string& start);
   void CountRunning(const FakeFleet& fleet);
 
   std::map<WorkerId, Position> positions;
