--- a/tests/libraries/scheduler/capacity_change_test.cc
+++ b/tests/libraries/scheduler/capacity_change_test.cc
@@ -13,7 +13,7 @@
 constexpr jobs::Resources kWhole{.millicores = 8'000, .memory_mb = 8'000};
 constexpr jobs::Resources kQuarter{.millicores = 2'000, .memory_mb = 2'000};
 
-TEST(CapacityChangeTest, NothingStartsWhereTheRoomShrankBelowWhatRuns) {
+TEST(CapacityChangeTest, NothingStartsWhereCapacityIsBelowTheRunningTasks) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(20'000);
   fleet.PassTime(Milliseconds(100));
@@ -32,7 +32,7 @@
   EXPECT_EQ(fleet.CountRunning("second"), 8);
 }
 
-TEST(CapacityChangeTest, WhatIsBeingStoppedStillTakesItsRoom) {
+TEST(CapacityChangeTest, ARunThatIsBeingStoppedStillUsesItsRoom) {
   FakeFleet fleet(1);
   fleet.work = Milliseconds(20'000);
   fleet.worker("w0").stop_time = Milliseconds(900);
@@ -48,7 +48,7 @@
   EXPECT_EQ(fleet.CountRunning("second"), 8);
 }
 
-TEST(CapacityChangeTest, ARoomThatGrowsIsUsed) {
+TEST(CapacityChangeTest, AddedCapacityIsUsed) {
   FakeFleet fleet(1);
   fleet.work = Milliseconds(20'000);
   fleet.ChangeCapacity(WorkerId("w0"), kQuarter);
--- a/tests/libraries/scheduler/crashing_task_test.cc
+++ b/tests/libraries/scheduler/crashing_task_test.cc
@@ -57,14 +57,14 @@
   FakeFleet fleet{8};
 };
 
-TEST_F(CrashingTaskTest, ATaskThatCrashesItsWorkersIsStartedWithoutEnd) {
+TEST_F(CrashingTaskTest, ATaskThatCrashesItsWorkersFailsItsJob) {
   this->fleet.Submit("bad", {.count = 2});
   this->fleet.PassTime(Milliseconds(10'000));
   EXPECT_EQ(this->fleet.problem, "");
   EXPECT_EQ(this->StateOf("bad"), jobs::JobState::kFailed);
 }
 
-TEST_F(CrashingTaskTest, ATaskAloneUnderSuspicionIsGivenUpAfterTwoCrashes) {
+TEST_F(CrashingTaskTest, TheOnlySuspectIsGivenUpAfterTwoCrashes) {
   this->fleet.Submit("good", {.count = 20});
   this->fleet.PassTime(Milliseconds(300));
   this->fleet.Submit("bad", {.count = 3});
@@ -76,7 +76,7 @@
             std::string::npos);
 }
 
-TEST_F(CrashingTaskTest, NeighboursMeetTheSameTaskUntilTheyFailToo) {
+TEST_F(CrashingTaskTest, NeighboursOfACrashingTaskDoNotFail) {
   for (const bool lists_instances : {false, true}) {
     FakeFleet small(6);
     small.crashes = CrashesItsWorker;
@@ -94,7 +94,7 @@
   }
 }
 
-TEST_F(CrashingTaskTest, ATaskWhoseStartsGetNoAnswerIsStartedWithoutEnd) {
+TEST_F(CrashingTaskTest, ACrashingTaskWithUnansweredStartsFailsItsJob) {
   this->fleet.loses_answers_of_crashes = true;
   this->fleet.Submit("bad", {.count = 1});
   this->fleet.PassTime(Milliseconds(20'000));
@@ -103,7 +103,7 @@
   EXPECT_EQ(this->StateOf("bad"), jobs::JobState::kFailed);
 }
 
-TEST_F(CrashingTaskTest, CrashesAreCountedOnOverAChangeOfLeader) {
+TEST_F(CrashingTaskTest, CrashesAreCountedAcrossAChangeOfLeader) {
   this->fleet.commit_time = Milliseconds(200);
   this->fleet.Submit("bad", {.count = 1});
   this->fleet.PassTime(Milliseconds(250));
@@ -115,7 +115,7 @@
   EXPECT_EQ(this->StateOf("bad"), jobs::JobState::kFailed);
 }
 
-TEST_F(CrashingTaskTest, NothingStartsAgainBeforeItsCrashIsOnRecord) {
+TEST_F(CrashingTaskTest, NothingStartsAgainBeforeItsCrashIsCommitted) {
   this->fleet.commit_time = Milliseconds(3'000);
   this->fleet.Submit("bad", {.count = 1});
   this->fleet.PassTime(Milliseconds(2'500));
@@ -147,7 +147,7 @@
   EXPECT_GT(std::count(third.begin(), third.end(), trial.front()), 0);
 }
 
-TEST_F(CrashingTaskTest, ACrashOfAWholePoolHoldsNobodyUp) {
+TEST_F(CrashingTaskTest, TasksRestartPromptlyAfterACrashOfAWholePool) {
   this->fleet.work = Milliseconds(3'000);
   this->fleet.restart_time = Milliseconds(500);
   this->fleet.Submit("good", {.count = 60});
--- a/tests/libraries/scheduler/crowded_leader_test.cc
+++ b/tests/libraries/scheduler/crowded_leader_test.cc
@@ -28,7 +28,7 @@
   return starts;
 }
 
-TEST(CrowdedLeaderTest, ATurnOrdersNoMoreStartsThanItMayAndTheNextGoesOn) {
+TEST(CrowdedLeaderTest, APlanningPassOrdersLimitedStartsAndTheNextContinues) {
   FakeFleet fleet(4);
   fleet.PassTime(Milliseconds(500));
   fleet.Submit("job", {.count = 6, .need = {.millicores = 100}});
@@ -45,7 +45,7 @@
 
 // The run cannot have begun, so the task may be started elsewhere immediately,
 // without a stop.
-TEST(CrowdedLeaderTest, AStartThatNeverLeftIsPlannedAgain) {
+TEST(CrowdedLeaderTest, AStartThatWasNeverSentIsPlannedAgain) {
   FakeFleet fleet(2);
   fleet.PassTime(Milliseconds(500));
   fleet.Submit("job", {.count = 1});
@@ -60,7 +60,7 @@
 }
 
 // A renewal that was never sent does not count as silence of the worker.
-TEST(CrowdedLeaderTest, ARenewalThatNeverLeftSaysNothingAgainstTheWorker) {
+TEST(CrowdedLeaderTest, ARenewalThatWasNeverSentIsNotCountedAsSilence) {
   FakeFleet fleet(1);
   fleet.PassTime(Milliseconds(500));
   const WorkerId worker("w0");
@@ -72,7 +72,7 @@
   EXPECT_FALSE(fleet.scheduler->sessions().at(worker).is_answering());
 }
 
-TEST(CrowdedLeaderTest, RenewalsAreTheRarerTheMoreWorkersThereAre) {
+TEST(CrowdedLeaderTest, MoreWorkersAreRenewedLessOften) {
   const SteadyTime now{Milliseconds(1'000)};
   const auto wait_of = [&](std::size_t workers, LeaseSettings settings) {
     WorkerSession session({.id = WorkerId("w")}, settings, now);
@@ -95,7 +95,7 @@
 
 // Infrequent renewals leave old reports, by which no task may be taken away.
 // The evacuation requests reports instead of waiting for the next renewal.
-TEST(CrowdedLeaderTest, AnEvacuationAsksWhoIsAtWork) {
+TEST(CrowdedLeaderTest, AnEvacuationRequestsFreshReports) {
   FakeFleet fleet(3);
   fleet.work = Milliseconds(60'000);
   fleet.Submit("job", {.count = 2,
@@ -121,7 +121,7 @@
 
 // If a step finds no room, steps that need as much are skipped in the same
 // planning pass; a step that needs less, or the next pass, searches again.
-TEST(CrowdedLeaderTest, AFullPoolIsRememberedForOneTurnOnly) {
+TEST(CrowdedLeaderTest, AFullPoolIsRememberedForOnePlanningPassOnly) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(500);
   fleet.PassTime(Milliseconds(500));
@@ -158,7 +158,7 @@
 
 // A job that can't meet its deadline waits while the leader is overloaded, and
 // starts as soon as the leader has time to spare.
-TEST(CrowdedLeaderTest, ALateJobWaitsForALeaderWithTimeToSpare) {
+TEST(CrowdedLeaderTest, ALateJobWaitsWhileTheLeaderIsOverloaded) {
   FakeFleet fleet(2);
   fleet.PassTime(Milliseconds(500));
   fleet.Submit("job", {.count = 1, .estimate = Milliseconds(100)});
--- a/tests/libraries/scheduler/run_uniqueness_test.cc
+++ b/tests/libraries/scheduler/run_uniqueness_test.cc
@@ -54,7 +54,7 @@
 // end. Another worker reports the next run, which the previous leader started.
 // If the leader rejects it as superfluous, the task counts as having no run
 // once the end is committed, and is started again while that run continues.
-TEST(RunUniquenessTest, ARetryOfTheLeaderBeforeGoesOnAlone) {
+TEST(RunUniquenessTest, ARetryOfThePreviousLeaderContinuesAlone) {
   FakeFleet fleet(3);
   RunLedger ledger;
   for (const char* worker : {"w0", "w1", "w2"}) {
@@ -69,7 +69,7 @@
 
 // The same where the worker of the failed run also has the next one: one report
 // lists the end and the run.
-TEST(RunUniquenessTest, ARetryOnTheSameWorkerGoesOnAlone) {
+TEST(RunUniquenessTest, ARetryOnTheSameWorkerContinuesAlone) {
   FakeFleet fleet(1);
   RunLedger ledger;
   fleet.worker("w0").stop_time = Milliseconds(400);
@@ -85,7 +85,7 @@
 // reported to a new leader first, and a later run that ended as done. The
 // commit of the failure must not start the task again while its end as done is
 // known but not committed.
-TEST(RunUniquenessTest, ATaskWaitsForTheRecordOfAllItsEnds) {
+TEST(RunUniquenessTest, ATaskWaitsForTheCommitOfAllItsEnds) {
   FakeFleet fleet(3);
   RunLedger ledger;
   ChangeLeaderAfterARetry(fleet, ledger, Milliseconds(300));
@@ -106,7 +106,7 @@
 // a worker of the previous service. A new leader that has not received an
 // answer from that worker yet must not consider only the workers of the new
 // service, and start the task there.
-TEST(RunUniquenessTest, AMovedQueuesTasksMayStillRunAtItsServiceBefore) {
+TEST(RunUniquenessTest, TasksOfAMovedQueueMayStillRunAtThePreviousService) {
   FakeFleet fleet(1);
   RunLedger ledger;
   fleet.AddWorker("t0", "m9", "r1", "thumbs");
@@ -129,7 +129,7 @@
 // The removal of a silent worker's record takes time to commit. If the worker
 // answers before and gets runs, these must not be considered ended by the
 // commit.
-TEST(RunUniquenessTest, ALateForgettingEndsNothingThatRuns) {
+TEST(RunUniquenessTest, ALateRemovalEndsNoRunningTask) {
   FakeFleet fleet(2);
   RunLedger ledger;
   fleet.announce_interval = Milliseconds(500);
@@ -155,7 +155,7 @@
 // submitted twice. After the first commit the worker announces itself again and
 // gets runs; the second must not end its session, which would start the tasks
 // elsewhere at once.
-TEST(RunUniquenessTest, ASecondForgettingEndsNothingThatRuns) {
+TEST(RunUniquenessTest, ASecondRemovalEndsNoRunningTask) {
   FakeFleet fleet(2);
   RunLedger ledger;
   fleet.settings.removal_delay = Milliseconds(500);
@@ -227,7 +227,7 @@
 // A report may show a run that its leader had given up, here because the leader
 // relied on the refusal of a second copy. The run must be stopped, and until it
 // has ended its task must not start elsewhere.
-TEST(RunUniquenessTest, ARunThatHasToGoHoldsItsTask) {
+TEST(RunUniquenessTest, ARunThatIsBeingStoppedBlocksItsTask) {
   FakeFleet fleet(1);
   RunLedger ledger;
   PassTime(fleet, ledger, Milliseconds(100));
@@ -252,7 +252,7 @@
 
 // A report lists a limited number of ends. A new leader must not treat runs
 // whose ends were left out as runs that never existed.
-TEST(RunUniquenessTest, AFullListOfEndsIsNotAllOfThem) {
+TEST(RunUniquenessTest, AFullListOfEndsMayBeIncomplete) {
   constexpr std::uint32_t kTasks = 520;
   FakeFleet fleet(1);
   RunLedger ledger;
@@ -278,7 +278,7 @@
 // numbers.
 class RestartTest : public testing::TestWithParam<Milliseconds> {};
 
-TEST_P(RestartTest, WhatRanThereRunsOnceMore) {
+TEST_P(RestartTest, LostTasksRunOnceMore) {
   FakeFleet fleet(1);
   RunLedger ledger;
   PassTime(fleet, ledger, Milliseconds(100));
--- a/tests/libraries/scheduler/scheduler_test.cc
+++ b/tests/libraries/scheduler/scheduler_test.cc
@@ -14,7 +14,7 @@
 
 using jobs::JobState;
 
-TEST(SchedulerTest, AJobOfTasksIsRunAndDone) {
+TEST(SchedulerTest, AllTasksOfAJobRunOnce) {
   FakeFleet fleet(2);
   fleet.Submit("job", {.count = 5});
   fleet.PassTime(Milliseconds(300));
@@ -25,7 +25,7 @@
   EXPECT_EQ(fleet.problem, "");
 }
 
-TEST(SchedulerTest, AStepWaitsForThoseBeforeIt) {
+TEST(SchedulerTest, AStepWaitsForItsPredecessors) {
   FakeFleet fleet(2);
   jobs::JobSpec spec{
       .text = "t",
@@ -126,7 +126,7 @@
 
 // Orders of an earlier leader are rejected once the worker has received one
 // from the next leader.
-TEST(SchedulerTest, ALateStartOfAnEarlierLeaderIsFencedOffOnceTheNextWasHeard) {
+TEST(SchedulerTest, ALateStartOfAnEarlierLeaderIsRejectedByItsFencingToken) {
   FakeFleet fleet(1);
   fleet.work = Milliseconds(60'000);
   fleet.PassTime(Milliseconds(100));
@@ -141,7 +141,7 @@
   EXPECT_EQ(fleet.starts, 0U);
 }
 
-TEST(SchedulerTest, AnotherLeaderTakesOverWhatRuns) {
+TEST(SchedulerTest, ANewLeaderAdoptsRunningTasks) {
   FakeFleet fleet(3);
   fleet.work = Milliseconds(3'000);
   fleet.Submit("job", {.count = 6});
@@ -155,7 +155,7 @@
 
 // A task on a worker that is cut off during a change of leader is started
 // elsewhere only after the worker's lease is over.
-TEST(SchedulerTest, ATaskOnASilentWorkerWaitsForTheLease) {
+TEST(SchedulerTest, ATaskOnASilentWorkerRestartsOnlyAfterTheLease) {
   FakeFleet fleet(1);
   fleet.work = Milliseconds(60'000);
   fleet.Submit("job", {.count = 1});
@@ -185,7 +185,7 @@
 }
 
 // A network partition may refuse connections to a worker that is still running.
-TEST(SchedulerTest, ARefusedConnectionDoesNotProveThatNothingRuns) {
+TEST(SchedulerTest, ARefusedConnectionDoesNotEndRuns) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(60'000);
   fleet.Submit("job", {.count = 2, .most_per_worker = 1});
@@ -202,7 +202,7 @@
   EXPECT_EQ(fleet.starts, 3U);
 }
 
-TEST(SchedulerTest, ADarkInstanceThatIsListedAsDownIsNotWaitedFor) {
+TEST(SchedulerTest, TasksOnAnInstanceListedAsDownRestartAtOnce) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(60'000);
   fleet.Submit("job", {.count = 1});
@@ -215,7 +215,7 @@
   EXPECT_EQ(fleet.state.FindWorker(WorkerId("w0")), nullptr);
 }
 
-TEST(SchedulerTest, ACrashIsWaitedOutWhileThePlatformSaysNothing) {
+TEST(SchedulerTest, ACrashCostsALeaseWithoutAPlatformList) {
   FakeFleet fleet(2);
   fleet.lists_instances = false;
   fleet.work = Milliseconds(60'000);
@@ -234,7 +234,7 @@
 // "may-run-unseen", for up to 16 s, and tasks of newer jobs took the free room.
 // A worker that was first recorded under this leader has had no orders from an
 // earlier one.
-TEST(SchedulerTest, AJobOfTheLeaderBeforeDoesNotWaitForWorkersThatJoin) {
+TEST(SchedulerTest, JobsOfEarlierLeadersDoNotWaitForNewWorkers) {
   FakeFleet fleet(1);
   fleet.long_running_work = Milliseconds(3'600'000);
   fleet.PassTime(Milliseconds(300));
@@ -253,7 +253,7 @@
 
 // A platform list that was requested before a worker became known is no
 // evidence about that worker.
-TEST(SchedulerTest, AnOlderListDoesNotEndANewLife) {
+TEST(SchedulerTest, AnOlderPlatformListEndsNoNewIncarnation) {
   FakeFleet fleet(1);
   fleet.lists_instances = false;
   fleet.PassTime(Milliseconds(300));
@@ -271,7 +271,7 @@
   EXPECT_TRUE(fleet.scheduler->sessions().contains(WorkerId("w9")));
 }
 
-TEST(SchedulerTest, ARunThatStandsStillIsGivenUpAndStartedElsewhere) {
+TEST(SchedulerTest, AStalledRunIsGivenUpAndStartedElsewhere) {
   FakeFleet fleet(2);
   fleet.worker("w0").stalls_runs = true;
   fleet.Submit("job", {.count = 1, .estimate = Milliseconds(800)});
@@ -351,7 +351,7 @@
   EXPECT_LE(fleet.starts, 9U);
 }
 
-TEST(SchedulerTest, AJobThatFailsEverywhereSpeaksAgainstNoWorker) {
+TEST(SchedulerTest, AJobThatFailsEverywhereQuarantinesNoWorker) {
   FakeFleet fleet(2);
   fleet.fails = [](const StartOrder& order) {
     return order.task.step.job.value().starts_with("bad");
@@ -367,7 +367,7 @@
   EXPECT_EQ(std::count(workers.begin(), workers.end(), "w1"), 2);
 }
 
-TEST(SchedulerTest, ANewLifeOnAnInstanceEndsTheOneBefore) {
+TEST(SchedulerTest, ANewIncarnationOnAnInstanceEndsThePreviousOne) {
   FakeFleet fleet(1);
   fleet.work = Milliseconds(5'000);
   fleet.Submit("job", {.count = 1});
@@ -385,7 +385,7 @@
 // immediately or after the new incarnation has answered. The announcement of
 // the new incarnation alone proves nothing; its first answer arrives within
 // milliseconds.
-TEST(SchedulerTest, TheOldLifeOnAnInstanceNeverReplacesTheNewOne) {
+TEST(SchedulerTest, AnOldIncarnationNeverReplacesTheNewOne) {
   for (const char* next : {"a-life", "z-life"}) {
     for (const Milliseconds heard : {Milliseconds(0), Milliseconds(40)}) {
       FakeFleet fleet(1);
@@ -410,7 +410,7 @@
 // incarnation on the instance is running. It must not be treated as the present
 // incarnation just because it arrived last: then the tasks running there were
 // started a second time elsewhere.
-TEST(SchedulerTest, AnAnnouncementThatOutlivesItsSenderEndsNoOtherLife) {
+TEST(SchedulerTest, ALateAnnouncementOfAnEndedWorkerEndsNoOtherIncarnation) {
   for (const char* late : {"a-late", "z-late"}) {
     for (const bool is_silent : {false, true}) {
       FakeFleet fleet(2);
@@ -438,7 +438,7 @@
 // next incarnation. Then the old worker's last announcement arrives, is
 // recorded with the highest sequence number of all, and must not replace the
 // next incarnation.
-TEST(SchedulerTest, AForgottenLifeThatIsHeardOfAgainEndsNoOtherLife) {
+TEST(SchedulerTest, ALateAnnouncementOfARemovedWorkerEndsNoOtherIncarnation) {
   FakeFleet fleet(2);
   fleet.lists_instances = false;
   jobs::Worker forgotten = fleet.worker("w0").description;
@@ -465,7 +465,7 @@
 // An address was given to a worker of another service, and an announcement of
 // the previous incarnation arrives later. Orders to the previous incarnation
 // are answered there by the other worker.
-TEST(SchedulerTest, AnAddressThatWentToAnotherWorkerEndsOnlyTheLifeBefore) {
+TEST(SchedulerTest, AReusedAddressEndsOnlyThePreviousIncarnation) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(20'000);
   fleet.Submit("job", {.count = 1});
@@ -588,7 +588,7 @@
 
 // The checkpoint of any member is valid for the gang, and all members must
 // start from the same one.
-TEST(SchedulerTest, AGangGoesOnFromOneCheckpoint) {
+TEST(SchedulerTest, AGangContinuesFromOneCheckpoint) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(60'000);
   std::vector<std::string> brought;
@@ -609,7 +609,7 @@
   EXPECT_EQ(brought[2], brought[3]);
 }
 
-TEST(SchedulerTest, ACordonedInstanceIsLeftWithinTheBudget) {
+TEST(SchedulerTest, ACordonedInstanceIsEvacuatedWithinTheBudget) {
   FakeFleet fleet(4);
   fleet.work = Milliseconds(60'000);
   fleet.Submit("job", {.count = 2,
@@ -635,7 +635,7 @@
 // Until a stop takes effect, its run is reported as running. A leader that
 // takes over meanwhile can't tell such a run from one that continues, and must
 // not stop another task of the step at the same time.
-TEST(SchedulerTest, TheBudgetCountsStopsOfTheLeaderBefore) {
+TEST(SchedulerTest, TheBudgetCountsStopsOfThePreviousLeader) {
   FakeFleet fleet(4);
   fleet.work = Milliseconds(60'000);
   fleet.settings.max_stop_time = Milliseconds(900);
@@ -743,7 +743,7 @@
   EXPECT_EQ(fleet.problem, "");
 }
 
-TEST(SchedulerTest, ATicketThatEndedIsAskedForAgain) {
+TEST(SchedulerTest, AnExpiredTicketIsRequestedAgain) {
   FakeFleet fleet(1);
   fleet.work = Milliseconds(3'000);
   fleet.admitted = {{WorkerId("w0"), "ticket"}};
@@ -758,7 +758,7 @@
   EXPECT_GE(fleet.questions, 2U);
 }
 
-TEST(SchedulerTest, ATicketHoldsAsDeclaredWhereTheAnswerDoesNotSay) {
+TEST(SchedulerTest, ATicketHasTheDeclaredValidityByDefault) {
   FakeFleet fleet(1);
   fleet.work = Milliseconds(5'000);
   fleet.admitted = {{WorkerId("w0"), "ticket"}};
@@ -769,7 +769,7 @@
   EXPECT_EQ(fleet.questions, 1U);
 }
 
-TEST(SchedulerTest, ARefusedTicketIsDroppedAndAskedForAgain) {
+TEST(SchedulerTest, ARefusedTicketIsDroppedAndRequestedAgain) {
   FakeFleet fleet(1);
   fleet.work = Milliseconds(5'000);
   fleet.admitted = {{WorkerId("w0"), "stale"}};
@@ -782,7 +782,7 @@
   EXPECT_EQ(fleet.CountRunning("job"), 1U);
 }
 
-TEST(SchedulerTest, ASilentPolicyIsAskedAgainAndOthersGoOn) {
+TEST(SchedulerTest, ASilentPolicyIsAskedAgainAndOtherQueuesContinue) {
   FakeFleet fleet(1);
   fleet.admitted = {{WorkerId("w0"), "ticket"}};
   fleet.is_policy_silent = true;
@@ -798,7 +798,8 @@
 
 // Starts a filler next to a run that serves users with a tail latency of 60 ms
 // and a target of 100 ms. At full speed the filler adds `tail_per_filler`.
-void FillBesideWhatServes(FakeFleet& fleet, std::int64_t tail_per_filler) {
+void StartFillerNextToServingRun(FakeFleet& fleet,
+                                 std::int64_t tail_per_filler) {
   fleet.work = Milliseconds(600'000);
   fleet.worker("w0").tail = 60;
   fleet.worker("w0").tail_per_filler = tail_per_filler;
@@ -809,9 +810,9 @@
   fleet.Submit("fills", {.count = 1, .image = "batch", .is_filler = true});
 }
 
-TEST(SchedulerTest, AFillerIsPacedUntilWhatServesKeepsItsTarget) {
+TEST(SchedulerTest, AFillerIsPacedUntilTheServingRunMeetsItsTarget) {
   FakeFleet fleet(1);
-  FillBesideWhatServes(fleet, 100);
+  StartFillerNextToServingRun(fleet, 100);
   fleet.PassTime(Milliseconds(400));
   ASSERT_EQ(fleet.worker("w0").running().size(), 2U);
   const jobs::TaskId filler{{JobId("fills"), 0, 0}, 0};
@@ -828,9 +829,9 @@
   EXPECT_EQ(fleet.worker("w0").running().at(filler).pace, 100U);
 }
 
-TEST(SchedulerTest, AnAdoptedFillerIsToldItsPaceAnew) {
+TEST(SchedulerTest, AnAdoptedFillerGetsItsPaceAgain) {
   FakeFleet fleet(1);
-  FillBesideWhatServes(fleet, 300);
+  StartFillerNextToServingRun(fleet, 300);
   fleet.PassTime(Milliseconds(3'000));
   const jobs::TaskId filler{{JobId("fills"), 0, 0}, 0};
   ASSERT_EQ(fleet.worker("w0").running().at(filler).pace, 0U);
@@ -842,7 +843,7 @@
 
 // The ends of two reports may be being committed at the same time. A worker may
 // drop an end only when it and all earlier ends are committed.
-TEST(SchedulerTest, EndsAreAcknowledgedInTheirOrder) {
+TEST(SchedulerTest, EndsAreAcknowledgedInOrder) {
   FakeFleet fleet(1);
   fleet.PassTime(Milliseconds(100));
   const WorkerId worker("w0");
@@ -872,7 +873,8 @@
 // slow. If the worker answers before it and gets tasks, the commit must not end
 // its session: the tasks would be started elsewhere while they are still
 // running there.
-TEST(SchedulerTest, AWorkerThatIsBackKeepsItsTasksWhenARecordToForgetItIsLate) {
+TEST(SchedulerTest,
+     AReturningWorkerKeepsItsTasksWhenItsRemovalIsCommittedLate) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(6'000);
   fleet.commit_time = Milliseconds(3'000);
@@ -899,7 +901,7 @@
   EXPECT_EQ(fleet.job("job").state, JobState::kDone);
 }
 
-TEST(SchedulerTest, AReportThatWasOvertakenChangesNothing) {
+TEST(SchedulerTest, AnOvertakenReportChangesNothing) {
   FakeFleet fleet(1);
   fleet.work = Milliseconds(5'000);
   fleet.Submit("job", {.count = 1});
@@ -928,7 +930,7 @@
 // A leader is stalled for longer than a lease, and then one worker's answer
 // arrives before another's. Runs that ended meanwhile are listed in an answer
 // that is still outstanding.
-TEST(SchedulerTest, ALeaderThatStoodStillAsksBeforeItBelievesALapse) {
+TEST(SchedulerTest, AStalledLeaderCallsWorkersBeforeItReleasesTheirRuns) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     FakeFleet fleet(3, seed);
     fleet.work = Milliseconds(800);
@@ -973,7 +975,7 @@
 
 // An evacuation must not count tasks as running by old reports: in one case the
 // reports were 2.3 s old, and the leases of the workers had ended 0.9 s before.
-TEST(SchedulerTest, AnOldReportDoesNotShowThatATaskIsAtWork) {
+TEST(SchedulerTest, AnOldReportDoesNotConfirmThatATaskIsRunning) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(60'000);
   fleet.Submit("job", {.count = 2,
@@ -994,7 +996,7 @@
 
 // A report that waited in its relay or for the leader's event loop may describe
 // the state before another task's stop.
-TEST(SchedulerTest, AReportReadLateDoesNotShowThatATaskIsAtWork) {
+TEST(SchedulerTest, AReportReadLateDoesNotConfirmThatATaskIsRunning) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(60'000);
   fleet.Submit("job", {.count = 2,
@@ -1060,7 +1062,7 @@
 // worker, must not release the worker's runs once their lease is over (1,590
 // runs in one case). The clock shows that a run must have ended, but not how;
 // the worker may still report that, unless it fails to answer a later call.
-TEST(SchedulerTest, ALapseIsBelievedOnlyAfterAQuestionInVain) {
+TEST(SchedulerTest, RunsAreReleasedOnlyAfterAnUnansweredCall) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(60'000);
   fleet.Submit("job", {.count = 1});
@@ -1080,7 +1082,7 @@
 
 // The loss of a relay, however often it happens, does not count as silence of
 // its workers.
-TEST(SchedulerTest, ARenewalLostWithItsRelaySaysNothingAgainstTheWorker) {
+TEST(SchedulerTest, ARenewalLostWithItsRelayIsNotCountedAsSilence) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(60'000);
   fleet.Submit("job", {.count = 1});
