--- a/libraries/scheduler/crashed_runs.cc
+++ b/libraries/scheduler/crashed_runs.cc
@@ -22,19 +22,19 @@
 // or, if there are none, all of them.
 void MarkOnlySuspect(const jobs::JobsState& state,
                      std::vector<jobs::CrashedRun>& runs) {
-  std::vector<jobs::CrashedRun*> late;
+  std::vector<jobs::CrashedRun*> recent;
   std::vector<jobs::CrashedRun*> repeated;
   for (jobs::CrashedRun& run : runs) {
     if (run.survived >= jobs::TaskCrashes::kSuspectTime) {
       continue;
     }
-    late.push_back(&run);
+    recent.push_back(&run);
     if (HasCommittedCrashes(state, run.task)) {
       repeated.push_back(&run);
     }
   }
   const std::vector<jobs::CrashedRun*>& suspects =
-      repeated.empty() ? late : repeated;
+      repeated.empty() ? recent : repeated;
   if (suspects.size() == 1) {
     suspects.front()->is_only_suspect = true;
   }
--- a/libraries/scheduler/ended_incarnations.cc
+++ b/libraries/scheduler/ended_incarnations.cc
@@ -17,10 +17,10 @@
                                                       Milliseconds retry) {
   std::vector<jobs::Command> commands;
   for (auto& [worker, incarnation] : this->incarnations) {
-    if (now < incarnation.ask_at) {
+    if (now < incarnation.submit_at) {
       continue;
     }
-    incarnation.ask_at = now + retry;
+    incarnation.submit_at = now + retry;
     commands.emplace_back(
         jobs::ForgetWorker{.worker = worker,
                            .is_over = true,
--- a/libraries/scheduler/ended_incarnations.h
+++ b/libraries/scheduler/ended_incarnations.h
@@ -37,7 +37,7 @@
 
  private:
   struct Incarnation {
-    SteadyTime ask_at{};
+    SteadyTime submit_at{};
     std::vector<jobs::CrashedRun> crashed_runs;
   };
 
--- a/libraries/scheduler/placement.cc
+++ b/libraries/scheduler/placement.cc
@@ -142,7 +142,7 @@
     return false;
   }
   return step.most_per_worker == 0 ||
-         session.CountOf(request.task.step) < step.most_per_worker;
+         session.CountTasksOf(request.task.step) < step.most_per_worker;
 }
 
 bool Placement::IsGood(const WorkerSession& session) const {
--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -227,7 +227,7 @@
         end.cause == EndCause::kDone || end.cause == EndCause::kFailed;
     const jobs::StepSpec* step = this->state.FindStep(end.task);
     if (step != nullptr) {
-      TaskMemory& memory = this->tasks.Get(end.task);
+      TaskMemory& memory = this->tasks.GetOrCreate(end.task);
       memory.last_run = std::max(memory.last_run, end.run);
       memory.last_ended_run = std::max(memory.last_ended_run, end.run);
       if (!end.checkpoint.empty()) {
@@ -346,12 +346,13 @@
       .stop_due = now};
   session.AddRun(std::move(run));
   if (step != nullptr) {
-    TaskMemory& memory = this->tasks.Get(running.task);
+    TaskMemory& memory = this->tasks.GetOrCreate(running.task);
     memory.last_run = std::max(memory.last_run, running.run);
     ++memory.known_runs;
   }
   if (is_wanted) {
-    this->tasks.Get(running.task).placed = {session.worker().id, running.run};
+    this->tasks.GetOrCreate(running.task).placed = {session.worker().id,
+                                                    running.run};
     this->RequestBegunRecord(*job);
   }
   this->needs_plan = true;
@@ -396,7 +397,7 @@
   }
   session->RecordFailure(now);
   if (result == OrderResult::kOtherIncarnation) {
-    this->EndReplacedWorker(worker, now);
+    this->EndIncarnationAtAddress(worker, now);
   }
   this->needs_plan = true;
 }
@@ -485,7 +486,7 @@
       this->ReleaseRun(session, order.task, order.run, "fenced off");
       break;
     case OrderResult::kOtherIncarnation:
-      this->EndReplacedWorker(order.worker, now);
+      this->EndIncarnationAtAddress(order.worker, now);
       break;
     case OrderResult::kUnreachable:
       session.RecordFailure(now);
@@ -527,7 +528,7 @@
   // The run may be running by the time the stop arrives: three such stops at
   // once have taken down all tasks of a step whose disruption budget was one.
   if (run.is_budgeted && !this->MayDisrupt(run.task, now)) {
-    this->report_wanted.insert(session.worker().id);
+    this->reports_to_request.insert(session.worker().id);
     return;
   }
   session.BeginStop(run, now);
@@ -542,13 +543,13 @@
     return;
   }
   if (answer.result == OrderResult::kOtherIncarnation) {
-    this->EndReplacedWorker(order.worker, now);
+    this->EndIncarnationAtAddress(order.worker, now);
     return;
   }
   Run* run = session->FindRun(order.task, order.run);
   if (run != nullptr && answer.result == OrderResult::kDone) {
     run->stopped_clock = answer.clock;
-    this->report_wanted.insert(order.worker);
+    this->reports_to_request.insert(order.worker);
     this->needs_plan = true;
   }
 }
@@ -638,10 +639,10 @@
     return;
   }
   for (const jobs::CrashedRun& run : runs) {
-    TaskMemory& memory = this->tasks.Get(run.task);
+    TaskMemory& memory = this->tasks.GetOrCreate(run.task);
     ++memory.uncommitted_crashes;
     memory.crashed_at = now;
-    memory.trial_wanted_at.reset();
+    memory.trial_waiting_since.reset();
     this->collected_events.Add(
         "run-crashed", run.task, run.run, session.worker().id,
         run.is_only_suspect                              ? "only suspect"
@@ -693,7 +694,8 @@
 
 // Ends an incarnation because another one is at its address. An address is
 // reused only after its previous incarnation is over.
-void Scheduler::EndReplacedWorker(const WorkerId& worker, SteadyTime now) {
+void Scheduler::EndIncarnationAtAddress(const WorkerId& worker,
+                                        SteadyTime now) {
   this->ended_incarnations.Add(worker);
   this->EndIncarnation(worker, IncarnationEnd::kReplacedAtAddress, now);
 }
@@ -746,7 +748,7 @@
 // share one checkpoint.
 TaskMemory& Scheduler::CheckpointOf(const jobs::TaskId& task,
                                     const jobs::StepSpec& step) {
-  return this->tasks.Get({task.step, step.is_gang ? 0 : task.index});
+  return this->tasks.GetOrCreate({task.step, step.is_gang ? 0 : task.index});
 }
 
 void Scheduler::ReleaseAllRuns(WorkerSession& session,
@@ -790,9 +792,9 @@
 }
 
 void Scheduler::RequestReports(SteadyTime now, SchedulerOutput& output) {
-  for (const WorkerId& id : std::exchange(this->report_wanted, {})) {
+  for (const WorkerId& id : std::exchange(this->reports_to_request, {})) {
     if (WorkerSession* session = this->FindSession(id)) {
-      session->report_asked_at = now;
+      session->report_requested_at = now;
       output.report_requests.push_back(session->NextReportRequest(this->epoch));
     }
   }
@@ -812,9 +814,9 @@
     const bool is_stale =
         session != nullptr && session->is_answering() &&
         now - session->reported_at() > this->settings.max_report_age / 2 &&
-        now - session->report_asked_at > this->settings.max_report_age / 2;
+        now - session->report_requested_at > this->settings.max_report_age / 2;
     if (is_stale) {
-      this->report_wanted.insert(session->worker().id);
+      this->reports_to_request.insert(session->worker().id);
     }
   }
 }
@@ -845,7 +847,7 @@
 // Waiting for the next renewal could take longer.
 void Scheduler::CheckTrials(WorkerSession& session, SteadyTime now) {
   static constexpr Milliseconds kTime = jobs::TaskCrashes::kSuspectTime;
-  if (session.trials() == 0 || now - session.report_asked_at < kTime) {
+  if (session.trials() == 0 || now - session.report_requested_at < kTime) {
     return;
   }
   const bool is_over = std::any_of(
@@ -853,7 +855,7 @@
         return run.second.is_on_trial && now - run.second.ordered_at >= kTime;
       });
   if (is_over) {
-    this->report_wanted.insert(session.worker().id);
+    this->reports_to_request.insert(session.worker().id);
   }
 }
 
@@ -928,13 +930,13 @@
   // started there.
   for (const auto& [id, sequence] : gone) {
     this->EndIncarnation(id, IncarnationEnd::kSilent, now);
-    this->pending_removals[id] = {.ask_at = now, .sequence = sequence};
+    this->pending_removals[id] = {.submit_at = now, .sequence = sequence};
   }
   for (auto& [id, removal] : this->pending_removals) {
-    if (now >= removal.ask_at) {
+    if (now >= removal.submit_at) {
       // The command may be submitted twice; the sequence number keeps the
       // second one from ending runs that the worker has begun since.
-      removal.ask_at = now + this->settings.removal_delay;
+      removal.submit_at = now + this->settings.removal_delay;
       output.commands.emplace_back(
           jobs::ForgetWorker{id, false, removal.sequence});
     }
@@ -1049,17 +1051,17 @@
     // report may be so by the time the stop arrives, so the disruption budget
     // applies anyway.
     if (this->MayDisrupt(straggler.run->task, now)) {
-      this->GiveUp(straggler, now);
+      this->GiveUpRun(straggler, now);
     } else {
       this->RequestStepReports(straggler.run->task.step, now);
     }
   }
 }
 
-void Scheduler::GiveUp(const Straggler& straggler, SteadyTime now) {
+void Scheduler::GiveUpRun(const Straggler& straggler, SteadyTime now) {
   const WorkerId& worker = straggler.session->worker().id;
   Run& run = *straggler.run;
-  TaskMemory& memory = this->tasks.Get(run.task);
+  TaskMemory& memory = this->tasks.GetOrCreate(run.task);
   ++memory.moves;
   memory.failed_on.insert(worker);
   straggler.session->BeginStop(run, now);
@@ -1309,11 +1311,11 @@
       this->AskForAdvice(candidate, task, now);
       return false;
     }
-    if (this->WaitsForNear(job, task, session->worker(), now)) {
+    if (this->ShouldWaitForDataLocality(job, task, session->worker(), now)) {
       return false;
     }
     const RunNumber run = this->NextRun(job, task);
-    this->StartOn(*session, candidate, task, run, now, output);
+    this->StartRunOn(*session, candidate, task, run, now, output);
     if (trial == TrialDecision::kNow) {
       session->BeginTrial(*session->FindRun(task, run));
       this->placement.NoteTrial(job.service);
@@ -1336,15 +1338,15 @@
   if (crashes == nullptr || !crashes->IsSuspect()) {
     return TrialDecision::kNone;
   }
-  TaskMemory& memory = this->tasks.Get(task);
+  TaskMemory& memory = this->tasks.GetOrCreate(task);
   const bool is_repeated = crashes->crashes.size() > 1;
   const bool is_paused = memory.crashed_at &&
                          now - *memory.crashed_at < this->settings.crash_pause;
   if (is_repeated && is_paused) {
     return TrialDecision::kLater;
   }
-  const SteadyTime wanted_at = memory.trial_wanted_at.value_or(now);
-  memory.trial_wanted_at = wanted_at;
+  const SteadyTime wanted_at = memory.trial_waiting_since.value_or(now);
+  memory.trial_waiting_since = wanted_at;
   const bool has_waited =
       now - wanted_at >= (is_repeated ? this->settings.max_repeated_trial_wait
                                       : this->settings.max_trial_wait);
@@ -1357,10 +1359,10 @@
 
 // Returns true if the task should wait for room near its data instead of
 // starting on this worker, the best one with room.
-bool Scheduler::WaitsForNear(const jobs::Job& job,
-                             const jobs::TaskId& task,
-                             const jobs::Worker& worker,
-                             SteadyTime now) {
+bool Scheduler::ShouldWaitForDataLocality(const jobs::Job& job,
+                                          const jobs::TaskId& task,
+                                          const jobs::Worker& worker,
+                                          SteadyTime now) {
   const jobs::StepSpec& step = job.spec.steps[task.step.step];
   // A long-running task has no run time that a far place could extend.
   if (step.is_long_running || Placement::IsNear(step, worker)) {
@@ -1438,7 +1440,7 @@
     return false;
   }
   for (task.index = 0; task.index < step.count; ++task.index) {
-    this->StartOn(*places[task.index], candidate, task, run, now, output);
+    this->StartRunOn(*places[task.index], candidate, task, run, now, output);
   }
   return true;
 }
@@ -1455,12 +1457,12 @@
   }
 }
 
-void Scheduler::StartOn(WorkerSession& session,
-                        const Candidate& candidate,
-                        const jobs::TaskId& task,
-                        RunNumber run,
-                        SteadyTime now,
-                        SchedulerOutput& output) {
+void Scheduler::StartRunOn(WorkerSession& session,
+                           const Candidate& candidate,
+                           const jobs::TaskId& task,
+                           RunNumber run,
+                           SteadyTime now,
+                           SchedulerOutput& output) {
   this->ConsumeStart(candidate.lateness);
   this->starts_ordered.Count(candidate.lateness);
   const WorkerTime lease_end = session.GrantLease(now);
@@ -1474,7 +1476,7 @@
                      .ordered_at = now,
                      .start_expires = lease_end,
                      .percent_changed_at = now});
-  TaskMemory& memory = this->tasks.Get(task);
+  TaskMemory& memory = this->tasks.GetOrCreate(task);
   memory.placed = {session.worker().id, run};
   ++memory.known_runs;
   memory.last_run = run;
--- a/libraries/scheduler/scheduler.h
+++ b/libraries/scheduler/scheduler.h
@@ -273,7 +273,7 @@
   // A silent worker whose record is being removed: when to send the command
   // (again), and the sequence number of the worker's last announcement.
   struct PendingRemoval {
-    SteadyTime ask_at{};
+    SteadyTime submit_at{};
     std::uint64_t sequence = 0;
   };
   using Sessions = std::map<WorkerId, WorkerSession>;
@@ -322,7 +322,7 @@
   void SyncWorker(const WorkerId& id, SteadyTime now);
   void RemoveFromInstance(const jobs::Worker& worker);
   void EndObsoleteIncarnation(const WorkerId& worker, SteadyTime now);
-  void EndReplacedWorker(const WorkerId& worker, SteadyTime now);
+  void EndIncarnationAtAddress(const WorkerId& worker, SteadyTime now);
   void EndOtherIncarnations(const WorkerSession& answering, SteadyTime now);
   bool IsCrash(const WorkerSession& session, IncarnationEnd end) const;
   void RecordCrash(const WorkerSession& session, SteadyTime now);
@@ -351,7 +351,7 @@
                      SteadyTime now,
                      SchedulerOutput& output);
   void GiveUpStragglers(SteadyTime now);
-  void GiveUp(const Straggler& straggler, SteadyTime now);
+  void GiveUpRun(const Straggler& straggler, SteadyTime now);
   void StopRun(WorkerSession& session,
                Run& run,
                SteadyTime now,
@@ -371,10 +371,10 @@
                             const jobs::TaskId& task,
                             SteadyTime now);
   void CheckTrials(WorkerSession& session, SteadyTime now);
-  bool WaitsForNear(const jobs::Job& job,
-                    const jobs::TaskId& task,
-                    const jobs::Worker& worker,
-                    SteadyTime now);
+  bool ShouldWaitForDataLocality(const jobs::Job& job,
+                                 const jobs::TaskId& task,
+                                 const jobs::Worker& worker,
+                                 SteadyTime now);
   bool StartGang(const Candidate& candidate,
                  SteadyTime now,
                  SchedulerOutput& output);
@@ -386,12 +386,12 @@
   bool MayRunUnseen(const jobs::Job& job) const;
   bool MayStart(Lateness lateness) const;
   void ConsumeStart(Lateness lateness);
-  void StartOn(WorkerSession& session,
-               const Candidate& candidate,
-               const jobs::TaskId& task,
-               RunNumber run,
-               SteadyTime now,
-               SchedulerOutput& output);
+  void StartRunOn(WorkerSession& session,
+                  const Candidate& candidate,
+                  const jobs::TaskId& task,
+                  RunNumber run,
+                  SteadyTime now,
+                  SchedulerOutput& output);
   RunNumber NextRun(const jobs::Job& job, const jobs::TaskId& task) const;
 
   const jobs::JobsState& state;
@@ -442,7 +442,7 @@
   SteadyTime last_straggler_scan{};
   SteadyTime last_silent_scan{};
   // Workers to ask for a report in addition to the renewals.
-  std::set<WorkerId> report_wanted;
+  std::set<WorkerId> reports_to_request;
   bool needs_plan = true;
   EventCollector collected_events;
 };
--- a/libraries/scheduler/task_table.cc
+++ b/libraries/scheduler/task_table.cc
@@ -30,7 +30,7 @@
   return task.index < step.size() ? &step[task.index] : nullptr;
 }
 
-TaskMemory& TaskTable::Get(const jobs::TaskId& task) {
+TaskMemory& TaskTable::GetOrCreate(const jobs::TaskId& task) {
   std::vector<Step>& steps =
       this->jobs[task.step.job].occurrences[task.step.occurrence];
   if (steps.size() <= task.step.step) {
--- a/libraries/scheduler/task_table.h
+++ b/libraries/scheduler/task_table.h
@@ -36,7 +36,7 @@
   // When the last such crash was detected.
   std::optional<SteadyTime> crashed_at;
   // Since when the task has been waiting only for a place for its trial.
-  std::optional<SteadyTime> trial_wanted_at;
+  std::optional<SteadyTime> trial_waiting_since;
   // Whether a run ended as done.
   bool has_done_run = false;
   RunNumber last_run;
@@ -65,7 +65,7 @@
   const TaskMemory* Find(const jobs::TaskId& task) const;
 
   // Returns the entry of a task and creates it if it does not exist.
-  TaskMemory& Get(const jobs::TaskId& task);
+  TaskMemory& GetOrCreate(const jobs::TaskId& task);
 
   // Removes finished jobs without runs. Each call examines only a few jobs.
   void DropFinished(const jobs::JobsState& state);
--- a/libraries/scheduler/waiting_cause.cc
+++ b/libraries/scheduler/waiting_cause.cc
@@ -46,7 +46,7 @@
                  WaitingCause& cause) {
   const jobs::StepSpec& step = request.step();
   const jobs::Worker& worker = session.worker();
-  const std::uint32_t running = session.CountOf(request.task.step);
+  const std::uint32_t running = session.CountTasksOf(request.task.step);
   if (!HasLabel(step, worker)) {
     ++cause.without_label;
   } else if (!worker.capacity.Holds(Placement::CountedNeed(step))) {
--- a/libraries/scheduler/worker_session.cc
+++ b/libraries/scheduler/worker_session.cc
@@ -217,7 +217,7 @@
   return room;
 }
 
-std::uint32_t WorkerSession::CountOf(const jobs::StepId& step) const {
+std::uint32_t WorkerSession::CountTasksOf(const jobs::StepId& step) const {
   const auto found = this->step_counts.find(step);
   return found == this->step_counts.end() ? 0 : found->second;
 }
--- a/libraries/scheduler/worker_session.h
+++ b/libraries/scheduler/worker_session.h
@@ -215,7 +215,7 @@
   // Returns the resources that are free for further tasks.
   jobs::Resources Room() const;
   // Returns the number of tasks of a step that run there.
-  std::uint32_t CountOf(const jobs::StepId& step) const;
+  std::uint32_t CountTasksOf(const jobs::StepId& step) const;
 
   // The numbers of its runs that serve users and that are fillers.
   std::uint32_t serving_runs() const { return this->serving_count; }
@@ -232,7 +232,7 @@
   PaceState filler_pace;
   // When a report was last requested in addition to the renewals, to learn what
   // is running there.
-  SteadyTime report_asked_at{};
+  SteadyTime report_requested_at{};
   // Records that the batch of ends that follows the end numbered `after` is
   // committed.
   void HandleEndsCommitted(std::uint64_t after);
