--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -97,10 +97,10 @@
 
 // Removes a worker from the known incarnations on its instance.
 void Scheduler::RemoveFromInstance(const jobs::Worker& worker) {
-  const auto lives = this->incarnations_of.find(worker.instance);
-  lives->second.erase(worker.id);
-  if (lives->second.empty()) {
-    this->incarnations_of.erase(lives);
+  const auto incarnations = this->incarnations_of.find(worker.instance);
+  incarnations->second.erase(worker.id);
+  if (incarnations->second.empty()) {
+    this->incarnations_of.erase(incarnations);
   }
 }
 
@@ -879,9 +879,9 @@
 }
 
 void Scheduler::HandleInstanceStatus(
-    const std::map<InstanceName, InstanceStatus>& lives,
+    const std::map<InstanceName, InstanceStatus>& statuses,
     SteadyTime asked_at) {
-  if (lives.empty()) {
+  if (statuses.empty()) {
     // A platform that lists no instance at all has lost its list, not its
     // instances.
     return;
@@ -893,10 +893,10 @@
         session.began_at() >= asked_at) {
       continue;
     }
-    const auto life = lives.find(instance);
-    const bool is_over = life == lives.end() || !life->second.is_up ||
-                         (!life->second.worker.value().empty() &&
-                          life->second.worker != session.worker().name);
+    const auto status = statuses.find(instance);
+    const bool is_over = status == statuses.end() || !status->second.is_up ||
+                         (!status->second.worker.value().empty() &&
+                          status->second.worker != session.worker().name);
     if (is_over) {
       dead.push_back(id);
     }
--- a/libraries/scheduler/scheduler.h
+++ b/libraries/scheduler/scheduler.h
@@ -190,8 +190,9 @@
   // Handles the status that the platform, asked at `asked_at`, reported for at
   // least the instances of workers that fail to answer. The incarnation of such
   // a worker is over if its instance is down, gone, or runs another worker.
-  void HandleInstanceStatus(const std::map<InstanceName, InstanceStatus>& lives,
-                            SteadyTime asked_at);
+  void HandleInstanceStatus(
+      const std::map<InstanceName, InstanceStatus>& statuses,
+      SteadyTime asked_at);
 
   // Ends a worker's incarnation as of `now` and releases its runs.
   void EndIncarnation(const WorkerId& worker,
@@ -224,7 +225,7 @@
 
   // The number of jobs that waited for a start in the last planning pass.
   std::size_t waiting_count() const { return this->waiting.size(); }
-  // The numbers of waiting jobs as seen from one queue.
+  // The numbers of waiting jobs relative to one queue; see WaitingCounts.
   WaitingCounts CountWaitingFor(const QueueName& queue) const {
     return this->waiting.CountFor(queue);
   }
--- a/libraries/scheduler/worker_session.h
+++ b/libraries/scheduler/worker_session.h
@@ -91,8 +91,8 @@
   // When `percent` last changed from one report to the next.
   SteadyTime percent_changed_at{};
   std::int64_t load = 0;
-  // For a filler: the last acknowledged pace, in percent of full speed; unknown
-  // if the run was adopted or the last pace order was not answered.
+  // For a filler: the last ordered pace, in percent of full speed; unknown if
+  // the run was adopted or the last pace order was not answered.
   std::optional<std::uint32_t> pace = 100;
   // For a run that is being stopped: when to send the stop (again), and the
   // worker's clock when it acknowledged the stop.
@@ -241,8 +241,8 @@
   // The `after` numbers of the batches of ends that are not committed yet.
   std::set<std::uint64_t> uncommitted_ends;
   std::uint64_t acknowledged_ends = 0;
-  // No starts are sent before this time, since the worker reported that it had
-  // no room.
+  // No starts are sent before this time, for example because the worker
+  // reported that it had no room.
   SteadyTime full_until{};
   SteadyTime last_answer{};
 
