--- a/tests/libraries/scheduler/fake_fleet.cc
+++ b/tests/libraries/scheduler/fake_fleet.cc
@@ -102,7 +102,7 @@
   next.id = WorkerId(StrCat(name, "#", next.born.time_since_epoch().count()));
   next.sequence = 1;
   next.is_draining = false;
-  // Its clock starts anew.
+  // The clock of the new process starts at zero.
   const Milliseconds offset = -this->now.time_since_epoch();
   FakeWorker& added =
       this->workers.emplace(next.id, FakeWorker(next, offset, 0)).first->second;
