--- a/tests/libraries/scheduler/fake_fleet.cc
+++ b/tests/libraries/scheduler/fake_fleet.cc
@@ -148,8 +148,8 @@
   this->Commit(jobs::SubmitJob{JobId(id), QueueName(queue), spec});
 }
 
-void FakeFleet::At(SteadyTime at, std::function<void()> happen) {
-  this->events.push_back(Event{at, std::move(happen)});
+void FakeFleet::At(SteadyTime at, std::function<void()> action) {
+  this->events.push_back(Event{at, std::move(action)});
 }
 
 void FakeFleet::PassTime(Milliseconds time) {
@@ -170,7 +170,7 @@
   }
   this->events = std::move(later);
   for (const Event& event : due) {
-    event.happen();
+    event.action();
   }
   if (this->carrier) {
     this->carrier->step();
--- a/tests/libraries/scheduler/fake_fleet.h
+++ b/tests/libraries/scheduler/fake_fleet.h
@@ -168,7 +168,7 @@
  private:
   struct Event {
     SteadyTime at;
-    std::function<void()> happen;
+    std::function<void()> action;
   };
   using Generation = std::uint64_t;
   struct WaitingEnds {
@@ -177,7 +177,7 @@
   };
 
   void Step();
-  void At(SteadyTime at, std::function<void()> happen);
+  void At(SteadyTime at, std::function<void()> action);
   void SendRenewals();
   void CheckInstances();
   void Renew(const WorkerId& id);
