--- a/benchmarks/decision_bench.cc
+++ b/benchmarks/decision_bench.cc
@@ -82,8 +82,8 @@
       this->Apply(fleet::RecordTargets{{target}});
       settled.items.push_back(
           {target.name, target.incarnation, fleet::InstanceEvent::kSettled});
-      this->soft.Hear(fleet::Announcement{.target = target},
-                      this->clock.SteadyNow());
+      this->soft.RecordAnnouncement(fleet::Announcement{.target = target},
+                                    this->clock.SteadyNow());
     }
     this->Apply(settled);
   }
--- a/benchmarks/scheduler_load.cc
+++ b/benchmarks/scheduler_load.cc
@@ -89,7 +89,7 @@
 }
 
 void SchedulerLoad::Commit(jobs::Command command) {
-  const std::set<WorkerId> changed = this->state.WorkersTouchedBy(command);
+  const std::set<WorkerId> changed = this->state.FindAffectedWorkers(command);
   this->state.Apply({this->clock.Now(), std::move(command)});
   if (this->scheduler && !changed.empty()) {
     this->meters->move.Measure([&] {
--- a/libraries/fleet/apply_claims.cc
+++ b/libraries/fleet/apply_claims.cc
@@ -22,11 +22,11 @@
                             " ms ago; keys are kept for ",
                             record.declaration.key_window.count(), " ms"));
   }
-  if (made_at > record.now + kMostKeySkew) {
+  if (made_at > record.now + kMaxKeySkew) {
     return MakeError(
         ResultCode::kBadIdempotencyKey,
         StrCat("the key's time lies ", (made_at - record.now).count(),
-               " ms ahead; at most ", kMostKeySkew.count(), " ms are allowed"));
+               " ms ahead; at most ", kMaxKeySkew.count(), " ms are allowed"));
   }
   return absl::OkStatus();
 }
@@ -64,9 +64,9 @@
   return record.now + command.run_time + kFinishMargin;
 }
 
-absl::Status Fire(const FleetState& state,
-                  Claim& claim,
-                  std::string_view event) {
+absl::Status FireClaimEvent(const FleetState& state,
+                            Claim& claim,
+                            std::string_view event) {
   const std::string next =
       TRY(state.charts().request.Next(NameOf(claim.state), event));
   claim.state = *ParseEnum<ClaimState>(next);
@@ -110,7 +110,7 @@
   const bool is_same_attempt =
       claim.entry == command.entry && claim.attempt == command.attempt;
   if (claim.state == ClaimState::kNotRun) {
-    if (const absl::Status status = Fire(state, claim, "claim_again");
+    if (const absl::Status status = FireClaimEvent(state, claim, "claim_again");
         !status.ok()) {
       return Answer::FromStatus(status);
     }
@@ -140,7 +140,8 @@
     return Answer{.code = ResultCode::kStaleReport,
                   .message = "another try holds the claim"};
   }
-  if (const absl::Status status = Fire(state, claim, EventFor(command.state));
+  if (const absl::Status status =
+          FireClaimEvent(state, claim, EventFor(command.state));
       !status.ok()) {
     return Answer::FromStatus(status);
   }
--- a/libraries/fleet/apply_declaration.cc
+++ b/libraries/fleet/apply_declaration.cc
@@ -52,7 +52,7 @@
   record.revision = record.revision.Next();
   record.revision_winner = StrCat(command.identity.operator_name, " (request ",
                                   command.identity.request_id.value(), ")");
-  state.TouchView();
+  state.IncrementViewVersion();
   Decision decision{.subject_kind = SubjectKind::kDeclaration,
                     .subject = StrCat(record.revision.value()),
                     .outcome = "accepted",
--- a/libraries/fleet/apply_instances.cc
+++ b/libraries/fleet/apply_instances.cc
@@ -20,14 +20,14 @@
   return instance.target.kind == TargetKind::kMinion;
 }
 
-Answer RefuseWith(FleetState& state, ResultCode code, Decision decision) {
+Answer RecordRefusal(FleetState& state, ResultCode code, Decision decision) {
   decision.outcome = "refused";
   std::string sentence = decision.sentence;
   return Answer{
       code, std::move(sentence), state.AddDecision(std::move(decision)), {}};
 }
 
-Answer AcceptWith(FleetState& state, Decision decision) {
+Answer RecordAcceptance(FleetState& state, Decision decision) {
   std::string sentence = decision.sentence;
   Answer answer = Answer::Success(std::move(sentence));
   answer.decision = state.AddDecision(std::move(decision));
@@ -53,7 +53,7 @@
 
 // Takes planned work back while a pool's budget is broken: the latest grant
 // first, and only where the instance still has its work.
-void RestoreMargin(FleetState& state, const PoolName& pool_name) {
+void RestoreBudget(FleetState& state, const PoolName& pool_name) {
   const Pool* pool = state.record().declaration.FindPool(pool_name);
   if (pool == nullptr) {
     return;
@@ -81,17 +81,18 @@
         restored.target.name.value(),
         " had not begun and was taken back, since failures left the pool ",
         pool_name.value(), " with ", ToString(line), ".");
-    VERIFY(state.FireInstance(restored, InstanceEvent::kTakeBack).ok());
+    VERIFY(state.FireInstanceEvent(restored, InstanceEvent::kTakeBack).ok());
     restored.operation.reset();
     state.PutInstance(std::move(restored));
     state.AddDecision(std::move(decision));
-    state.TouchView();
+    state.IncrementViewVersion();
   }
 }
 
 // The lines of the budget that a grant would break, for an instance that counts
 // now.
-std::optional<BudgetLine> FindBrokenLine(const std::vector<BudgetLine>& lines) {
+std::optional<BudgetLine> FindLineWithoutSpare(
+    const std::vector<BudgetLine>& lines) {
   const auto broken =
       std::find_if(lines.begin(), lines.end(),
                    [](const BudgetLine& line) { return line.spare() < 1; });
@@ -119,11 +120,11 @@
   const InstanceEvent event = CanCountAgain(state, instance)
                                   ? InstanceEvent::kTakeBack
                                   : InstanceEvent::kTakeBackUnsettled;
-  const absl::Status status = state.FireInstance(instance, event);
+  const absl::Status status = state.FireInstanceEvent(instance, event);
   if (!status.ok()) {
     decision.sentence = StrCat("Can't undrain ", instance.target.name.value(),
                                ": ", status.message(), ".");
-    return RefuseWith(state, ResultCode::kWrongState, std::move(decision));
+    return RecordRefusal(state, ResultCode::kWrongState, std::move(decision));
   }
   instance.operation.reset();
   decision.outcome = "taken-back";
@@ -131,17 +132,17 @@
                              instance.target.name.value(), " back to the pool ",
                              instance.pool.value(), ".");
   if (IsRouted(instance)) {
-    state.TouchView();
+    state.IncrementViewVersion();
   }
   state.PutInstance(std::move(instance));
-  return AcceptWith(state, std::move(decision));
+  return RecordAcceptance(state, std::move(decision));
 }
 
 // Gives a drained, waiting instance its next operation without another drain.
-Answer ContinueWith(FleetState& state,
-                    Instance instance,
-                    Operation operation,
-                    Decision decision) {
+Answer GrantWithoutDrain(FleetState& state,
+                         Instance instance,
+                         Operation operation,
+                         Decision decision) {
   decision.rule = "already-drained";
   decision.outcome = "granted";
   decision.sentence = StrCat(
@@ -150,7 +151,7 @@
       operation.id.value(), ".");
   instance.operation = std::move(operation);
   state.PutInstance(std::move(instance));
-  return AcceptWith(state, std::move(decision));
+  return RecordAcceptance(state, std::move(decision));
 }
 
 Answer Grant(FleetState& state,
@@ -168,8 +169,8 @@
   if (instance.state == InstanceState::kDrained && instance.operation &&
       instance.operation->kind == OperationKind::kDrain) {
     ++state.mutable_record().next_operation;
-    return ContinueWith(state, std::move(instance), std::move(operation),
-                        std::move(decision));
+    return GrantWithoutDrain(state, std::move(instance), std::move(operation),
+                             std::move(decision));
   }
   const Pool* pool = state.record().declaration.FindPool(instance.pool);
   if (pool != nullptr && state.InstanceHasTag(instance, kCountsTag)) {
@@ -177,7 +178,7 @@
         BudgetLinesFor(state, *pool, instance);
     const std::vector<DecisionInput> inputs = ToInputs(lines);
     decision.inputs.insert(decision.inputs.end(), inputs.begin(), inputs.end());
-    if (const auto broken = FindBrokenLine(lines)) {
+    if (const auto broken = FindLineWithoutSpare(lines)) {
       decision.rule = "budget-would-break";
       decision.alternatives.push_back(Alternative{
           "grant now", StrCat(broken->where, " has ", ToString(*broken),
@@ -187,18 +188,18 @@
           " was refused: the ", broken->where, " of ", instance.pool.value(),
           " has ", ToString(*broken), ". Wait until ", 1 - broken->spare(),
           " more instances count, or lower the budget.");
-      return RefuseWith(state, ResultCode::kBudgetWouldBreak,
-                        std::move(decision));
+      return RecordRefusal(state, ResultCode::kBudgetWouldBreak,
+                           std::move(decision));
     }
   }
   const absl::Status status =
-      state.FireInstance(instance, InstanceEvent::kGrant);
+      state.FireInstanceEvent(instance, InstanceEvent::kGrant);
   if (!status.ok()) {
     decision.rule = "wrong-state";
     decision.sentence =
         StrCat("The ", NameOf(kind), " of ", instance.target.name.value(),
                " was refused: ", status.message(), ".");
-    return RefuseWith(state, ResultCode::kWrongState, std::move(decision));
+    return RecordRefusal(state, ResultCode::kWrongState, std::move(decision));
   }
   ++state.mutable_record().next_operation;
   decision.outcome = "granted";
@@ -208,10 +209,10 @@
              " as operation ", operation.id.value(), ".");
   instance.operation = std::move(operation);
   if (IsRouted(instance)) {
-    state.TouchView();
+    state.IncrementViewVersion();
   }
   state.PutInstance(std::move(instance));
-  return AcceptWith(state, std::move(decision));
+  return RecordAcceptance(state, std::move(decision));
 }
 
 absl::Status CheckMoveTarget(const FleetState& state,
@@ -234,7 +235,7 @@
 void FinishMove(FleetState& state, Instance instance) {
   Decision decision = DecisionAbout(instance, "move-after-drain");
   const PoolName from = instance.pool;
-  if (!state.FireInstance(instance, InstanceEvent::kMoved).ok()) {
+  if (!state.FireInstanceEvent(instance, InstanceEvent::kMoved).ok()) {
     return;
   }
   instance.pool = instance.operation->target_pool;
@@ -248,7 +249,7 @@
              instance.operation->granted_by, ".");
   instance.operation.reset();
   if (IsRouted(instance)) {
-    state.TouchView();
+    state.IncrementViewVersion();
   }
   state.PutInstance(std::move(instance));
   state.AddDecision(std::move(decision));
@@ -271,12 +272,13 @@
 // Ends a reboot once the platform says that it is done and the instance has
 // started anew. An earlier start may be a crash before the reboot, which is
 // still to come.
-void MaybeFinishReboot(const FleetState& state, Instance& instance) {
+void FinishRebootIfDone(const FleetState& state, Instance& instance) {
   const Operation& operation = *instance.operation;
   const bool is_over =
       operation.progress == PlatformProgress::kDone &&
       instance.target.incarnation > operation.incarnation_before;
-  if (is_over && state.FireInstance(instance, InstanceEvent::kReturned).ok()) {
+  if (is_over &&
+      state.FireInstanceEvent(instance, InstanceEvent::kReturned).ok()) {
     instance.operation.reset();
     instance.failed_jobs.clear();
   }
@@ -295,24 +297,25 @@
   // it is ours.
   instance.target = target;
   if (instance.state == InstanceState::kRebooting) {
-    MaybeFinishReboot(state, instance);
+    FinishRebootIfDone(state, instance);
   } else if (is_new_start || instance.state == InstanceState::kLeft) {
-    if (!state.FireInstance(instance, InstanceEvent::kReturned).ok()) {
+    if (!state.FireInstanceEvent(instance, InstanceEvent::kReturned).ok()) {
       return;
     }
     instance.failed_jobs.clear();
   } else if (instance.state == InstanceState::kSilent) {
-    if (!state.FireInstance(instance, InstanceEvent::kHeard).ok()) {
+    if (!state.FireInstanceEvent(instance, InstanceEvent::kHeard).ok()) {
       return;
     }
   }
   state.PutInstance(std::move(instance));
   if (counted) {
-    RestoreMargin(state, known.pool);
+    RestoreBudget(state, known.pool);
   }
 }
 
-void RecordOneTarget(FleetState& state, const TargetDescription& target) {
+void ApplyTargetDescription(FleetState& state,
+                            const TargetDescription& target) {
   const Instance* known = state.FindInstance(target.name);
   if (known == nullptr) {
     AddNewInstance(state, target);
@@ -322,17 +325,18 @@
     return;
   }
   if (target.kind == TargetKind::kMinion) {
-    state.TouchView();
+    state.IncrementViewVersion();
   }
 }
 
-void FireNoticed(FleetState& state, const RecordInstanceEvents::Item& item) {
+void ApplyDetectedEvent(FleetState& state,
+                        const RecordInstanceEvents::Item& item) {
   const Instance* known = state.FindInstance(item.instance);
   if (known == nullptr || known->target.incarnation != item.incarnation) {
     return;
   }
   Instance instance = *known;
-  if (!state.FireInstance(instance, item.event).ok()) {
+  if (!state.FireInstanceEvent(instance, item.event).ok()) {
     return;
   }
   const PoolName pool = instance.pool;
@@ -345,7 +349,7 @@
     instance.operation.reset();
   }
   if (IsRouted(instance)) {
-    state.TouchView();
+    state.IncrementViewVersion();
   }
   if (item.event == InstanceEvent::kSilence && !is_planned) {
     Decision decision = DecisionAbout(instance, "silent-counts-as-down");
@@ -363,7 +367,7 @@
   }
   if (item.event == InstanceEvent::kSilence ||
       item.event == InstanceEvent::kLeave) {
-    RestoreMargin(state, pool);
+    RestoreBudget(state, pool);
   }
   if (item.event == InstanceEvent::kLeave) {
     RefuseImpossibleJobs(state, pool);
@@ -393,14 +397,14 @@
 
 Answer Apply(FleetState& state, const RecordTargets& command) {
   for (const TargetDescription& target : command.targets) {
-    RecordOneTarget(state, target);
+    ApplyTargetDescription(state, target);
   }
   return Answer::Success("recorded");
 }
 
 Answer Apply(FleetState& state, const RecordInstanceEvents& command) {
   for (const RecordInstanceEvents::Item& item : command.items) {
-    FireNoticed(state, item);
+    ApplyDetectedEvent(state, item);
   }
   return Answer::Success("recorded");
 }
@@ -425,11 +429,13 @@
   instance.operation->progress = command.progress;
   const bool is_reboot = instance.operation->kind == OperationKind::kReboot;
   if (is_reboot && instance.state == InstanceState::kDrained) {
-    TRY_OR_ANSWER(state.FireInstance(instance, InstanceEvent::kRebootBegun));
+    TRY_OR_ANSWER(
+        state.FireInstanceEvent(instance, InstanceEvent::kRebootBegun));
   }
   if (command.progress == PlatformProgress::kFailed &&
       instance.state == InstanceState::kRebooting) {
-    TRY_OR_ANSWER(state.FireInstance(instance, InstanceEvent::kRebootFailed));
+    TRY_OR_ANSWER(
+        state.FireInstanceEvent(instance, InstanceEvent::kRebootFailed));
     Decision decision = DecisionAbout(instance, "platform-reported-failure");
     decision.outcome = "failed";
     decision.sentence =
@@ -439,7 +445,7 @@
     instance.operation.reset();
   }
   if (instance.state == InstanceState::kRebooting) {
-    MaybeFinishReboot(state, instance);
+    FinishRebootIfDone(state, instance);
   }
   state.PutInstance(std::move(instance));
   return Answer::Success("recorded");
--- a/libraries/fleet/apply_jobs.cc
+++ b/libraries/fleet/apply_jobs.cc
@@ -13,10 +13,10 @@
 namespace {
 
 // A job that failed on this many good workers is at fault itself.
-constexpr std::size_t kFailuresThatEndAJob = 3;
+constexpr std::size_t kFaultyJobFailures = 3;
 // A worker on which this many different jobs failed in a row is at fault
 // itself.
-constexpr std::size_t kFailuresThatQuarantine = 3;
+constexpr std::size_t kFaultyWorkerFailures = 3;
 
 Decision DecisionAbout(const Job& job, std::string rule) {
   return Decision{.subject_kind = SubjectKind::kJob,
@@ -66,24 +66,24 @@
 }
 
 // Ends a job's hold on its worker because the lease ran out.
-void LoseLease(FleetState& state, Job job) {
+void ExpireLease(FleetState& state, Job job) {
   // NOTE: A non-repeatable job that may have started is never placed again by
   // itself.
-  const bool is_safe = job.spec.repeatable;
+  const bool is_repeatable = job.spec.repeatable;
   Decision decision =
-      DecisionAbout(job, is_safe ? "lease-ran-out" : "may-have-run");
+      DecisionAbout(job, is_repeatable ? "lease-ran-out" : "may-have-run");
   decision.inputs.push_back(DecisionInput{"worker", job.worker.value()});
   decision.inputs.push_back(DecisionInput{"token", StrCat(job.token.value())});
   const InstanceName worker = job.worker;
   VERIFY(state
-             .FireJob(job, is_safe ? JobEvent::kLeaseLost
-                                   : JobEvent::kLeaseLostForGood)
+             .FireJobEvent(job, is_repeatable ? JobEvent::kLeaseLost
+                                              : JobEvent::kLeaseLostForGood)
              .ok());
   decision.outcome = std::string(NameOf(job.state));
   decision.sentence = StrCat(
       "The lease of ", job.spec.id.value(), " on ", worker.value(),
       " ran out without a renewal. ",
-      is_safe
+      is_repeatable
           ? "It may be placed again with a higher token."
           : "It must not run twice and may have run, so an operator has to "
             "decide: look at "
@@ -95,10 +95,9 @@
 
 // Sets a worker aside on which different jobs failed one after the other, if
 // the budget allows, and takes its failures off the jobs' accounts.
-void MaybeQuarantine(FleetState& state, const InstanceName& worker_name) {
+void QuarantineIfFaulty(FleetState& state, const InstanceName& worker_name) {
   const Instance* worker = state.FindInstance(worker_name);
-  if (worker == nullptr ||
-      worker->failed_jobs.size() < kFailuresThatQuarantine) {
+  if (worker == nullptr || worker->failed_jobs.size() < kFaultyWorkerFailures) {
     return;
   }
   Instance instance = *worker;
@@ -123,14 +122,14 @@
       return;
     }
   }
-  if (!state.FireInstance(instance, InstanceEvent::kQuarantine).ok()) {
+  if (!state.FireInstanceEvent(instance, InstanceEvent::kQuarantine).ok()) {
     return;
   }
   for (const JobId& id : instance.failed_jobs) {
     if (const Job* job = state.FindJob(id)) {
-      Job forgiven = *job;
-      forgiven.failed_on.erase(worker_name);
-      state.PutJob(std::move(forgiven));
+      Job cleared_job = *job;
+      cleared_job.failed_on.erase(worker_name);
+      state.PutJob(std::move(cleared_job));
     }
   }
   decision.outcome = "quarantined";
@@ -141,18 +140,18 @@
   state.AddDecision(std::move(decision));
 }
 
-void NoteFailure(FleetState& state,
-                 const InstanceName& worker_name,
-                 const JobId& job) {
+void RecordFailureOnWorker(FleetState& state,
+                           const InstanceName& worker_name,
+                           const JobId& job) {
   if (const Instance* worker = state.FindInstance(worker_name)) {
     Instance instance = *worker;
     instance.failed_jobs.insert(job);
     state.PutInstance(std::move(instance));
-    MaybeQuarantine(state, worker_name);
+    QuarantineIfFaulty(state, worker_name);
   }
 }
 
-void NoteSuccess(FleetState& state, const InstanceName& worker_name) {
+void RecordSuccessOnWorker(FleetState& state, const InstanceName& worker_name) {
   const Instance* worker = state.FindInstance(worker_name);
   if (worker != nullptr && !worker->failed_jobs.empty()) {
     Instance instance = *worker;
@@ -163,13 +162,14 @@
 
 // The step that a worker's report of a failed task means for the job.
 JobEvent EventForFailure(const Job& job) {
-  const bool has_tries = job.failed_on.size() < kFailuresThatEndAJob;
-  return job.spec.repeatable && has_tries ? JobEvent::kFail : JobEvent::kGiveUp;
+  const bool has_attempts_left = job.failed_on.size() < kFaultyJobFailures;
+  return job.spec.repeatable && has_attempts_left ? JobEvent::kFail
+                                                  : JobEvent::kGiveUp;
 }
 
-void TakeReport(FleetState& state,
-                const InstanceName& worker,
-                const TaskReport& report) {
+void ApplyTaskReport(FleetState& state,
+                     const InstanceName& worker,
+                     const TaskReport& report) {
   const Job* known = state.FindJob(report.job);
   if (known == nullptr || known->worker != worker ||
       known->token != report.token) {
@@ -177,23 +177,23 @@
   }
   Job job = *known;
   job.detail = report.detail;
-  bool is_taken = false;
+  bool is_applied = false;
   switch (report.state) {
     case TaskState::kRunning:
-      is_taken = state.FireJob(job, JobEvent::kStarted).ok();
+      is_applied = state.FireJobEvent(job, JobEvent::kStarted).ok();
       break;
     case TaskState::kFinished:
-      is_taken = state.FireJob(job, JobEvent::kFinish).ok();
+      is_applied = state.FireJobEvent(job, JobEvent::kFinish).ok();
       break;
     case TaskState::kStopped:
-      is_taken = state.FireJob(job, JobEvent::kStopped).ok();
+      is_applied = state.FireJobEvent(job, JobEvent::kStopped).ok();
       break;
     case TaskState::kFailed:
       job.failed_on.insert(worker);
-      is_taken = state.FireJob(job, EventForFailure(job)).ok();
+      is_applied = state.FireJobEvent(job, EventForFailure(job)).ok();
       break;
   }
-  if (!is_taken) {
+  if (!is_applied) {
     return;
   }
   if (report.state == TaskState::kFailed) {
@@ -209,9 +209,9 @@
   }
   state.PutJob(std::move(job));
   if (report.state == TaskState::kFailed) {
-    NoteFailure(state, worker, report.job);
+    RecordFailureOnWorker(state, worker, report.job);
   } else if (report.state == TaskState::kFinished) {
-    NoteSuccess(state, worker);
+    RecordSuccessOnWorker(state, worker);
   }
 }
 
@@ -239,7 +239,7 @@
   return "";
 }
 
-void PlaceOne(FleetState& state, const Placement& placement) {
+void ApplyPlacement(FleetState& state, const Placement& placement) {
   const Job* known = state.FindJob(placement.job);
   const Instance* worker = state.FindInstance(placement.worker);
   if (known == nullptr || worker == nullptr ||
@@ -247,7 +247,7 @@
     return;
   }
   Job job = *known;
-  VERIFY(state.FireJob(job, JobEvent::kPlace).ok());
+  VERIFY(state.FireJobEvent(job, JobEvent::kPlace).ok());
   job.worker = placement.worker;
   job.token = job.token.Next();
   Decision decision = DecisionAbout(job, placement.rule);
@@ -294,7 +294,7 @@
     return Answer::FromStatus(found.status());
   }
   Job job = **found;
-  TRY_OR_ANSWER(state.FireJob(job, JobEvent::kCancel));
+  TRY_OR_ANSWER(state.FireJobEvent(job, JobEvent::kCancel));
   Decision decision = DecisionAbout(job, "cancel-asked");
   decision.outcome = std::string(NameOf(job.state));
   decision.sentence =
@@ -308,14 +308,14 @@
 
 Answer Apply(FleetState& state, const PlaceJobs& command) {
   for (const Placement& placement : command.placements) {
-    PlaceOne(state, placement);
+    ApplyPlacement(state, placement);
   }
   return Answer::Success("placed");
 }
 
 Answer Apply(FleetState& state, const RecordTasks& command) {
   for (const TaskReport& report : command.reports) {
-    TakeReport(state, command.worker, report);
+    ApplyTaskReport(state, command.worker, report);
   }
   return Answer::Success("recorded");
 }
@@ -325,7 +325,7 @@
     const Job* job = state.FindJob(item.job);
     if (job != nullptr && job->token == item.token &&
         state.JobHasTag(*job, "leased")) {
-      LoseLease(state, *job);
+      ExpireLease(state, *job);
     }
   }
   return Answer::Success("recorded");
@@ -343,7 +343,7 @@
   for (const JobId& id : impossible) {
     Job job = *state.FindJob(id);
     const Answer refusal = RefuseJob(state, job);
-    VERIFY(state.FireJob(job, JobEvent::kRefuse).ok());
+    VERIFY(state.FireJobEvent(job, JobEvent::kRefuse).ok());
     job.detail = refusal.message;
     state.PutJob(std::move(job));
   }
--- a/libraries/fleet/fleet_machine.cc
+++ b/libraries/fleet/fleet_machine.cc
@@ -21,12 +21,12 @@
 // What tells two commands under one request id apart.
 template <OperatorCommand Command>
 std::string DigestOf(const Command& command) {
-  Command without_name = command;
-  without_name.identity = OperatorIdentity{};
+  Command without_identity = command;
+  without_identity.identity = OperatorIdentity{};
   // NOTE: By way of a tree, which sorts the keys: digests are kept in snapshots
   // and compared by replicas of other versions.
   std::string digest;
-  nlohmann::json::to_cbor(ToJson(without_name), digest);
+  nlohmann::json::to_cbor(ToJson(without_identity), digest);
   return digest;
 }
 
@@ -55,7 +55,7 @@
                 const Answer& answer) {
   FleetRecord& record = state.mutable_record();
   std::vector<OperatorRequestId>& order = record.operator_answer_order;
-  if (order.size() >= FleetState::kMostOperatorAnswers) {
+  if (order.size() >= FleetState::kMaxOperatorAnswers) {
     const auto cut =
         order.begin() + static_cast<std::ptrdiff_t>(order.size() / 4);
     std::for_each(order.begin(), cut, [&](const OperatorRequestId& old) {
--- a/libraries/fleet/fleet_state.cc
+++ b/libraries/fleet/fleet_state.cc
@@ -18,7 +18,7 @@
 
 // When the list is longer than it may be, this share of it goes at once, the
 // oldest first.
-constexpr std::size_t kForgetDivisor = 4;
+constexpr std::size_t kDecisionRemovalDivisor = 4;
 
 }  // namespace
 
@@ -148,8 +148,8 @@
       this->InstanceHasTag(instance, kCanTakeWorkTag));
 }
 
-absl::Status FleetState::FireInstance(Instance& instance,
-                                      InstanceEvent event) const {
+absl::Status FleetState::FireInstanceEvent(Instance& instance,
+                                           InstanceEvent event) const {
   const std::string next = TRY(
       this->state_charts->instance.Next(NameOf(instance.state), NameOf(event)));
   instance.state = *ParseEnum<InstanceState>(next);
@@ -157,7 +157,7 @@
   return absl::OkStatus();
 }
 
-absl::Status FleetState::FireJob(Job& job, JobEvent event) const {
+absl::Status FleetState::FireJobEvent(Job& job, JobEvent event) const {
   const std::string next =
       TRY(this->state_charts->job.Next(NameOf(job.state), NameOf(event)));
   job.state = *ParseEnum<JobState>(next);
@@ -178,8 +178,9 @@
   decision.id = DecisionId(StrCat("fleet-", this->data.next_decision++));
   decision.at = this->data.now;
   std::vector<Decision>& kept = this->data.decisions;
-  if (kept.size() >= kMostDecisions) {
-    kept.erase(kept.begin(), kept.begin() + kMostDecisions / kForgetDivisor);
+  if (kept.size() >= kMaxDecisions) {
+    kept.erase(kept.begin(),
+               kept.begin() + kMaxDecisions / kDecisionRemovalDivisor);
   }
   kept.push_back(std::move(decision));
   return kept.back().id;
@@ -203,7 +204,7 @@
   return found == this->jobs_by_worker.end() ? kNone : found->second;
 }
 
-Resources FleetState::HeldBy(const TeamName& team) const {
+Resources FleetState::ResourcesHeldBy(const TeamName& team) const {
   const auto found = this->used_by_team.find(team);
   return found == this->used_by_team.end() ? Resources{} : found->second;
 }
--- a/libraries/fleet/fleet_state.h
+++ b/libraries/fleet/fleet_state.h
@@ -98,8 +98,8 @@
   void PutJob(Job job);
 
   // Moves an instance or job on by its chart; the error is kWrongState.
-  absl::Status FireInstance(Instance& instance, InstanceEvent event) const;
-  absl::Status FireJob(Job& job, JobEvent event) const;
+  absl::Status FireInstanceEvent(Instance& instance, InstanceEvent event) const;
+  absl::Status FireJobEvent(Job& job, JobEvent event) const;
 
   // True if the chart gives the instance's state this tag.
   bool InstanceHasTag(const Instance& instance, std::string_view tag) const;
@@ -109,7 +109,7 @@
   DecisionId AddDecision(Decision decision);
 
   // Tells that entries must route by something new.
-  void TouchView() { ++this->data.view_version; }
+  void IncrementViewVersion() { ++this->data.view_version; }
 
   // Indexes.
   const PoolCounts& CountsOf(const PoolName& pool) const;
@@ -125,11 +125,11 @@
   const std::set<JobId>& leased_jobs() const { return this->leased; }
   const std::set<JobId>& JobsOn(const InstanceName& worker) const;
   // What the team's placed and running jobs hold.
-  Resources HeldBy(const TeamName& team) const;
+  Resources ResourcesHeldBy(const TeamName& team) const;
 
   // How many decisions and operator answers are kept.
-  static constexpr std::size_t kMostDecisions = 4'000;
-  static constexpr std::size_t kMostOperatorAnswers = 4'000;
+  static constexpr std::size_t kMaxDecisions = 4'000;
+  static constexpr std::size_t kMaxOperatorAnswers = 4'000;
 
  private:
   void IndexInstance(const Instance& instance, int step);
--- a/libraries/fleet/idempotency.cc
+++ b/libraries/fleet/idempotency.cc
@@ -12,7 +12,7 @@
 namespace sumac::fleet {
 namespace {
 
-constexpr std::size_t kShortestToken = 8;
+constexpr std::size_t kMinTokenLength = 8;
 // Any time later than this is no time in milliseconds but in something finer.
 constexpr std::int64_t kLatestMilliseconds = 10'000'000'000'000;
 
@@ -28,7 +28,7 @@
                character == '.' || character == '_';
       });
   std::int64_t milliseconds = 0;
-  if (text.size() > kLongestKey || token.size() < kShortestToken ||
+  if (text.size() > kMaxKeyLength || token.size() < kMinTokenLength ||
       !is_token_plain || !ParseNumber(text.substr(0, dash), &milliseconds) ||
       milliseconds <= 0 || milliseconds > kLatestMilliseconds) {
     return MakeError(
--- a/libraries/fleet/idempotency.h
+++ b/libraries/fleet/idempotency.h
@@ -11,8 +11,8 @@
 namespace sumac::fleet {
 
 // A key may carry a time this far ahead of the leader's clock.
-inline constexpr Milliseconds kMostKeySkew{60'000};
-inline constexpr std::size_t kLongestKey = 128;
+inline constexpr Milliseconds kMaxKeySkew{60'000};
+inline constexpr std::size_t kMaxKeyLength = 128;
 
 // The time that a key carries. A key is MILLISECONDS-TOKEN: the caller's wall
 // clock when it made the key and 8 or more letters, digits, dots or underscores
--- a/libraries/fleet/placement.cc
+++ b/libraries/fleet/placement.cc
@@ -9,9 +9,9 @@
 namespace {
 
 // A decision names this many of the workers that were passed over.
-constexpr std::size_t kMostRejectedNamed = 5;
+constexpr std::size_t kMaxNamedRejections = 5;
 // Queued jobs that are looked at in one go, for those that find no room.
-constexpr std::size_t kMostJobsScanned = 512;
+constexpr std::size_t kMaxScannedJobs = 512;
 
 // True if the job would take its team past its quota; `granted` is what this go
 // gives it already.
@@ -22,7 +22,7 @@
   if (team == nullptr) {
     return false;
   }
-  Resources held = state.HeldBy(job.spec.team);
+  Resources held = state.ResourcesHeldBy(job.spec.team);
   held += granted;
   held += Resources::Of(job.spec);
   const bool has_too_many_cores =
@@ -45,7 +45,7 @@
   std::map<TeamName, Resources> granted;
   std::size_t scanned = 0;
   for (const auto& [key, id] : state.queued_jobs()) {
-    if (placements.size() >= most || ++scanned > kMostJobsScanned) {
+    if (placements.size() >= most || ++scanned > kMaxScannedJobs) {
       break;
     }
     const Job& job = *state.FindJob(id);
@@ -61,8 +61,8 @@
     if (!worker) {
       continue;
     }
-    if (placement.rejected.size() > kMostRejectedNamed) {
-      placement.rejected.resize(kMostRejectedNamed);
+    if (placement.rejected.size() > kMaxNamedRejections) {
+      placement.rejected.resize(kMaxNamedRejections);
     }
     placement.worker = *worker;
     taken.insert(*worker);
--- a/libraries/fleet/planner.cc
+++ b/libraries/fleet/planner.cc
@@ -41,10 +41,11 @@
 // off.
 bool IsDrained(const PlanContext& context, const Instance& instance) {
   const InstanceName& name = instance.target.name;
-  const SteadyTime quiet_from = context.soft.DrainingSince(name, context.now) +
-                                context.settings.drain_grace;
-  return context.now >= quiet_from && context.state.JobsOn(name).empty() &&
-         context.soft.IsIdleSince(name, quiet_from);
+  const SteadyTime grace_end =
+      context.soft.GetOrRecordDrainStart(name, context.now) +
+      context.settings.drain_grace;
+  return context.now >= grace_end && context.state.JobsOn(name).empty() &&
+         context.soft.IsIdleSince(name, grace_end);
 }
 
 // True if planned work has the instance out already and goes on by itself.
@@ -61,12 +62,14 @@
   if (context.soft.IsLeaving(name) && !IsUnderPlannedWork(instance)) {
     return InstanceEvent::kLeave;
   }
-  const bool is_silent = context.now - context.soft.LastHeard(name) >
+  const bool is_silent = context.now - context.soft.LastAnnouncementTime(name) >
                          SilenceTimeOf(context.state, instance);
   if (is_silent) {
-    const bool is_news = context.state.InstanceHasTag(instance, "alive") &&
-                         !instance.is_silent_while_planned;
-    return is_news ? std::optional(InstanceEvent::kSilence) : std::nullopt;
+    const bool is_new_silence =
+        context.state.InstanceHasTag(instance, "alive") &&
+        !instance.is_silent_while_planned;
+    return is_new_silence ? std::optional(InstanceEvent::kSilence)
+                          : std::nullopt;
   }
   const Milliseconds in_state = context.wall_now - instance.state_since;
   if (instance.state == InstanceState::kSettling &&
@@ -75,7 +78,7 @@
   }
   if (instance.state == InstanceState::kDraining &&
       IsDrained(context, instance)) {
-    context.soft.ForgetDraining(name);
+    context.soft.RemoveDrainStart(name);
     return InstanceEvent::kDrained;
   }
   return std::nullopt;
@@ -87,14 +90,14 @@
   RecordInstanceEvents command;
   const auto& instances = context.state.record().instances;
   const std::size_t part =
-      std::min(instances.size(), context.settings.most_instances_per_turn);
-  auto position = instances.upper_bound(context.soft.scanned_up_to());
-  for (std::size_t looked_at = 0; looked_at < part; ++looked_at, ++position) {
+      std::min(instances.size(), context.settings.max_instances_per_pass);
+  auto position = instances.upper_bound(context.soft.scan_position());
+  for (std::size_t scanned = 0; scanned < part; ++scanned, ++position) {
     if (position == instances.end()) {
       position = instances.begin();
     }
     const auto& [name, instance] = *position;
-    context.soft.NoteScanned(name);
+    context.soft.SetScanPosition(name);
     const auto event = instance.state == InstanceState::kLeft
                            ? std::nullopt
                            : FindDueEvent(context, instance);
@@ -113,7 +116,7 @@
   for (const JobId& id : context.state.leased_jobs()) {
     const Job& job = *context.state.FindJob(id);
     const bool is_renewed =
-        context.now - context.soft.LastRenewed(job.worker) <= lease;
+        context.now - context.soft.LastLeaseRenewalTime(job.worker) <= lease;
     // A fresh placement has its own lease from the moment it was placed.
     const bool is_fresh = context.wall_now - job.state_since <= lease;
     if (!is_renewed && !is_fresh) {
@@ -141,12 +144,12 @@
   if (!leases.items.empty()) {
     commands.emplace_back(std::move(leases));
   }
-  PlaceJobs places{ChoosePlacements(state, settings.most_placements_per_turn)};
+  PlaceJobs places{ChoosePlacements(state, settings.max_placements_per_pass)};
   if (!places.placements.empty()) {
     commands.emplace_back(std::move(places));
   }
   const WallTime forget_before =
-      wall_now - state.record().declaration.key_window - kMostKeySkew;
+      wall_now - state.record().declaration.key_window - kMaxKeySkew;
   if (!state.record().claims.empty() &&
       forget_before > state.record().claims_floor + kClaimExpiryStep) {
     commands.emplace_back(ExpireClaims{forget_before});
--- a/libraries/fleet/planner.h
+++ b/libraries/fleet/planner.h
@@ -19,10 +19,10 @@
   // How much longer than its lease a task is taken to run, for clocks that
   // drift apart.
   Milliseconds lease_margin{1'000};
-  std::size_t most_placements_per_turn = 256;
+  std::size_t max_placements_per_pass = 256;
   // Instances looked at in one turn; with ten turns a second a fleet of 6,400
   // is gone round in 0.7 s.
-  std::size_t most_instances_per_turn = 1'000;
+  std::size_t max_instances_per_pass = 1'000;
 };
 
 // One step that the platform must be told, again and again until it reports it.
--- a/libraries/fleet/soft_state.cc
+++ b/libraries/fleet/soft_state.cc
@@ -12,55 +12,57 @@
   this->started_at = now;
 }
 
-void SoftState::Hear(const Announcement& announcement, SteadyTime now) {
-  this->heard[announcement.target.name] =
-      Heard{now, announcement.in_flight, announcement.is_leaving};
+void SoftState::RecordAnnouncement(const Announcement& announcement,
+                                   SteadyTime now) {
+  this->last_announcements[announcement.target.name] =
+      LastAnnouncement{now, announcement.in_flight, announcement.is_leaving};
 }
 
-SteadyTime SoftState::LastHeard(const InstanceName& name) const {
-  const auto found = this->heard.find(name);
-  return found == this->heard.end() ? this->started_at : found->second.at;
+SteadyTime SoftState::LastAnnouncementTime(const InstanceName& name) const {
+  const auto found = this->last_announcements.find(name);
+  return found == this->last_announcements.end() ? this->started_at
+                                                 : found->second.at;
 }
 
 bool SoftState::IsIdleSince(const InstanceName& name, SteadyTime since) const {
-  const auto found = this->heard.find(name);
-  return found != this->heard.end() && found->second.at >= since &&
+  const auto found = this->last_announcements.find(name);
+  return found != this->last_announcements.end() && found->second.at >= since &&
          found->second.in_flight == 0;
 }
 
 bool SoftState::IsLeaving(const InstanceName& name) const {
-  const auto found = this->heard.find(name);
-  return found != this->heard.end() && found->second.is_leaving;
+  const auto found = this->last_announcements.find(name);
+  return found != this->last_announcements.end() && found->second.is_leaving;
 }
 
-SteadyTime SoftState::LastRenewed(const InstanceName& worker) const {
-  const auto found = this->renewed.find(worker);
-  return found == this->renewed.end() ? this->started_at : found->second;
+SteadyTime SoftState::LastLeaseRenewalTime(const InstanceName& worker) const {
+  const auto found = this->lease_renewals.find(worker);
+  return found == this->lease_renewals.end() ? this->started_at : found->second;
 }
 
-void SoftState::NoteRenewed(const InstanceName& worker, SteadyTime now) {
-  this->renewed[worker] = now;
+void SoftState::RecordLeaseRenewal(const InstanceName& worker, SteadyTime now) {
+  this->lease_renewals[worker] = now;
 }
 
-SteadyTime SoftState::DrainingSince(const InstanceName& name, SteadyTime now) {
-  return this->draining_since.try_emplace(name, now).first->second;
+SteadyTime SoftState::GetOrRecordDrainStart(const InstanceName& name,
+                                            SteadyTime now) {
+  return this->drain_starts.try_emplace(name, now).first->second;
 }
 
-void SoftState::ForgetDraining(const InstanceName& name) {
-  this->draining_since.erase(name);
+void SoftState::RemoveDrainStart(const InstanceName& name) {
+  this->drain_starts.erase(name);
 }
 
 std::vector<RecordTargets> CommandsForTarget(const FleetState& state,
                                              const Announcement& announcement) {
   const Instance* known = state.FindInstance(announcement.target.name);
-  const bool tells_something =
+  const bool has_news =
       known == nullptr || known->target != announcement.target ||
       known->state == InstanceState::kSilent ||
       known->state == InstanceState::kLeft || known->is_silent_while_planned;
   const bool is_stale = known != nullptr && announcement.target.incarnation <
                                                 known->target.incarnation;
-  if (!tells_something || is_stale ||
-      (announcement.is_leaving && known == nullptr)) {
+  if (!has_news || is_stale || (announcement.is_leaving && known == nullptr)) {
     return {};
   }
   // A leaving target that already left is not called back.
--- a/libraries/fleet/soft_state.h
+++ b/libraries/fleet/soft_state.h
@@ -90,10 +90,10 @@
 
   // Takes in a renewal. Leases are counted from here: the target counts from
   // when it sent.
-  void Hear(const Announcement& announcement, SteadyTime now);
+  void RecordAnnouncement(const Announcement& announcement, SteadyTime now);
 
   // When the instance was last heard, at the earliest when this leader began.
-  SteadyTime LastHeard(const InstanceName& name) const;
+  SteadyTime LastAnnouncementTime(const InstanceName& name) const;
 
   // True if the instance said, after `since`, that it has nothing in hand.
   bool IsIdleSince(const InstanceName& name, SteadyTime since) const;
@@ -103,19 +103,19 @@
 
   // When the worker last got orders that renewed its leases, at the earliest
   // when this leader began.
-  SteadyTime LastRenewed(const InstanceName& worker) const;
-  void NoteRenewed(const InstanceName& worker, SteadyTime now);
+  SteadyTime LastLeaseRenewalTime(const InstanceName& worker) const;
+  void RecordLeaseRenewal(const InstanceName& worker, SteadyTime now);
 
   // How far the planner has come on its way round the fleet.
-  const InstanceName& scanned_up_to() const { return this->last_scanned; }
-  void NoteScanned(const InstanceName& name) { this->last_scanned = name; }
+  const InstanceName& scan_position() const { return this->last_scanned; }
+  void SetScanPosition(const InstanceName& name) { this->last_scanned = name; }
 
   // Notes when this leader first saw an instance draining, and tells that time.
-  SteadyTime DrainingSince(const InstanceName& name, SteadyTime now);
-  void ForgetDraining(const InstanceName& name);
+  SteadyTime GetOrRecordDrainStart(const InstanceName& name, SteadyTime now);
+  void RemoveDrainStart(const InstanceName& name);
 
  private:
-  struct Heard {
+  struct LastAnnouncement {
     SteadyTime at;
     std::uint32_t in_flight = 0;
     bool is_leaving = false;
@@ -123,9 +123,9 @@
 
   SteadyTime started_at{};
   InstanceName last_scanned;
-  std::map<InstanceName, Heard> heard;
+  std::map<InstanceName, LastAnnouncement> heard;
   std::map<InstanceName, SteadyTime> renewed;
-  std::map<InstanceName, SteadyTime> draining_since;
+  std::map<InstanceName, SteadyTime> drain_starts;
 };
 
 // The commands that a renewal makes necessary; empty for one that tells nothing
--- a/libraries/fleet/view_history.cc
+++ b/libraries/fleet/view_history.cc
@@ -8,12 +8,12 @@
 
 namespace sumac::fleet {
 
-void ViewHistory::Take(View next) {
+void ViewHistory::RecordView(View next) {
   if (this->present.version == 0) {
     // What happened before this controller started is not known.
-    this->remembered_from = next.version;
+    this->history_start = next.version;
   }
-  this->NoteServices(next);
+  this->RecordServiceChange(next);
   std::map<InstanceName, const RoutedMinion*> before;
   for (const RoutedMinion& minion : this->present.minions) {
     before[minion.name] = &minion;
@@ -32,11 +32,11 @@
     this->changed_at.erase(name);
     this->removed_at[name] = next.version;
   }
-  this->ForgetOldRemovals();
+  this->DropOldRemovals();
   this->present = std::move(next);
 }
 
-void ViewHistory::NoteServices(const View& next) {
+void ViewHistory::RecordServiceChange(const View& next) {
   const bool has_changed =
       ToJson(this->present.services) != ToJson(next.services) ||
       this->present.key_window != next.key_window;
@@ -45,21 +45,20 @@
   }
 }
 
-void ViewHistory::ForgetOldRemovals() {
-  while (this->removed_at.size() > kMostRemoved) {
+void ViewHistory::DropOldRemovals() {
+  while (this->removed_at.size() > kMaxRemovedMinions) {
     const auto oldest =
         std::min_element(this->removed_at.begin(), this->removed_at.end(),
                          [](const auto& left, const auto& right) {
                            return left.second < right.second;
                          });
-    this->remembered_from = std::max(this->remembered_from, oldest->second);
+    this->history_start = std::max(this->history_start, oldest->second);
     this->removed_at.erase(oldest);
   }
 }
 
 std::optional<View> ViewHistory::DeltaSince(std::uint64_t have) const {
-  if (have < this->remembered_from || have == 0 ||
-      have > this->present.version) {
+  if (have < this->history_start || have == 0 || have > this->present.version) {
     return std::nullopt;
   }
   View delta{.version = this->present.version,
--- a/libraries/fleet/view_history.h
+++ b/libraries/fleet/view_history.h
@@ -27,14 +27,14 @@
 
   // Removed minions are remembered up to this many; with more, older followers
   // get the whole view.
-  static constexpr std::size_t kMostRemoved = 1'024;
+  static constexpr std::size_t kMaxRemovedMinions = 1'024;
 
  private:
-  void NoteServices(const View& next);
-  void ForgetOldRemovals();
+  void RecordServiceChange(const View& next);
+  void DropOldRemovals();
 
   View present;
-  std::uint64_t remembered_from = 0;
+  std::uint64_t history_start = 0;
   std::uint64_t services_changed_at = 0;
   std::map<InstanceName, std::uint64_t> changed_at;
   std::map<InstanceName, std::uint64_t> removed_at;
--- a/libraries/fleet/worker_index.cc
+++ b/libraries/fleet/worker_index.cc
@@ -67,7 +67,7 @@
   std::size_t scanned = 0;
   const Resources smallest{need.accelerators, need.millicores, 0};
   auto position = this->by_free.lower_bound({smallest, InstanceName()});
-  while (position != this->by_free.end() && scanned < kMostScanned) {
+  while (position != this->by_free.end() && scanned < kMaxScannedWorkers) {
     const auto& [free, worker] = *position;
     ++scanned;
     if (!free.Covers(need)) {
--- a/libraries/fleet/worker_index.h
+++ b/libraries/fleet/worker_index.h
@@ -58,8 +58,8 @@
   void Remove(const InstanceName& worker);
 
   // The worker with the least free room in which `need` fits, passing over
-  // `excluded`; at most kMostScanned are looked at. Those looked at and not
-  // taken are added to `rejected`.
+  // `excluded`; at most kMaxScannedWorkers are looked at. Those looked at and
+  // not taken are added to `rejected`.
   std::optional<InstanceName> FindTightest(
       const Resources& need,
       const std::set<InstanceName>& excluded,
@@ -75,7 +75,7 @@
   // How many workers are in.
   std::size_t size() const { return this->workers.size(); }
 
-  static constexpr std::size_t kMostScanned = 64;
+  static constexpr std::size_t kMaxScannedWorkers = 64;
 
  private:
   struct Entry {
--- a/libraries/jobs/job_spec.cc
+++ b/libraries/jobs/job_spec.cc
@@ -9,9 +9,9 @@
 namespace {
 
 // Bounds that keep one job from filling the controllers' memory.
-constexpr std::size_t kMostSteps = 1'000;
-constexpr std::uint64_t kMostTasks = 100'000;
-constexpr std::uint32_t kMostRepeats = 100'000;
+constexpr std::size_t kMaxSteps = 1'000;
+constexpr std::uint64_t kMaxTasks = 100'000;
+constexpr std::uint32_t kMaxRepeats = 100'000;
 
 absl::Status CheckStep(const StepSpec& step, std::size_t number) {
   if (step.count == 0) {
@@ -36,21 +36,21 @@
 }  // namespace
 
 absl::Status CheckJobSpec(const JobSpec& spec) {
-  if (spec.steps.empty() || spec.steps.size() > kMostSteps) {
+  if (spec.steps.empty() || spec.steps.size() > kMaxSteps) {
     return MakeError(ResultCode::kBadArgument,
                      StrCat("found ", spec.steps.size(),
-                            " steps, allowed: 1 to ", kMostSteps));
+                            " steps, allowed: 1 to ", kMaxSteps));
   }
   std::uint64_t tasks = 0;
   for (std::size_t number = 0; number < spec.steps.size(); ++number) {
     TRY(CheckStep(spec.steps[number], number));
     tasks += spec.steps[number].count;
   }
-  if (tasks > kMostTasks || spec.repeats > kMostRepeats) {
+  if (tasks > kMaxTasks || spec.repeats > kMaxRepeats) {
     return MakeError(
         ResultCode::kBadArgument,
         StrCat("found ", tasks, " tasks and ", spec.repeats,
-               " repeats, allowed: up to ", kMostTasks, " and ", kMostRepeats));
+               " repeats, allowed: up to ", kMaxTasks, " and ", kMaxRepeats));
   }
   return absl::OkStatus();
 }
--- a/libraries/jobs/jobs_state.cc
+++ b/libraries/jobs/jobs_state.cc
@@ -14,10 +14,10 @@
 
 // A finished job can be asked about for this long. The longest time that users
 // ask for is 120 s; the rest is room for clocks that differ.
-constexpr Milliseconds kKeepFinished{180'000};
+constexpr Milliseconds kFinishedRetention{180'000};
 
 // Moves matter to a later leader for some seconds only.
-constexpr Milliseconds kKeepMoves{30'000};
+constexpr Milliseconds kMoveRetention{30'000};
 
 // Old moves and ended workers are looked for this often: a look passes over all
 // of them, which at each command took a tenth of a leader's processor time with
@@ -43,7 +43,7 @@
 fleet::Answer JobsState::Apply(const StampedCommand& command) {
   this->DropOldRecords(command.at);
   return std::visit(
-      [&](const auto& body) { return this->Take(body, command.at); },
+      [&](const auto& body) { return this->ApplyCommand(body, command.at); },
       command.command);
 }
 
@@ -63,14 +63,14 @@
   this->active.clear();
   this->finished.clear();
   this->by_id.clear();
-  this->present_lives.clear();
+  this->current_incarnations.clear();
   ++this->finishes;
   for (auto& [id, worker] : this->own_record.workers) {
     if (worker.name.value().empty()) {
       // An earlier version took a worker's name for its life.
       worker.name = WorkerName(id.value());
     }
-    this->present_lives[worker.name] = id;
+    this->current_incarnations[worker.name] = id;
   }
   for (const auto& [id, job] : this->own_record.jobs) {
     this->by_id[id] = &job;
@@ -99,52 +99,56 @@
   return found == this->own_record.workers.end() ? nullptr : &found->second;
 }
 
-const Worker* JobsState::FindPresentLife(const WorkerName& name) const {
-  const auto found = this->present_lives.find(name);
-  return found == this->present_lives.end() ? nullptr
-                                            : this->FindWorker(found->second);
+const Worker* JobsState::FindCurrentIncarnation(const WorkerName& name) const {
+  const auto found = this->current_incarnations.find(name);
+  return found == this->current_incarnations.end()
+             ? nullptr
+             : this->FindWorker(found->second);
 }
 
 // The life that a command is about, which may name just the worker. What a
 // worker says as it leaves may come after it has started again: only a life
 // that had said that it would leave is ended by it.
-const Worker* JobsState::LifeToForget(const ForgetWorker& command) const {
+const Worker* JobsState::FindIncarnationToForget(
+    const ForgetWorker& command) const {
   if (const Worker* worker = this->FindWorker(command.worker)) {
     return worker;
   }
   const Worker* present =
-      this->FindPresentLife(WorkerName(command.worker.value()));
+      this->FindCurrentIncarnation(WorkerName(command.worker.value()));
   return present != nullptr && present->is_draining ? present : nullptr;
 }
 
-std::set<WorkerId> JobsState::WorkersTouchedBy(const Command& command) const {
-  std::set<WorkerId> touched;
-  const auto add = [&touched](const Worker* worker) {
+std::set<WorkerId> JobsState::FindAffectedWorkers(
+    const Command& command) const {
+  std::set<WorkerId> affected;
+  const auto add = [&affected](const Worker* worker) {
     if (worker != nullptr) {
-      touched.insert(worker->id);
+      affected.insert(worker->id);
     }
   };
   if (const auto* record = std::get_if<RecordWorker>(&command)) {
-    touched.insert(record->worker.id);
-    add(this->FindPresentLife(record->worker.name));
+    affected.insert(record->worker.id);
+    add(this->FindCurrentIncarnation(record->worker.name));
   } else if (const auto* forget = std::get_if<ForgetWorker>(&command)) {
-    touched.insert(forget->worker);
-    add(this->LifeToForget(*forget));
+    affected.insert(forget->worker);
+    add(this->FindIncarnationToForget(*forget));
   }
-  return touched;
+  return affected;
 }
 
-void JobsState::EndLife(const WorkerId& worker, WallTime at) {
+void JobsState::EndIncarnation(const WorkerId& worker, WallTime at) {
   this->own_record.ended_workers.emplace(worker, at);
   this->own_record.workers.erase(worker);
 }
 
-fleet::Answer JobsState::Take(const BeginEpoch& /*command*/, WallTime /*at*/) {
+fleet::Answer JobsState::ApplyCommand(const BeginEpoch& /*command*/,
+                                      WallTime /*at*/) {
   this->own_record.epoch = this->own_record.epoch.Next();
   return fleet::Answer{.document = {{"epoch", this->own_record.epoch.value()}}};
 }
 
-std::optional<fleet::Answer> JobsState::AnswerIfOld(
+std::optional<fleet::Answer> JobsState::AnswerIfNotNewer(
     const Declare& command) const {
   if (command.version > this->own_record.declaration_version) {
     return std::nullopt;
@@ -152,26 +156,26 @@
   return fleet::Answer::Success("a version as high is already in force");
 }
 
-fleet::Answer JobsState::Take(const Declare& command, WallTime /*at*/) {
+fleet::Answer JobsState::ApplyCommand(const Declare& command, WallTime /*at*/) {
   absl::StatusOr<JobsDeclaration> read = this->decoder(command.document);
   if (!read.ok()) {
     return fleet::Answer::FromStatus(read.status());
   }
-  if (const auto answer = this->AnswerIfOld(command)) {
+  if (const auto answer = this->AnswerIfNotNewer(command)) {
     return *answer;
   }
   this->own_record.declaration_version = command.version;
   this->own_record.declaration_document = command.document;
   this->declared = *std::move(read);
   for (const auto& [sequence, job] : this->active) {
-    this->FollowDeclaration(this->own_record.jobs.at(job->id));
+    this->UpdateFromDeclaration(this->own_record.jobs.at(job->id));
   }
   return fleet::Answer::Success("in force");
 }
 
 // Jobs go where their queue is declared now; those of a queue that was dropped
 // stay where they were.
-void JobsState::FollowDeclaration(Job& job) const {
+void JobsState::UpdateFromDeclaration(Job& job) const {
   const QueueDeclaration* queue = this->declared.FindQueue(job.queue);
   if (queue == nullptr) {
     return;
@@ -188,7 +192,8 @@
   job.most_attempts = queue->most_attempts;
 }
 
-fleet::Answer JobsState::Take(const RecordWorker& command, WallTime at) {
+fleet::Answer JobsState::ApplyCommand(const RecordWorker& command,
+                                      WallTime at) {
   if (this->own_record.ended_workers.contains(command.worker.id)) {
     return fleet::Answer::Success("its life is over");
   }
@@ -196,9 +201,9 @@
   if (announced.name.value().empty()) {
     announced.name = WorkerName(announced.id.value());
   }
-  const Worker* present = this->FindPresentLife(announced.name);
+  const Worker* present = this->FindCurrentIncarnation(announced.name);
   if (present != nullptr && present->id != announced.id) {
-    if (!announced.tells_start()) {
+    if (!announced.has_start_time()) {
       return fleet::Answer{
           .code = ResultCode::kStaleReport,
           .message = StrCat("a life of ", announced.name.value(),
@@ -207,9 +212,9 @@
     if (!announced.IsLaterThan(*present)) {
       return fleet::Answer::Success("a later life of it is known");
     }
-    this->EndLife(WorkerId(present->id), at);
+    this->EndIncarnation(WorkerId(present->id), at);
   }
-  this->present_lives[announced.name] = announced.id;
+  this->current_incarnations[announced.name] = announced.id;
   Worker& worker = this->own_record.workers[command.worker.id];
   if (announced.sequence < worker.sequence) {
     return fleet::Answer::Success("an older announcement changes nothing");
@@ -221,14 +226,15 @@
   return fleet::Answer::Success("recorded");
 }
 
-fleet::Answer JobsState::Take(const ForgetWorker& command, WallTime at) {
+fleet::Answer JobsState::ApplyCommand(const ForgetWorker& command,
+                                      WallTime at) {
   for (const CrashedRun& run : command.crashed_runs) {
-    this->TakeCrash(command.worker, run, at);
+    this->ApplyCrash(command.worker, run, at);
   }
-  const Worker* worker = this->LifeToForget(command);
+  const Worker* worker = this->FindIncarnationToForget(command);
   const bool is_by_name =
-      worker == nullptr &&
-      this->FindPresentLife(WorkerName(command.worker.value())) != nullptr;
+      worker == nullptr && this->FindCurrentIncarnation(
+                               WorkerName(command.worker.value())) != nullptr;
   if (is_by_name) {
     return fleet::Answer::Success("the present life has not said it leaves");
   }
@@ -238,19 +244,19 @@
   }
   const WorkerId id = worker == nullptr ? command.worker : worker->id;
   if (worker != nullptr) {
-    const auto present = this->present_lives.find(worker->name);
-    if (present != this->present_lives.end() && present->second == id) {
-      this->present_lives.erase(present);
+    const auto present = this->current_incarnations.find(worker->name);
+    if (present != this->current_incarnations.end() && present->second == id) {
+      this->current_incarnations.erase(present);
     }
   }
   if (command.is_over) {
-    this->EndLife(id, at);
+    this->EndIncarnation(id, at);
   }
   this->own_record.workers.erase(id);
   return fleet::Answer::Success("forgotten");
 }
 
-fleet::Answer JobsState::Take(const SubmitJob& command, WallTime at) {
+fleet::Answer JobsState::ApplyCommand(const SubmitJob& command, WallTime at) {
   if (this->own_record.jobs.contains(command.job)) {
     return fleet::Answer::Success("accepted before");
   }
@@ -274,7 +280,7 @@
   return fleet::Answer::Success("accepted");
 }
 
-fleet::Answer JobsState::Take(const CancelJob& command, WallTime at) {
+fleet::Answer JobsState::ApplyCommand(const CancelJob& command, WallTime at) {
   const auto found = this->own_record.jobs.find(command.job);
   if (found == this->own_record.jobs.end()) {
     return fleet::Answer{
@@ -287,14 +293,15 @@
   return fleet::Answer::Success("cancelled");
 }
 
-fleet::Answer JobsState::Take(const RecordEnds& command, WallTime at) {
+fleet::Answer JobsState::ApplyCommand(const RecordEnds& command, WallTime at) {
   for (const RunEnd& end : command.ends) {
-    this->TakeEnd(end, at);
+    this->ApplyRunEnd(end, at);
   }
   return fleet::Answer::Success("recorded");
 }
 
-fleet::Answer JobsState::Take(const RecordBegun& command, WallTime /*at*/) {
+fleet::Answer JobsState::ApplyCommand(const RecordBegun& command,
+                                      WallTime /*at*/) {
   for (const JobId& id : command.jobs) {
     const auto found = this->own_record.jobs.find(id);
     if (found != this->own_record.jobs.end()) {
@@ -304,7 +311,7 @@
   return fleet::Answer::Success("recorded");
 }
 
-void JobsState::TakeEnd(const RunEnd& end, WallTime at) {
+void JobsState::ApplyRunEnd(const RunEnd& end, WallTime at) {
   const auto found = this->own_record.jobs.find(end.task.step.job);
   if (found == this->own_record.jobs.end()) {
     return;
@@ -320,7 +327,7 @@
   }
   StepProgress& step = occurrence->second.steps[end.task.step.step];
   if (job.spec.steps[end.task.step.step].is_gang) {
-    this->TakeGangEnd(job, end, step, at);
+    this->ApplyGangEnd(job, end, step, at);
     return;
   }
   TaskProgress& task = step.tasks[end.task.index];
@@ -334,7 +341,7 @@
   if (end.outcome == RunOutcome::kDone) {
     task.is_done = true;
     ++step.done_count;
-    this->CountDone(job, end.task, at);
+    this->FinishIfAllDone(job, end.task, at);
     return;
   }
   if (is_repeated) {
@@ -359,9 +366,9 @@
   return crashes != nullptr && crashes->Has(run.run);
 }
 
-void JobsState::TakeCrash(const WorkerId& worker,
-                          const CrashedRun& run,
-                          WallTime at) {
+void JobsState::ApplyCrash(const WorkerId& worker,
+                           const CrashedRun& run,
+                           WallTime at) {
   if (this->IsCrashSettled(run)) {
     return;
   }
@@ -383,10 +390,10 @@
 
 // A gang's members share their runs: one end as done counts for all, and a run
 // fails once however many members report it.
-void JobsState::TakeGangEnd(Job& job,
-                            const RunEnd& end,
-                            StepProgress& step,
-                            WallTime at) {
+void JobsState::ApplyGangEnd(Job& job,
+                             const RunEnd& end,
+                             StepProgress& step,
+                             WallTime at) {
   TaskProgress& first = step.tasks.front();
   const bool is_repeated = end.run <= first.last_ended_run;
   if (step.is_done()) {
@@ -402,7 +409,7 @@
       task.is_done = true;
     }
     step.done_count = static_cast<std::uint32_t>(step.tasks.size());
-    this->CountDone(job, end.task, at);
+    this->FinishIfAllDone(job, end.task, at);
     return;
   }
   if (is_repeated || is_long_running) {
@@ -417,7 +424,7 @@
   }
 }
 
-void JobsState::CountDone(Job& job, const TaskId& task, WallTime at) {
+void JobsState::FinishIfAllDone(Job& job, const TaskId& task, WallTime at) {
   if (!job.occurrences.at(task.step.occurrence).is_done()) {
     return;
   }
@@ -445,7 +452,7 @@
 
 void JobsState::DropOldRecords(WallTime now) {
   while (!this->finished.empty() &&
-         this->finished.begin()->first + kKeepFinished < now) {
+         this->finished.begin()->first + kFinishedRetention < now) {
     this->by_id.erase(this->finished.begin()->second);
     this->own_record.jobs.erase(this->finished.begin()->second);
     this->finished.erase(this->finished.begin());
@@ -463,14 +470,14 @@
 void JobsState::SweepInstanceRecords(WallTime now) {
   this->own_record.swept_at = now;
   std::erase_if(this->own_record.moves, [now](const auto& move) {
-    return move.second.at + kKeepMoves < now;
+    return move.second.at + kMoveRetention < now;
   });
   std::erase_if(this->own_record.ended_workers, [now](const auto& ended) {
-    return ended.second + kKeepFinished < now;
+    return ended.second + kFinishedRetention < now;
   });
 }
 
-fleet::Answer JobsState::Take(const StartWave& command, WallTime at) {
+fleet::Answer JobsState::ApplyCommand(const StartWave& command, WallTime at) {
   if (this->own_record.waves.contains(command.wave)) {
     return fleet::Answer::Success("started before");
   }
@@ -485,7 +492,8 @@
   return fleet::Answer::Success("started");
 }
 
-fleet::Answer JobsState::Take(const RecordMaintenance& command, WallTime at) {
+fleet::Answer JobsState::ApplyCommand(const RecordMaintenance& command,
+                                      WallTime at) {
   const auto wave = this->own_record.waves.find(command.wave);
   if (wave == this->own_record.waves.end() ||
       !wave->second.instances.contains(command.instance)) {
@@ -509,7 +517,7 @@
   return fleet::Answer::Success("recorded");
 }
 
-fleet::Answer JobsState::Take(const RecordMoves& command, WallTime at) {
+fleet::Answer JobsState::ApplyCommand(const RecordMoves& command, WallTime at) {
   for (const InstanceName& instance : command.instances) {
     const auto worker = command.workers.find(instance);
     this->own_record.moves[instance] = MoveRecord{
--- a/libraries/jobs/jobs_state.h
+++ b/libraries/jobs/jobs_state.h
@@ -90,7 +90,7 @@
 
   // The answer to a declaration that changes nothing, since one of its version
   // or a higher one is in force; nothing for one that has to be committed.
-  std::optional<fleet::Answer> AnswerIfOld(const Declare& command) const;
+  std::optional<fleet::Answer> AnswerIfNotNewer(const Declare& command) const;
 
   // Replaces the whole state with a snapshot's bytes.
   absl::Status Load(const std::string& bytes);
@@ -110,10 +110,10 @@
   const StepSpec* FindStep(const TaskId& task) const;
   const Worker* FindWorker(const WorkerId& id) const;
   // The present life of this name; nothing if none is known.
-  const Worker* FindPresentLife(const WorkerName& name) const;
+  const Worker* FindCurrentIncarnation(const WorkerName& name) const;
   // The workers that a command records, ends or replaces; to be asked before it
   // is applied.
-  std::set<WorkerId> WorkersTouchedBy(const Command& command) const;
+  std::set<WorkerId> FindAffectedWorkers(const Command& command) const;
   // True if this crash needs no record any more: it is on record, or its job
   // has finished.
   bool IsCrashSettled(const CrashedRun& run) const;
@@ -123,31 +123,31 @@
   }
 
  private:
-  fleet::Answer Take(const BeginEpoch& command, WallTime at);
-  fleet::Answer Take(const Declare& command, WallTime at);
-  fleet::Answer Take(const RecordWorker& command, WallTime at);
-  fleet::Answer Take(const ForgetWorker& command, WallTime at);
-  fleet::Answer Take(const SubmitJob& command, WallTime at);
-  fleet::Answer Take(const CancelJob& command, WallTime at);
-  fleet::Answer Take(const RecordEnds& command, WallTime at);
-  fleet::Answer Take(const RecordBegun& command, WallTime at);
-  fleet::Answer Take(const StartWave& command, WallTime at);
-  fleet::Answer Take(const RecordMaintenance& command, WallTime at);
-  fleet::Answer Take(const RecordMoves& command, WallTime at);
-
-  void TakeEnd(const RunEnd& end, WallTime at);
-  void TakeCrash(const WorkerId& worker, const CrashedRun& run, WallTime at);
-  void TakeGangEnd(Job& job,
-                   const RunEnd& end,
-                   StepProgress& step,
-                   WallTime at);
-  void CountDone(Job& job, const TaskId& task, WallTime at);
+  fleet::Answer ApplyCommand(const BeginEpoch& command, WallTime at);
+  fleet::Answer ApplyCommand(const Declare& command, WallTime at);
+  fleet::Answer ApplyCommand(const RecordWorker& command, WallTime at);
+  fleet::Answer ApplyCommand(const ForgetWorker& command, WallTime at);
+  fleet::Answer ApplyCommand(const SubmitJob& command, WallTime at);
+  fleet::Answer ApplyCommand(const CancelJob& command, WallTime at);
+  fleet::Answer ApplyCommand(const RecordEnds& command, WallTime at);
+  fleet::Answer ApplyCommand(const RecordBegun& command, WallTime at);
+  fleet::Answer ApplyCommand(const StartWave& command, WallTime at);
+  fleet::Answer ApplyCommand(const RecordMaintenance& command, WallTime at);
+  fleet::Answer ApplyCommand(const RecordMoves& command, WallTime at);
+
+  void ApplyRunEnd(const RunEnd& end, WallTime at);
+  void ApplyCrash(const WorkerId& worker, const CrashedRun& run, WallTime at);
+  void ApplyGangEnd(Job& job,
+                    const RunEnd& end,
+                    StepProgress& step,
+                    WallTime at);
+  void FinishIfAllDone(Job& job, const TaskId& task, WallTime at);
   void Finish(Job& job, JobState state, std::string reason, WallTime at);
-  void FollowDeclaration(Job& job) const;
+  void UpdateFromDeclaration(Job& job) const;
   void DropOldRecords(WallTime now);
   void SweepInstanceRecords(WallTime now);
-  const Worker* LifeToForget(const ForgetWorker& command) const;
-  void EndLife(const WorkerId& worker, WallTime at);
+  const Worker* FindIncarnationToForget(const ForgetWorker& command) const;
+  void EndIncarnation(const WorkerId& worker, WallTime at);
   void Reindex();
 
   DeclarationDecoder decoder;
@@ -156,7 +156,7 @@
   std::uint64_t finishes = 1;
   std::map<std::uint64_t, const Job*> active;
   // The present life of each worker, by its name.
-  std::unordered_map<WorkerName, WorkerId> present_lives;
+  std::unordered_map<WorkerName, WorkerId> current_incarnations;
   // Every job; a lookup by name is frequent.
   std::unordered_map<JobId, const Job*> by_id;
   // Finished jobs by the time of their end, to be dropped in that order.
--- a/libraries/jobs/service_demand.h
+++ b/libraries/jobs/service_demand.h
@@ -23,12 +23,12 @@
   // Of short tasks whose jobs are so late that they earn nothing any more.
   std::int64_t late_millicores = 0;
   // Of long-running tasks.
-  std::int64_t lasting_millicores = 0;
+  std::int64_t long_running_millicores = 0;
   // The part of the above that only workers with a label can take, by label;
   // what still arrives is not in it.
   std::map<std::string, LabelDemand> by_label;
   // Instances over which the tasks of one step must be spread at least.
-  std::int64_t fewest_instances = 0;
+  std::int64_t min_instances = 0;
 };
 
 }  // namespace sumac::jobs
--- a/libraries/jobs/task_crashes.cc
+++ b/libraries/jobs/task_crashes.cc
@@ -13,20 +13,22 @@
       [&run](const TaskCrash& crash) { return crash.run.run == run; });
 }
 
-std::size_t TaskCrashes::CountCertain() const {
-  const auto certain = std::count_if(
+std::size_t TaskCrashes::CountConfirmed() const {
+  const auto confirmed = std::count_if(
       this->crashes.begin(), this->crashes.end(), [](const TaskCrash& crash) {
         return crash.run.has_begun && crash.run.survived < kSuspectTime;
       });
-  return static_cast<std::size_t>(certain);
+  return static_cast<std::size_t>(confirmed);
 }
 
 bool TaskCrashes::IsOverLimit() const {
   const std::size_t all = this->crashes.size();
-  const std::size_t certain = this->CountCertain();
-  const bool is_accused = all >= kMostOfOnlySuspect && all == certain &&
-                          this->crashes.back().run.is_only_suspect;
-  return is_accused || (all >= kMost && certain > 1) || all >= kMostOfAll;
+  const std::size_t confirmed = this->CountConfirmed();
+  const bool is_sole_culprit = all >= kOnlySuspectCrashLimit &&
+                               all == confirmed &&
+                               this->crashes.back().run.is_only_suspect;
+  return is_sole_culprit || (all >= kCrashLimit && confirmed > 1) ||
+         all >= kUnconfirmedCrashLimit;
 }
 
 bool TaskCrashes::IsSuspect() const {
--- a/libraries/jobs/task_crashes.h
+++ b/libraries/jobs/task_crashes.h
@@ -54,13 +54,13 @@
 struct TaskCrashes {
   // A task under which so many workers crashed is not started again, if two of
   // them at least were certainly at work on it.
-  static constexpr std::size_t kMost = 3;
-  // The same whatever is certain: a start without an answer may never have
+  static constexpr std::size_t kCrashLimit = 3;
+  // The same whatever is confirmed: a start without an answer may never have
   // arrived, and a run may have ended unseen, but not each time.
-  static constexpr std::size_t kMostOfAll = 4;
+  static constexpr std::size_t kUnconfirmedCrashLimit = 4;
   // The same where the last of them accuses this task alone, and each was
   // certainly at work on it.
-  static constexpr std::size_t kMostOfOnlySuspect = 2;
+  static constexpr std::size_t kOnlySuspectCrashLimit = 2;
   // A task whose worker was still heard of so long after its start is no
   // suspect after one crash: what crashes a worker does so as it starts.
   static constexpr Milliseconds kSuspectTime{250};
@@ -71,7 +71,7 @@
   // True if the crash of this run is on record.
   bool Has(const RunNumber& run) const;
   // How many of the workers were certainly at work on the task.
-  std::size_t CountCertain() const;
+  std::size_t CountConfirmed() const;
   // True if the task must not be started again.
   bool IsOverLimit() const;
   // True if the task may be what crashes its workers.
--- a/libraries/jobs/task_id.cc
+++ b/libraries/jobs/task_id.cc
@@ -7,7 +7,7 @@
 namespace {
 
 // Takes the number after the last dot off the end of `text`.
-bool TakeLastNumber(std::string_view& text, std::uint32_t& number) {
+bool ParseLastNumber(std::string_view& text, std::uint32_t& number) {
   const std::size_t dot = text.rfind('.');
   if (dot == std::string_view::npos ||
       !ParseNumber(text.substr(dot + 1), &number)) {
@@ -29,9 +29,9 @@
 
 std::optional<TaskId> TaskId::Parse(std::string_view text) {
   TaskId task;
-  if (!TakeLastNumber(text, task.index) ||
-      !TakeLastNumber(text, task.step.step) ||
-      !TakeLastNumber(text, task.step.occurrence) || text.empty()) {
+  if (!ParseLastNumber(text, task.index) ||
+      !ParseLastNumber(text, task.step.step) ||
+      !ParseLastNumber(text, task.step.occurrence) || text.empty()) {
     return std::nullopt;
   }
   task.step.job = JobId(std::string(text));
--- a/libraries/jobs/worker.h
+++ b/libraries/jobs/worker.h
@@ -39,7 +39,7 @@
   // Grows with each announcement of this life, so that a late one is known.
   std::uint64_t sequence = 0;
 
-  bool tells_start() const { return this->born != WallTime{}; }
+  bool has_start_time() const { return this->born != WallTime{}; }
   // True if this life shows that the other one, of the same name, is over.
   bool IsLaterThan(const Worker& other) const {
     return this->born > other.born;
--- a/libraries/maintenance/capacity_planner.cc
+++ b/libraries/maintenance/capacity_planner.cc
@@ -26,32 +26,32 @@
       epoch(epoch),
       began_at(now) {}
 
-void CapacityPlanner::TakeList(const InstanceListing& listing) {
-  const SteadyTime asked_at = listing.asked_at().value_or(SteadyTime{});
-  std::map<InstanceName, Place> listed;
+void CapacityPlanner::UpdateListing(const InstanceListing& listing) {
+  const SteadyTime requested_at = listing.requested_at().value_or(SteadyTime{});
+  std::map<InstanceName, KnownPool> listed;
   std::erase_if(this->labels, [&listing](const auto& known) {
     return !listing.rows().contains(known.first);
   });
   for (const auto& [name, instance] : listing.rows()) {
     this->labels[name] = instance.labels;
-    const auto known = this->idle.find(name);
+    const auto known = this->known_pools.find(name);
     // NOTE: A list that was asked for before a move was taken shows the pool
     // before it; until the next one the instance would count as nobody's.
-    const bool is_known_better = known != this->idle.end() &&
+    const bool is_known_better = known != this->known_pools.end() &&
                                  (instance.state == InstanceState::kMoving ||
                                   instance.state == InstanceState::kUnknown ||
                                   (instance.state == InstanceState::kUp &&
-                                   known->second.known_at >= asked_at));
+                                   known->second.known_at >= requested_at));
     if (is_known_better) {
       listed.insert(*known);
     } else if (instance.state == InstanceState::kUp) {
-      listed[name] = Place{instance.service, asked_at};
+      listed[name] = KnownPool{instance.service, requested_at};
     }
   }
-  this->idle = std::move(listed);
+  this->known_pools = std::move(listed);
 }
 
-std::set<InstanceName> CapacityPlanner::Moving() const {
+std::set<InstanceName> CapacityPlanner::MovingInstances() const {
   std::set<InstanceName> names;
   for (const auto& [name, move] : this->moves) {
     names.insert(name);
@@ -71,15 +71,15 @@
   if (!this->settings.is_on || this->has_been_fenced) {
     return output;
   }
-  this->LearnLabels(facts);
+  this->UpdateLabels(facts);
   LabelNeeds needs(this->labels, demand);
   std::map<ServiceName, Pool> pools =
       this->CountPools(state, facts, busy, needs, wall_now, now);
-  this->SetWants(state, demand, pools, needs);
-  this->GrowLabels(state, pools, facts, needs, now);
+  this->SetWantedCounts(state, demand, pools, needs);
+  this->GrowPoolsByLabel(state, pools, facts, needs, now);
   this->GrowPools(state, pools, facts, needs, now);
   this->ShrinkPools(state, pools, facts, needs, now);
-  this->FollowMoves(state, facts, now, output);
+  this->AdvanceMoves(state, facts, now, output);
   return output;
 }
 
@@ -99,9 +99,9 @@
                                     SteadyTime now) const {
   // NOTE: Two leaders' clocks may differ by seconds, so what counts is twice
   // the pause.
-  return now - this->began_at <= this->settings.holder_pause &&
+  return now - this->began_at <= this->settings.takeover_pause &&
          record.epoch != this->epoch &&
-         wall_now - record.at <= 2 * this->settings.holder_pause;
+         wall_now - record.at <= 2 * this->settings.takeover_pause;
 }
 
 // What this leader started on such an instance could end with an order of the
@@ -152,8 +152,8 @@
                                 name);
     }
   }
-  for (const auto& [name, place] : this->idle) {
-    const ServiceName& service = place.service;
+  for (const auto& [name, known_pool] : this->known_pools) {
+    const ServiceName& service = known_pool.service;
     const bool is_free = !facts.contains(name) && !busy.contains(name) &&
                          !this->moves.contains(name) &&
                          IsHeadroom(state, service);
@@ -173,7 +173,7 @@
   return pools;
 }
 
-void CapacityPlanner::LearnLabels(
+void CapacityPlanner::UpdateLabels(
     const std::map<InstanceName, InstanceFacts>& facts) {
   for (const auto& [name, instance] : facts) {
     if (!instance.labels.empty()) {
@@ -184,21 +184,22 @@
 
 // The demand without what more instances would not help: tasks that require a
 // label beyond what all instances with that label could take.
-jobs::ServiceDemand CapacityPlanner::LeaveOutHopeless(
+jobs::ServiceDemand CapacityPlanner::ExcludeUnservableDemand(
     const jobs::ServiceDemand& demand,
     const Pool& pool,
     const LabelNeeds& needs) const {
   jobs::ServiceDemand served = demand;
   for (const auto& [label, labelled] : demand.by_label) {
-    const std::int64_t most = needs.CountAll(label) * pool.instance_millicores;
-    const std::int64_t hopeless =
-        std::max<std::int64_t>(0, labelled.millicores - most);
-    const std::int64_t hopeless_late =
+    const std::int64_t servable =
+        needs.CountAll(label) * pool.instance_millicores;
+    const std::int64_t unservable =
+        std::max<std::int64_t>(0, labelled.millicores - servable);
+    const std::int64_t unservable_late =
         std::max<std::int64_t>(
-            0, labelled.millicores + labelled.late_millicores - most) -
-        hopeless;
-    served.short_millicores -= std::min(hopeless, served.short_millicores);
-    served.late_millicores -= hopeless_late;
+            0, labelled.millicores + labelled.late_millicores - servable) -
+        unservable;
+    served.short_millicores -= std::min(unservable, served.short_millicores);
+    served.late_millicores -= unservable_late;
   }
   return served;
 }
@@ -215,43 +216,44 @@
                                        pool.instance_millicores);
 }
 
-void CapacityPlanner::SetWants(
+void CapacityPlanner::SetWantedCounts(
     const jobs::JobsState& state,
     const std::map<ServiceName, jobs::ServiceDemand>& demand,
     std::map<ServiceName, Pool>& pools,
     LabelNeeds& needs) const {
   for (auto& [name, pool] : pools) {
     const auto needed = demand.find(name);
-    pool.want = IsHeadroom(state, name) ? 0 : this->settings.fewest_per_pool;
+    pool.want =
+        IsHeadroom(state, name) ? 0 : this->settings.min_instances_per_pool;
     pool.want_with_late = pool.want;
     if (IsHeadroom(state, name) || needed == demand.end() ||
         pool.instance_millicores == 0) {
       continue;
     }
     const jobs::ServiceDemand service =
-        this->LeaveOutHopeless(needed->second, pool, needs);
+        this->ExcludeUnservableDemand(needed->second, pool, needs);
     pool.want = this->InstancesFor(pool, service, service.short_millicores);
     pool.want_with_late = this->InstancesFor(
         pool, service, service.short_millicores + service.late_millicores);
     for (const auto& [label, labelled] : service.by_label) {
-      needs.Need(name, label, this->LabelledInstancesFor(pool, labelled));
+      needs.SetNeed(name, label, this->LabelledInstancesFor(pool, labelled));
     }
   }
 }
 
 // Gives pools instances that have the labels that their tasks require, those
 // that are off first.
-void CapacityPlanner::GrowLabels(
+void CapacityPlanner::GrowPoolsByLabel(
     const jobs::JobsState& state,
     std::map<ServiceName, Pool>& pools,
     const std::map<InstanceName, InstanceFacts>& facts,
     LabelNeeds& needs,
     SteadyTime now) {
-  for (const auto& [to, label] : needs.Lacking()) {
+  for (const auto& [to, label] : needs.FindShortages()) {
     for (const bool takes_headroom : {true, false}) {
       for (const auto& [from, pool] : pools) {
         if (from != to && IsHeadroom(state, from) == takes_headroom) {
-          this->TakeLabelled(pools, from, to, label, facts, needs, now);
+          this->MoveLabelled(pools, from, to, label, facts, needs, now);
         }
       }
     }
@@ -259,7 +261,7 @@
 }
 
 // Sends instances with a label from one pool to another that lacks it.
-void CapacityPlanner::TakeLabelled(
+void CapacityPlanner::MoveLabelled(
     std::map<ServiceName, Pool>& pools,
     const ServiceName& from,
     const ServiceName& to,
@@ -267,16 +269,16 @@
     const std::map<InstanceName, InstanceFacts>& facts,
     LabelNeeds& needs,
     SteadyTime now) {
-  Pool& giver = pools[from];
-  Pool& taker = pools[to];
-  std::erase_if(giver.movable, [&](const auto& movable) {
+  Pool& source = pools[from];
+  Pool& destination = pools[to];
+  std::erase_if(source.movable, [&](const auto& movable) {
     const InstanceName& name = movable.second;
     if (!needs.Has(name, label) ||
-        !MayTakeLabelled(giver, taker, from, to, name, label, needs)) {
+        !MayMoveLabelled(source, destination, from, to, name, label, needs)) {
       return false;
     }
-    --giver.have;
-    ++taker.have;
+    --source.have;
+    ++destination.have;
     needs.Move(from, to, name);
     this->BeginMove(name, from, to, facts, now);
     return true;
@@ -285,9 +287,10 @@
 
 // A pool that has none with the label takes one in any case where another
 // keeps one. Otherwise a pool gives up only what it has enough of, and an
-// instance that it uses only if the taker can give another one in exchange.
-bool CapacityPlanner::MayTakeLabelled(const Pool& giver,
-                                      const Pool& taker,
+// instance that it uses only if the destination can give another one in
+// exchange.
+bool CapacityPlanner::MayMoveLabelled(const Pool& source,
+                                      const Pool& destination,
                                       const ServiceName& from,
                                       const ServiceName& to,
                                       const InstanceName& name,
@@ -300,8 +303,8 @@
   if (has == 0 && needs.CountIn(from, label) > 1) {
     return true;
   }
-  const bool can_do_without =
-      has == 0 || giver.have > giver.want || taker.have >= taker.want;
+  const bool can_do_without = has == 0 || source.have > source.want ||
+                              destination.have >= destination.want;
   return can_do_without && needs.CanSpare(from, name);
 }
 
@@ -312,17 +315,17 @@
     const jobs::ServiceDemand& service,
     std::int64_t short_millicores) const {
   const std::int64_t millicores =
-      service.lasting_millicores +
+      service.long_running_millicores +
       short_millicores * (kPermille + this->settings.reserve_permille) /
           kPermille;
   return std::max(
-      {this->settings.fewest_per_pool, service.fewest_instances,
+      {this->settings.min_instances_per_pool, service.min_instances,
        (millicores + pool.instance_millicores - 1) / pool.instance_millicores});
 }
 
 // Sends instances of a pool that has more than it needs, the emptiest first,
 // until none is missing.
-void CapacityPlanner::TakeFrom(
+void CapacityPlanner::MoveSurplus(
     const ServiceName& from,
     Pool& pool,
     const ServiceName& to,
@@ -361,12 +364,12 @@
     }
   }
   std::sort(order.begin(), order.end());
-  for (const auto& [lack, to] : order) {
-    std::int64_t missing = -lack;
+  for (const auto& [negative_shortage, to] : order) {
+    std::int64_t missing = -negative_shortage;
     for (const bool takes_headroom : {true, false}) {
       for (auto& [from, pool] : pools) {
         if (from != to && IsHeadroom(state, from) == takes_headroom) {
-          this->TakeFrom(from, pool, to, missing, facts, needs, now);
+          this->MoveSurplus(from, pool, to, missing, facts, needs, now);
         }
       }
     }
@@ -376,7 +379,7 @@
         needy.want_with_late - std::max(needy.have, needy.want);
     for (auto& [from, pool] : pools) {
       if (IsHeadroom(state, from) && !IsHeadroom(state, to)) {
-        this->TakeFrom(from, pool, to, missing, facts, needs, now);
+        this->MoveSurplus(from, pool, to, missing, facts, needs, now);
       }
     }
   }
@@ -454,13 +457,13 @@
     return true;
   }
   const jobs::MoveRecord& record = state.record().moves.at(name);
-  if (!std::exchange(move.is_followed, true)) {
+  if (!std::exchange(move.has_checked_record, true)) {
     move.earlier_record = record;
   }
   return move.earlier_record && move.earlier_record->at == record.at;
 }
 
-void CapacityPlanner::FollowMoves(
+void CapacityPlanner::AdvanceMoves(
     const jobs::JobsState& state,
     const std::map<InstanceName, InstanceFacts>& facts,
     SteadyTime now,
@@ -474,9 +477,10 @@
         (known != facts.end() && !known->second.is_only_announced &&
          known->second.worker != move.worker) ||
         (IsHeadroom(state, move.to) &&
-         now - move.taken_at >= this->settings.move_time);
-    const bool is_overdue = now - move.since > this->settings.longest_move;
-    if ((move.is_taken && has_arrived) || (is_overdue && !move.is_under_way)) {
+         now - move.accepted_at >= this->settings.move_time);
+    const bool is_overdue = now - move.since > this->settings.max_move_duration;
+    if ((move.is_accepted && has_arrived) ||
+        (is_overdue && !move.is_under_way)) {
       item = this->moves.erase(item);
       continue;
     }
@@ -485,7 +489,7 @@
         known == facts.end() ||
         (known->second.budgeted_runs == 0 && known->second.other_runs == 0);
     const bool is_due =
-        !move.is_taken && !move.is_under_way && is_empty && now >= move.due;
+        !move.is_accepted && !move.is_under_way && is_empty && now >= move.due;
     const bool is_record_wanted =
         is_due && this->IsRecordOld(state, name, move);
     if (is_record_wanted && now >= move.record_due) {
@@ -512,7 +516,7 @@
   }
 }
 
-std::vector<jobs::Command> CapacityPlanner::TakeResult(
+std::vector<jobs::Command> CapacityPlanner::HandleOrderResult(
     const InstanceOrder& order,
     InstanceResult result,
     SteadyTime now) {
@@ -526,15 +530,15 @@
   move.due = now + this->settings.retry;
   switch (result) {
     case InstanceResult::kDone:
-      move.is_taken = true;
-      move.taken_at = now;
-      this->idle[order.instance] = Place{move.to, now};
+      move.is_accepted = true;
+      move.accepted_at = now;
+      this->known_pools[order.instance] = KnownPool{move.to, now};
       if (!move.worker.value().empty()) {
         commands.emplace_back(jobs::ForgetWorker{move.worker, true});
       }
       break;
     case InstanceResult::kBusy:
-    case InstanceResult::kNotOfWave:
+    case InstanceResult::kNotInWave:
     case InstanceResult::kUnknownInstance:
       this->moves.erase(found);
       break;
--- a/libraries/maintenance/capacity_planner.h
+++ b/libraries/maintenance/capacity_planner.h
@@ -24,7 +24,7 @@
   bool is_on = true;
   // A new leader leaves instances alone that the one before was about to move
   // within this time, so that their orders never take turns.
-  Milliseconds holder_pause{3'000};
+  Milliseconds takeover_pause{3'000};
   // Room that a pool should have beyond what it needs now, in thousandths.
   std::int64_t reserve_permille = 150;
   // A pool gives instances up only after it had too many for this long: about
@@ -35,11 +35,11 @@
   Milliseconds move_time{1'500};
   // An instance that did not appear in its new pool by then is looked for
   // where the platform lists it.
-  Milliseconds longest_move{4'000};
+  Milliseconds max_move_duration{4'000};
   // Before an order that was not answered is given again.
   Milliseconds retry{400};
   // Instances that a pool keeps whatever its demand.
-  std::int64_t fewest_per_pool = 2;
+  std::int64_t min_instances_per_pool = 2;
 };
 
 struct CapacityOutput {
@@ -69,15 +69,15 @@
                       SteadyTime now);
 
   // Takes in that there is a new list of the platform's instances.
-  void TakeList(const InstanceListing& listing);
+  void UpdateListing(const InstanceListing& listing);
 
   // Takes in what became of an order, and gives what is to be committed.
-  std::vector<jobs::Command> TakeResult(const InstanceOrder& order,
-                                        InstanceResult result,
-                                        SteadyTime now);
+  std::vector<jobs::Command> HandleOrderResult(const InstanceOrder& order,
+                                               InstanceResult result,
+                                               SteadyTime now);
 
   // Instances that are on their way to another pool.
-  std::set<InstanceName> Moving() const;
+  std::set<InstanceName> MovingInstances() const;
 
  private:
   // A move from its choice until the instance is seen in its new pool.
@@ -88,15 +88,15 @@
     WorkerId worker;
     SteadyTime since{};
     bool is_under_way = false;
-    bool is_taken = false;
-    SteadyTime taken_at{};
+    bool is_accepted = false;
+    SteadyTime accepted_at{};
     SteadyTime due{};
     // When to ask for its record (again).
     SteadyTime record_due{};
     // What was on record of an earlier move of the instance when this one was
     // first followed.
     std::optional<jobs::MoveRecord> earlier_record;
-    bool is_followed = false;
+    bool has_checked_record = false;
   };
   // What is known of one pool in one look.
   struct Pool {
@@ -113,11 +113,11 @@
   bool IsRecordOld(const jobs::JobsState& state,
                    const InstanceName& name,
                    Move& move) const;
-  void FollowMoves(const jobs::JobsState& state,
-                   const std::map<InstanceName, InstanceFacts>& facts,
-                   SteadyTime now,
-                   CapacityOutput& output);
-  void LearnLabels(const std::map<InstanceName, InstanceFacts>& facts);
+  void AdvanceMoves(const jobs::JobsState& state,
+                    const std::map<InstanceName, InstanceFacts>& facts,
+                    SteadyTime now,
+                    CapacityOutput& output);
+  void UpdateLabels(const std::map<InstanceName, InstanceFacts>& facts);
   std::map<ServiceName, Pool> CountPools(
       const jobs::JobsState& state,
       const std::map<InstanceName, InstanceFacts>& facts,
@@ -125,29 +125,29 @@
       LabelNeeds& needs,
       WallTime wall_now,
       SteadyTime now) const;
-  void SetWants(const jobs::JobsState& state,
-                const std::map<ServiceName, jobs::ServiceDemand>& demand,
-                std::map<ServiceName, Pool>& pools,
-                LabelNeeds& needs) const;
-  jobs::ServiceDemand LeaveOutHopeless(const jobs::ServiceDemand& demand,
-                                       const Pool& pool,
-                                       const LabelNeeds& needs) const;
+  void SetWantedCounts(const jobs::JobsState& state,
+                       const std::map<ServiceName, jobs::ServiceDemand>& demand,
+                       std::map<ServiceName, Pool>& pools,
+                       LabelNeeds& needs) const;
+  jobs::ServiceDemand ExcludeUnservableDemand(const jobs::ServiceDemand& demand,
+                                              const Pool& pool,
+                                              const LabelNeeds& needs) const;
   std::int64_t LabelledInstancesFor(const Pool& pool,
                                     const jobs::LabelDemand& labelled) const;
-  void GrowLabels(const jobs::JobsState& state,
-                  std::map<ServiceName, Pool>& pools,
-                  const std::map<InstanceName, InstanceFacts>& facts,
-                  LabelNeeds& needs,
-                  SteadyTime now);
-  void TakeLabelled(std::map<ServiceName, Pool>& pools,
+  void GrowPoolsByLabel(const jobs::JobsState& state,
+                        std::map<ServiceName, Pool>& pools,
+                        const std::map<InstanceName, InstanceFacts>& facts,
+                        LabelNeeds& needs,
+                        SteadyTime now);
+  void MoveLabelled(std::map<ServiceName, Pool>& pools,
                     const ServiceName& from,
                     const ServiceName& to,
                     const std::string& label,
                     const std::map<InstanceName, InstanceFacts>& facts,
                     LabelNeeds& needs,
                     SteadyTime now);
-  static bool MayTakeLabelled(const Pool& giver,
-                              const Pool& taker,
+  static bool MayMoveLabelled(const Pool& source,
+                              const Pool& destination,
                               const ServiceName& from,
                               const ServiceName& to,
                               const InstanceName& name,
@@ -173,13 +173,13 @@
   std::int64_t InstancesFor(const Pool& pool,
                             const jobs::ServiceDemand& service,
                             std::int64_t short_millicores) const;
-  void TakeFrom(const ServiceName& from,
-                Pool& pool,
-                const ServiceName& to,
-                std::int64_t& missing,
-                const std::map<InstanceName, InstanceFacts>& facts,
-                LabelNeeds& needs,
-                SteadyTime now);
+  void MoveSurplus(const ServiceName& from,
+                   Pool& pool,
+                   const ServiceName& to,
+                   std::int64_t& missing,
+                   const std::map<InstanceName, InstanceFacts>& facts,
+                   LabelNeeds& needs,
+                   SteadyTime now);
   void ShrinkPools(const jobs::JobsState& state,
                    std::map<ServiceName, Pool>& pools,
                    const std::map<InstanceName, InstanceFacts>& facts,
@@ -200,12 +200,12 @@
   // Of every instance that was listed or has a worker; they stay with it.
   LabelNeeds::Labels labels;
   // The pool of an instance, and when that was last known to be so.
-  struct Place {
+  struct KnownPool {
     ServiceName service;
     SteadyTime known_at{};
   };
   // Instances of pools that are off, as listed or moved there since.
-  std::map<InstanceName, Place> idle;
+  std::map<InstanceName, KnownPool> known_pools;
   std::map<ServiceName, SteadyTime> surplus_since;
 };
 
--- a/libraries/maintenance/instance_listing.h
+++ b/libraries/maintenance/instance_listing.h
@@ -19,12 +19,12 @@
 // the time since the first of them was asked for. Pure.
 class InstanceListing {
  public:
-  // Takes in a whole list whose first page was asked for at `asked_at`. Where
-  // some of its rows don't tell which instance they are about, it shows nobody
-  // as gone.
-  void Take(std::vector<ListedInstance> instances,
-            SteadyTime asked_at,
-            bool has_nameless_rows = false);
+  // Takes in a whole list whose first page was asked for at `requested_at`.
+  // Where some of its rows don't tell which instance they are about, it shows
+  // nobody as gone.
+  void RecordList(std::vector<ListedInstance> instances,
+                  SteadyTime requested_at,
+                  bool has_nameless_rows = false);
 
   // The rows of the last list, and those of the one before that it lacks.
   const std::map<InstanceName, ListedInstance>& rows() const {
@@ -34,7 +34,9 @@
   const ListedInstance* Find(const InstanceName& name) const;
 
   // When the last list was asked for; nothing before the first.
-  std::optional<SteadyTime> asked_at() const { return this->last_asked_at; }
+  std::optional<SteadyTime> requested_at() const {
+    return this->last_requested_at;
+  }
 
   // True if some row of the last list may be that of any instance.
   bool has_nameless_rows() const { return this->is_last_incomplete; }
@@ -46,15 +48,15 @@
   std::map<InstanceName, ListedInstance> known;
   // True if the last two lists tell of each row which instance it is about.
   bool is_complete() const {
-    return !this->is_last_incomplete && !this->is_before_incomplete;
+    return !this->is_last_incomplete && !this->is_previous_incomplete;
   }
 
   // Rows of `known` that the last list lacks.
-  std::set<InstanceName> missed;
-  std::optional<SteadyTime> last_asked_at;
-  std::optional<SteadyTime> asked_before_at;
+  std::set<InstanceName> absent_rows;
+  std::optional<SteadyTime> last_requested_at;
+  std::optional<SteadyTime> previous_requested_at;
   bool is_last_incomplete = false;
-  bool is_before_incomplete = false;
+  bool is_previous_incomplete = false;
 };
 
 }  // namespace sumac::maintenance
--- a/libraries/maintenance/instance_messages.h
+++ b/libraries/maintenance/instance_messages.h
@@ -68,7 +68,7 @@
   // A higher fencing token was used for it.
   kFenced,
   // It is not of that wave.
-  kNotOfWave,
+  kNotInWave,
   // There is no such instance, or it can't go to that pool.
   kUnknownInstance,
   // The platform takes no more orders now, and did nothing.
--- a/libraries/maintenance/label_needs.cc
+++ b/libraries/maintenance/label_needs.cc
@@ -20,19 +20,20 @@
     : labels(labels) {
   for (const auto& [service, needed] : demand) {
     for (const auto& [label, labelled] : needed.by_label) {
-      this->asked.insert(label);
+      this->required_labels.insert(label);
     }
   }
 }
 
-std::set<std::string> LabelNeeds::AskedOf(const InstanceName& instance) const {
+std::set<std::string> LabelNeeds::RequiredLabelsOf(
+    const InstanceName& instance) const {
   std::set<std::string> found;
   const auto known = this->labels.find(instance);
-  if (this->asked.empty() || known == this->labels.end()) {
+  if (this->required_labels.empty() || known == this->labels.end()) {
     return found;
   }
   for (const std::string& label : known->second) {
-    if (this->asked.contains(label)) {
+    if (this->required_labels.contains(label)) {
       found.insert(label);
     }
   }
@@ -40,7 +41,7 @@
 }
 
 void LabelNeeds::Add(const ServiceName& pool, const InstanceName& instance) {
-  for (const std::string& label : this->AskedOf(instance)) {
+  for (const std::string& label : this->RequiredLabelsOf(instance)) {
     ++this->have[{pool, label}];
   }
 }
@@ -48,15 +49,15 @@
 void LabelNeeds::Move(const ServiceName& from,
                       const ServiceName& to,
                       const InstanceName& instance) {
-  for (const std::string& label : this->AskedOf(instance)) {
+  for (const std::string& label : this->RequiredLabelsOf(instance)) {
     --this->have[{from, label}];
     ++this->have[{to, label}];
   }
 }
 
-void LabelNeeds::Need(const ServiceName& pool,
-                      const std::string& label,
-                      std::int64_t instances) {
+void LabelNeeds::SetNeed(const ServiceName& pool,
+                         const std::string& label,
+                         std::int64_t instances) {
   this->needs[{pool, label}] = instances;
 }
 
@@ -80,18 +81,19 @@
 
 bool LabelNeeds::Has(const InstanceName& instance,
                      const std::string& label) const {
-  return this->AskedOf(instance).contains(label);
+  return this->RequiredLabelsOf(instance).contains(label);
 }
 
 bool LabelNeeds::CanSpare(const ServiceName& pool,
                           const InstanceName& instance) const {
-  const std::set<std::string> found = this->AskedOf(instance);
+  const std::set<std::string> found = this->RequiredLabelsOf(instance);
   return std::all_of(found.begin(), found.end(), [&](const auto& label) {
     return this->CountIn(pool, label) > this->NeedOf(pool, label);
   });
 }
 
-std::vector<std::pair<ServiceName, std::string>> LabelNeeds::Lacking() const {
+std::vector<std::pair<ServiceName, std::string>> LabelNeeds::FindShortages()
+    const {
   std::vector<std::tuple<bool, std::int64_t, Key>> order;
   for (const auto& [key, needed] : this->needs) {
     const std::int64_t count = Find(this->have, key);
@@ -100,12 +102,12 @@
     }
   }
   std::sort(order.begin(), order.end());
-  std::vector<Key> lacking;
-  lacking.reserve(order.size());
-  for (const auto& [has_some, lack, key] : order) {
-    lacking.push_back(key);
+  std::vector<Key> shortages;
+  shortages.reserve(order.size());
+  for (const auto& [has_some, negative_shortage, key] : order) {
+    shortages.push_back(key);
   }
-  return lacking;
+  return shortages;
 }
 
 }  // namespace sumac::maintenance
--- a/libraries/maintenance/label_needs.h
+++ b/libraries/maintenance/label_needs.h
@@ -31,9 +31,9 @@
             const ServiceName& to,
             const InstanceName& instance);
   // Says how many instances with a label a pool needs.
-  void Need(const ServiceName& pool,
-            const std::string& label,
-            std::int64_t instances);
+  void SetNeed(const ServiceName& pool,
+               const std::string& label,
+               std::int64_t instances);
 
   // How many instances of the pool, or of all pools, have the label.
   std::int64_t CountIn(const ServiceName& pool, const std::string& label) const;
@@ -46,15 +46,15 @@
 
   // Pools that lack a label that they need, with the label: those that have
   // none of it first, then those that lack most.
-  std::vector<std::pair<ServiceName, std::string>> Lacking() const;
+  std::vector<std::pair<ServiceName, std::string>> FindShortages() const;
 
  private:
   using Key = std::pair<ServiceName, std::string>;
 
-  std::set<std::string> AskedOf(const InstanceName& instance) const;
+  std::set<std::string> RequiredLabelsOf(const InstanceName& instance) const;
 
   const Labels& labels;
-  std::set<std::string> asked;
+  std::set<std::string> required_labels;
   std::map<Key, std::int64_t> have;
   std::map<Key, std::int64_t> needs;
 };
--- a/libraries/maintenance/maintenance_planner.cc
+++ b/libraries/maintenance/maintenance_planner.cc
@@ -19,7 +19,7 @@
       epoch(epoch),
       began_at(now) {}
 
-bool MaintenancePlanner::NeedsList(const jobs::JobsState& state) {
+bool MaintenancePlanner::NeedsListing(const jobs::JobsState& state) {
   return std::any_of(state.waves().begin(), state.waves().end(),
                      [](const auto& wave) { return !wave.second.is_done(); });
 }
@@ -33,7 +33,7 @@
   MaintenanceOutput output;
   for (const auto& [id, wave] : state.waves()) {
     if (wave.is_done()) {
-      this->first_looks.erase(id);
+      this->first_passes.erase(id);
     } else {
       this->PlanWave(wave, {facts, listing}, wall_now, now, output);
     }
@@ -46,37 +46,38 @@
 
 // How many instances should be on their way at once, so that the wave ends
 // somewhat before its time.
-std::uint32_t MaintenancePlanner::WantedAtOnce(const jobs::Wave& wave,
-                                               WallTime wall_now) const {
-  std::int64_t left = 0;
+std::uint32_t MaintenancePlanner::WantedInProgress(const jobs::Wave& wave,
+                                                   WallTime wall_now) const {
+  std::int64_t remaining = 0;
   for (const auto& [name, instance] : wave.instances) {
-    left +=
+    remaining +=
         static_cast<std::int64_t>(instance.state != MaintenanceState::kOver);
   }
-  const Milliseconds each =
+  const Milliseconds time_per_instance =
       this->settings.maintenance_time + this->settings.overhead;
   // A fifth of the ramp is kept as reserve.
   const Milliseconds time_left = wave.started_at + wave.ramp * 4 / 5 - wall_now;
-  if (time_left <= each) {
+  if (time_left <= time_per_instance) {
     return wave.most_at_once;
   }
   const std::int64_t needed =
-      (left * each.count() + time_left.count() - 1) / time_left.count();
+      (remaining * time_per_instance.count() + time_left.count() - 1) /
+      time_left.count();
   return static_cast<std::uint32_t>(std::clamp<std::int64_t>(
       needed + 1, 1, static_cast<std::int64_t>(wave.most_at_once)));
 }
 
 void MaintenancePlanner::PlanWave(const jobs::Wave& wave,
-                                  const Sight& sight,
+                                  const PlanInputs& inputs,
                                   WallTime wall_now,
                                   SteadyTime now,
                                   MaintenanceOutput& output) {
-  const auto& facts = sight.facts;
-  const SteadyTime first_look =
-      this->first_looks.try_emplace(wave.id, now).first->second;
+  const auto& facts = inputs.facts;
+  const SteadyTime first_pass =
+      this->first_passes.try_emplace(wave.id, now).first->second;
   const bool may_order = !this->has_been_fenced &&
-                         now - this->began_at > this->settings.holder_pause;
-  std::uint32_t on_their_way = wave.CountDown();
+                         now - this->began_at > this->settings.takeover_pause;
+  std::uint32_t in_progress = wave.CountDown();
   std::vector<std::pair<std::int64_t, InstanceName>> candidates;
   for (const auto& [name, instance] : wave.instances) {
     if (instance.state == MaintenanceState::kOrdered) {
@@ -85,29 +86,30 @@
       // place for tasks that the order would then end.
       this->cordons.try_emplace(name, Cordon{now});
       if (may_order) {
-        this->FollowOrdered(wave, name, facts, now, output);
+        this->AdvanceOrdered(wave, name, facts, now, output);
       }
     } else if (instance.state == MaintenanceState::kBegun) {
-      if (auto reason = this->WhyOver(name, instance, sight, now)) {
-        RecordOver(wave, name, *std::move(reason), output);
+      if (auto reason =
+              this->FindCompletionReason(name, instance, inputs, now)) {
+        RecordCompletion(wave, name, *std::move(reason), output);
       }
     } else if (instance.state == MaintenanceState::kWaiting) {
       const auto known = facts.find(name);
       // NOTE: A wave names instances that exist when it is declared. One may be
       // so new that no worker of it was heard of and that a list from before
-      // the wave lacks it: it would be left out, and the wave be told to be
-      // done.
-      if (known == facts.end() && sight.listing.IsGone(name, first_look)) {
-        RecordOver(wave, name, "it is gone: no list shows it", output);
+      // the wave lacks it: it would be remaining out, and the wave be told to
+      // be done.
+      if (known == facts.end() && inputs.listing.IsGone(name, first_pass)) {
+        RecordCompletion(wave, name, "it is gone: no list shows it", output);
         this->cordons.erase(name);
         continue;
       }
-      if (known == facts.end() && !sight.listing.rows().contains(name)) {
+      if (known == facts.end() && !inputs.listing.rows().contains(name)) {
         // The next list tells.
         continue;
       }
       if (this->cordons.contains(name)) {
-        ++on_their_way;
+        ++in_progress;
       } else if (known != facts.end() && known->second.is_moving) {
         continue;
       }
@@ -122,7 +124,7 @@
     return;
   }
   std::sort(candidates.begin(), candidates.end());
-  const std::uint32_t wanted = this->WantedAtOnce(wave, wall_now);
+  const std::uint32_t wanted = this->WantedInProgress(wave, wall_now);
   for (const auto& [load, name] : candidates) {
     const auto cordon = this->cordons.find(name);
     if (cordon == this->cordons.end()) {
@@ -130,10 +132,10 @@
       const bool is_early =
           open != this->open_orders.end() && now < open->second.due;
       // One that is off costs no capacity: the wave's own bound is enough.
-      const std::uint32_t most =
+      const std::uint32_t limit =
           facts.contains(name) ? wanted : wave.most_at_once;
-      if (on_their_way < most && !is_early) {
-        ++on_their_way;
+      if (in_progress < limit && !is_early) {
+        ++in_progress;
         this->cordons.emplace(name, Cordon{now});
       }
       continue;
@@ -165,11 +167,11 @@
   // An own order was ready before; its worker may have ended with it since, and
   // what ran there be counted still.
   return known->second.other_runs == 0 || this->own_orders.contains(name) ||
-         now - this->cordons.at(name).since > this->settings.longest_wait;
+         now - this->cordons.at(name).since > this->settings.max_drain_time;
 }
 
 // Gives the order, again and again until there is a clear answer.
-void MaintenancePlanner::FollowOrdered(
+void MaintenancePlanner::AdvanceOrdered(
     const jobs::Wave& wave,
     const InstanceName& name,
     const std::map<InstanceName, InstanceFacts>& facts,
@@ -194,10 +196,10 @@
 
 // An instance is back once another worker than before answers there, or, where
 // none ran, once the platform lists it as out of its maintenance.
-std::optional<std::string> MaintenancePlanner::WhyOver(
+std::optional<std::string> MaintenancePlanner::FindCompletionReason(
     const InstanceName& name,
     const jobs::InstanceMaintenance& maintenance,
-    const Sight& sight,
+    const PlanInputs& inputs,
     SteadyTime now) const {
   // A worker that began just before the maintenance may announce itself late.
   const auto order = this->open_orders.find(name);
@@ -206,36 +208,37 @@
   if (now - begun_at < this->settings.maintenance_time) {
     return std::nullopt;
   }
-  const auto known = sight.facts.find(name);
-  if (known != sight.facts.end() && !known->second.is_only_announced &&
+  const auto known = inputs.facts.find(name);
+  if (known != inputs.facts.end() && !known->second.is_only_announced &&
       known->second.worker != maintenance.worker) {
     return StrCat("worker ", known->second.worker.value(), " answers there");
   }
   // The platform may list what it was ordered a moment later.
   const SteadyTime since = is_own ? order->second.due : this->began_at;
-  if (sight.listing.IsGone(name, since)) {
+  if (inputs.listing.IsGone(name, since)) {
     return "it is gone: no list shows it";
   }
-  const ListedInstance* row = sight.listing.Find(name);
-  const bool is_listed_as_back =
-      row != nullptr && row->state != InstanceState::kInMaintenance &&
-      row->state != InstanceState::kUnknown && sight.listing.asked_at() > since;
+  const ListedInstance* row = inputs.listing.Find(name);
+  const bool is_listed_as_back = row != nullptr &&
+                                 row->state != InstanceState::kInMaintenance &&
+                                 row->state != InstanceState::kUnknown &&
+                                 inputs.listing.requested_at() > since;
   if (!maintenance.worker.value().empty() || !is_listed_as_back) {
     return std::nullopt;
   }
   return StrCat("it is listed as ", NameOf(row->state));
 }
 
-void MaintenancePlanner::RecordOver(const jobs::Wave& wave,
-                                    const InstanceName& name,
-                                    std::string reason,
-                                    MaintenanceOutput& output) {
+void MaintenancePlanner::RecordCompletion(const jobs::Wave& wave,
+                                          const InstanceName& name,
+                                          std::string reason,
+                                          MaintenanceOutput& output) {
   output.commands.emplace_back(
       jobs::RecordMaintenance{wave.id, name, MaintenanceState::kOver, {}});
-  output.notes.push_back({wave.id, name, std::move(reason)});
+  output.completions.push_back({wave.id, name, std::move(reason)});
 }
 
-std::vector<jobs::Command> MaintenancePlanner::TakeResult(
+std::vector<jobs::Command> MaintenancePlanner::HandleOrderResult(
     const jobs::JobsState& state,
     const InstanceOrder& order,
     InstanceResult result,
@@ -268,7 +271,7 @@
       // was carried out without an answer; then it goes on counting as down.
       const bool may_be_down =
           open.unanswered_at &&
-          now - *open.unanswered_at < this->settings.longest_delay;
+          now - *open.unanswered_at < this->settings.max_order_delay;
       if (!may_be_down) {
         open.unanswered_at.reset();
         this->cordons.erase(order.instance);
@@ -277,7 +280,7 @@
       }
       break;
     }
-    case InstanceResult::kNotOfWave:
+    case InstanceResult::kNotInWave:
     case InstanceResult::kUnknownInstance:
       this->cordons.erase(order.instance);
       record(MaintenanceState::kOver);
--- a/libraries/maintenance/maintenance_planner.h
+++ b/libraries/maintenance/maintenance_planner.h
@@ -22,16 +22,16 @@
 struct MaintenanceSettings {
   // A new leader gives no orders about instances for this long, so that its
   // orders never take turns with those of the one before.
-  Milliseconds holder_pause{3'000};
+  Milliseconds takeover_pause{3'000};
   // How long an instance is down for its maintenance.
   Milliseconds maintenance_time{2'000};
   // What it takes beside that to empty an instance and see it back.
   Milliseconds overhead{2'500};
   // Runs that did not end by themselves within this are ended with their
   // instance.
-  Milliseconds longest_wait{6'000};
+  Milliseconds max_drain_time{6'000};
   // An order that was not answered is carried out within this, if at all.
-  Milliseconds longest_delay{12'000};
+  Milliseconds max_order_delay{12'000};
   // Before an order that was not answered, or not taken, is given again.
   Milliseconds retry{400};
 };
@@ -59,7 +59,7 @@
 };
 
 // Why an instance of a wave counts as done, for the log.
-struct InstanceNote {
+struct InstanceCompletion {
   WaveId wave;
   InstanceName instance;
   std::string reason;
@@ -70,7 +70,7 @@
   std::set<InstanceName> cordoned;
   std::vector<jobs::Command> commands;
   std::vector<InstanceOrder> orders;
-  std::vector<InstanceNote> notes;
+  std::vector<InstanceCompletion> completions;
 };
 
 // Decides, for the leader, which instances of a maintenance wave go next: it
@@ -90,13 +90,13 @@
                          SteadyTime now);
 
   // Takes in what became of an order, and gives what is to be committed.
-  std::vector<jobs::Command> TakeResult(const jobs::JobsState& state,
-                                        const InstanceOrder& order,
-                                        InstanceResult result,
-                                        SteadyTime now);
+  std::vector<jobs::Command> HandleOrderResult(const jobs::JobsState& state,
+                                               const InstanceOrder& order,
+                                               InstanceResult result,
+                                               SteadyTime now);
 
   // True if a wave is under way, so that a fresh list is of use.
-  static bool NeedsList(const jobs::JobsState& state);
+  static bool NeedsListing(const jobs::JobsState& state);
 
   // True once an order was refused for a higher fencing token: this leader
   // gives no more.
@@ -117,36 +117,37 @@
   };
 
   // What is known of instances in one look.
-  struct Sight {
+  struct PlanInputs {
     const std::map<InstanceName, InstanceFacts>& facts;
     const InstanceListing& listing;
   };
 
   void PlanWave(const jobs::Wave& wave,
-                const Sight& sight,
+                const PlanInputs& inputs,
                 WallTime wall_now,
                 SteadyTime now,
                 MaintenanceOutput& output);
   bool IsReady(const InstanceName& name,
                const std::map<InstanceName, InstanceFacts>& facts,
                SteadyTime now) const;
-  void FollowOrdered(const jobs::Wave& wave,
-                     const InstanceName& name,
-                     const std::map<InstanceName, InstanceFacts>& facts,
-                     SteadyTime now,
-                     MaintenanceOutput& output);
+  void AdvanceOrdered(const jobs::Wave& wave,
+                      const InstanceName& name,
+                      const std::map<InstanceName, InstanceFacts>& facts,
+                      SteadyTime now,
+                      MaintenanceOutput& output);
   // Why an instance whose maintenance has begun counts as done; nothing while
   // it doesn't.
-  std::optional<std::string> WhyOver(
+  std::optional<std::string> FindCompletionReason(
       const InstanceName& name,
       const jobs::InstanceMaintenance& maintenance,
-      const Sight& sight,
+      const PlanInputs& inputs,
       SteadyTime now) const;
-  static void RecordOver(const jobs::Wave& wave,
-                         const InstanceName& name,
-                         std::string reason,
-                         MaintenanceOutput& output);
-  std::uint32_t WantedAtOnce(const jobs::Wave& wave, WallTime wall_now) const;
+  static void RecordCompletion(const jobs::Wave& wave,
+                               const InstanceName& name,
+                               std::string reason,
+                               MaintenanceOutput& output);
+  std::uint32_t WantedInProgress(const jobs::Wave& wave,
+                                 WallTime wall_now) const;
 
   MaintenanceSettings settings;
   ProcessName holder;
@@ -158,7 +159,7 @@
   // Instances whose order this leader is the first to give.
   std::set<InstanceName> own_orders;
   // When this leader first looked at each wave that is under way.
-  std::map<WaveId, SteadyTime> first_looks;
+  std::map<WaveId, SteadyTime> first_passes;
 };
 
 }  // namespace sumac::maintenance
--- a/libraries/relay/relay_clock.cc
+++ b/libraries/relay/relay_clock.cc
@@ -9,14 +9,14 @@
 // Two spans of readings are used. Over both of them clocks that drift by one
 // part in two hundred differ by 20 ms, less than half of the margin on a
 // leader's lease.
-constexpr Milliseconds kSpanTime{2'000};
+constexpr Milliseconds kSpanLength{2'000};
 
 }  // namespace
 
-void RelayClock::NoteReading(RelayTime reading, SteadyTime now) {
+void RelayClock::RecordReading(RelayTime reading, SteadyTime now) {
   const std::int64_t difference =
       reading.value() - now.time_since_epoch().count();
-  if (this->current && now - this->current->began < kSpanTime) {
+  if (this->current && now - this->current->began < kSpanLength) {
     this->current->difference = std::max(this->current->difference, difference);
     return;
   }
@@ -24,11 +24,11 @@
   this->current = Span{now, difference};
 }
 
-std::optional<RelayTime> RelayClock::EarliestAt(SteadyTime time,
-                                                SteadyTime now) const {
+std::optional<RelayTime> RelayClock::LowerBoundAt(SteadyTime time,
+                                                  SteadyTime now) const {
   std::optional<std::int64_t> difference;
   for (const std::optional<Span>& span : {this->current, this->previous}) {
-    if (span && now - span->began < 2 * kSpanTime) {
+    if (span && now - span->began < 2 * kSpanLength) {
       difference =
           std::max(difference.value_or(span->difference), span->difference);
     }
--- a/libraries/relay/relay_clock.h
+++ b/libraries/relay/relay_clock.h
@@ -17,10 +17,10 @@
 class RelayClock {
  public:
   // Takes in a reading that came at `now` at the latest.
-  void NoteReading(RelayTime reading, SteadyTime now);
+  void RecordReading(RelayTime reading, SteadyTime now);
 
   // What the clock shows at `time` at least; nothing without a fresh reading.
-  std::optional<RelayTime> EarliestAt(SteadyTime time, SteadyTime now) const;
+  std::optional<RelayTime> LowerBoundAt(SteadyTime time, SteadyTime now) const;
 
  private:
   // The largest difference between the two clocks in one span of time.
--- a/libraries/relay/relay_codec.cc
+++ b/libraries/relay/relay_codec.cc
@@ -42,7 +42,7 @@
 }
 
 // Gives each text of a batch its place. Views into the calls that are written.
-class TextPlaces {
+class TextTable {
  public:
   std::uint32_t Find(std::string_view text) {
     const auto [place, is_new] = this->places.try_emplace(
@@ -77,7 +77,7 @@
 // Writes each kind of call.
 struct BodyWriter {
   wire::RelayedCall::Builder builder;
-  TextPlaces& texts;
+  TextTable& texts;
 
   void operator()(const RenewCall& call) {
     this->WriteTarget(call.order);
@@ -268,7 +268,7 @@
 
 void WriteCalls(const std::vector<RelayCall>& calls,
                 wire::RelayedCalls::Builder builder) {
-  TextPlaces texts;
+  TextTable texts;
   auto list = builder.initCalls(calls.size());
   for (unsigned place = 0; place < calls.size(); ++place) {
     list[place].setId(calls[place].id);
--- a/libraries/relay/relay_link.cc
+++ b/libraries/relay/relay_link.cc
@@ -18,18 +18,18 @@
 constexpr Milliseconds kOpenInterval{500};
 // A relay that does not answer within this is given up: workers' leases outlast
 // several such times.
-constexpr Milliseconds kRelayLimit{1'000};
+constexpr Milliseconds kRelayTimeout{1'000};
 // Renewals wait this long for others, so that a batch carries several; orders
 // leave at once.
-constexpr Milliseconds kGatherTime{10};
+constexpr Milliseconds kBatchDelay{10};
 // Beyond the time that a call takes its worker, twice if its connection turns
 // out to be closed, for the way to the relay and its turn there.
 constexpr Milliseconds kAnswerSlack{2'000};
-constexpr int kTries = 2;
+constexpr int kMaxTries = 2;
 // Without calls the relay's clock is read this often.
-constexpr Milliseconds kClockInterval{1'000};
+constexpr Milliseconds kClockReadInterval{1'000};
 // A message of some hundred kilobytes; the largest that is taken is 64 MiB.
-constexpr std::size_t kMostCallsOfBatch = 512;
+constexpr std::size_t kMaxCallsPerBatch = 512;
 
 bool IsOrder(const CallBody& body) {
   return !std::holds_alternative<RenewCall>(body) &&
@@ -73,7 +73,7 @@
       tasks(*this) {}
 
 RelayLink::~RelayLink() {
-  this->host.note_change = [] {};
+  this->host.on_change = [] {};
   this->Close("the leadership is over");
 }
 
@@ -90,7 +90,7 @@
   request.setEpoch(this->epoch.value());
   request.setAnswers(kj::mv(new_sink));
   auto opened = this->channel.Guard(
-      kRelayLimit,
+      kRelayTimeout,
       request.send().then(
           [](auto&& response)
               -> kj::Own<capnp::Response<wire::Peer::OpenRelayResults>> {
@@ -106,9 +106,9 @@
           this->Close(answer.message);
           return;
         }
-        this->TakeOpened(response->getRelay(),
-                         RelayTime(response->getClockMs()),
-                         DataCentre(wire::ToString(response->getDataCentre())));
+        this->FinishOpening(
+            response->getRelay(), RelayTime(response->getClockMs()),
+            DataCentre(wire::ToString(response->getDataCentre())));
       },
       [this, own_generation](kj::Exception&& exception) {
         if (own_generation == this->generation) {
@@ -117,21 +117,21 @@
       }));
 }
 
-void RelayLink::TakeOpened(wire::Relay::Client new_relay,
-                           RelayTime reading,
-                           DataCentre data_centre) {
+void RelayLink::FinishOpening(wire::Relay::Client new_relay,
+                              RelayTime reading,
+                              DataCentre data_centre) {
   this->relay = kj::mv(new_relay);
   this->relay_data_centre = std::move(data_centre);
   this->relay_clock = RelayClock();
   this->clock_read_at = this->clock.SteadyNow();
   this->answered_at = this->clock_read_at;
-  this->relay_clock.NoteReading(reading, this->clock_read_at);
+  this->relay_clock.RecordReading(reading, this->clock_read_at);
   this->state = State::kOpen;
   LogEvent(LogLevel::kInfo, "relay-opened",
            {{"relay", this->channel.address()},
             {"data_centre", this->relay_data_centre.value()},
             {"epoch", this->epoch.value()}});
-  this->host.note_change();
+  this->host.on_change();
 }
 
 // What has left may still be carried out; what has not never will.
@@ -156,7 +156,7 @@
              {{"relay", this->channel.address()},
               {"reason", reason},
               {"open_calls", lost.size()}});
-    this->host.note_change();
+    this->host.on_change();
   }
 }
 
@@ -174,9 +174,9 @@
     overdue.push_back(id);
   }
   for (const std::uint64_t id : overdue) {
-    this->LoseCall(id);
+    this->GiveUpCall(id);
   }
-  if (this->is_open() && now - this->clock_read_at >= kClockInterval) {
+  if (this->is_open() && now - this->clock_read_at >= kClockReadInterval) {
     KJ_IF_MAYBE (present, this->relay) {
       this->SendBatch(*present, {});
     }
@@ -185,7 +185,7 @@
 
 // One call without an answer among others that were answered says nothing
 // against the relay.
-void RelayLink::LoseCall(std::uint64_t id) {
+void RelayLink::GiveUpCall(std::uint64_t id) {
   ++this->done.lost;
   this->Fulfill({id, scheduler::OrderResult::kRelayLost});
 }
@@ -198,12 +198,12 @@
   const SteadyTime now = this->clock.SteadyNow();
   auto paf = kj::newPromiseAndFulfiller<RelayAnswer>();
   this->open.emplace(id, OpenCall{kj::mv(paf.fulfiller), now,
-                                  now + kTries * limit + kAnswerSlack});
+                                  now + kMaxTries * limit + kAnswerSlack});
   this->Enqueue(std::move(body), id);
   return kj::mv(paf.promise);
 }
 
-void RelayLink::Forget(const WorkerId& worker) {
+void RelayLink::CloseConnectionsTo(const WorkerId& worker) {
   if (this->is_open()) {
     this->Enqueue(ForgetCall{worker}, ++this->last_id);
   }
@@ -217,14 +217,14 @@
 
 // Orders of one pass leave together, with all renewals that wait.
 void RelayLink::ScheduleFlush(bool is_urgent) {
-  if (is_urgent && !std::exchange(this->is_flush_near, true)) {
+  if (is_urgent && !std::exchange(this->is_urgent_flush_scheduled, true)) {
     this->tasks.add(kj::evalLater([this] {
-      this->is_flush_near = false;
+      this->is_urgent_flush_scheduled = false;
       this->Flush();
     }));
   }
   if (!is_urgent && !std::exchange(this->is_flush_scheduled, true)) {
-    this->tasks.add(this->timer.afterDelay(ToKj(kGatherTime)).then([this] {
+    this->tasks.add(this->timer.afterDelay(ToKj(kBatchDelay)).then([this] {
       this->is_flush_scheduled = false;
       this->Flush();
     }));
@@ -255,7 +255,7 @@
 
 void RelayLink::SendQueue(wire::Relay::Client& present, SteadyTime lease_end) {
   const std::optional<RelayTime> expires =
-      this->relay_clock.EarliestAt(lease_end, this->clock.SteadyNow());
+      this->relay_clock.LowerBoundAt(lease_end, this->clock.SteadyNow());
   if (!expires) {
     this->Close("its clock is not known any more");
     return;
@@ -264,7 +264,7 @@
   for (RelayCall& call : std::exchange(this->queue, {})) {
     call.expires = *expires;
     batch.push_back(std::move(call));
-    if (batch.size() == kMostCallsOfBatch) {
+    if (batch.size() == kMaxCallsPerBatch) {
       this->SendBatch(present, batch);
       batch.clear();
     }
@@ -282,14 +282,14 @@
   this->done.calls += calls.size();
   ++this->done.batches;
   this->clock_read_at = this->clock.SteadyNow();
-  auto carried =
-      this->channel.Guard(kRelayLimit, request.send().then([](auto&& response) {
-        return RelayTime(response.getClockMs());
-      }));
+  auto carried = this->channel.Guard(kRelayTimeout,
+                                     request.send().then([](auto&& response) {
+                                       return RelayTime(response.getClockMs());
+                                     }));
   this->tasks.add(carried.then(
       [this, own_generation = this->generation](RelayTime reading) {
         if (own_generation == this->generation) {
-          this->relay_clock.NoteReading(reading, this->clock.SteadyNow());
+          this->relay_clock.RecordReading(reading, this->clock.SteadyNow());
         }
       },
       [this, own_generation = this->generation](kj::Exception&& exception) {
@@ -300,8 +300,8 @@
 }
 
 void RelayLink::Take(wire::RelayedAnswers::Reader answers) {
-  this->relay_clock.NoteReading(RelayTime(answers.getClockMs()),
-                                this->clock.SteadyNow());
+  this->relay_clock.RecordReading(RelayTime(answers.getClockMs()),
+                                  this->clock.SteadyNow());
   this->answered_at = this->clock.SteadyNow();
   ++this->done.answer_batches;
   for (const auto item : answers.getAnswers()) {
--- a/libraries/relay/relay_link.h
+++ b/libraries/relay/relay_link.h
@@ -33,7 +33,7 @@
     // When the leader's lease ends; nothing while it has none.
     std::function<std::optional<SteadyTime>()> lease_end;
     // The relay can be used from now on, or no more.
-    std::function<void()> note_change;
+    std::function<void()> on_change;
   };
 
   RelayLink(rpc::Channel& channel,
@@ -56,11 +56,11 @@
   const RelayCounts& counts() const { return this->done; }
   std::size_t open_calls() const { return this->open.size(); }
 
-  // Has the relay make a call that takes a worker up to `limit`; the promise
-  // never fails. Without a relay the result is kNotSent.
+  // Has the relay make a call that takes a worker up to `worker_timeout`; the
+  // promise never fails. Without a relay the result is kNotSent.
   kj::Promise<RelayAnswer> Call(CallBody body, Milliseconds limit);
   // Has the relay close its connections to a worker.
-  void Forget(const WorkerId& worker);
+  void CloseConnectionsTo(const WorkerId& worker);
 
  private:
   enum class State { kClosed, kOpening, kOpen };
@@ -74,9 +74,9 @@
 
   void taskFailed(kj::Exception&& exception) override;
 
-  void TakeOpened(wire::Relay::Client relay,
-                  RelayTime reading,
-                  DataCentre data_centre);
+  void FinishOpening(wire::Relay::Client relay,
+                     RelayTime reading,
+                     DataCentre data_centre);
   void Close(const std::string& reason);
   void Enqueue(CallBody body, std::uint64_t id);
   void ScheduleFlush(bool is_urgent);
@@ -85,7 +85,7 @@
   void SendQueue(wire::Relay::Client& relay, SteadyTime lease_end);
   void SendBatch(wire::Relay::Client& relay,
                  const std::vector<RelayCall>& calls);
-  void LoseCall(std::uint64_t id);
+  void GiveUpCall(std::uint64_t id);
   void Take(wire::RelayedAnswers::Reader answers);
   void Fulfill(RelayAnswer&& answer);
 
@@ -109,7 +109,7 @@
   std::uint64_t last_id = 0;
   std::vector<RelayCall> queue;
   std::unordered_map<std::uint64_t, OpenCall> open;
-  bool is_flush_near = false;
+  bool is_urgent_flush_scheduled = false;
   bool is_flush_scheduled = false;
   RelayCounts done;
   kj::TaskSet tasks;
--- a/libraries/relay/relay_routes.cc
+++ b/libraries/relay/relay_routes.cc
@@ -13,7 +13,7 @@
 constexpr Milliseconds kAvoidTime{5'000};
 
 // Spreads the pairs of workers and relays evenly.
-std::uint64_t Mix(std::uint64_t worker, std::uint64_t relay) {
+std::uint64_t HashPair(std::uint64_t worker, std::uint64_t relay) {
   constexpr std::uint64_t kOdd = 0x9e3779b97f4a7c15ULL;
   constexpr int kShift = 29;
   std::uint64_t mixed = (worker ^ (relay + 1) * kOdd) * kOdd;
@@ -49,9 +49,9 @@
   return route.relay;
 }
 
-void RelayRoutes::NoteFailure(const WorkerId& worker,
-                              std::size_t relay,
-                              SteadyTime now) {
+void RelayRoutes::RecordFailure(const WorkerId& worker,
+                                std::size_t relay,
+                                SteadyTime now) {
   const auto route = this->routes.find(worker);
   // An answer of the relay before says nothing about the present one, nor do
   // further answers of one burst.
@@ -71,7 +71,7 @@
   const std::uint64_t hash = std::hash<WorkerId>()(worker);
   std::vector<std::tuple<bool, std::uint64_t, std::size_t>> order;
   for (const auto& [relay, place] : this->relays) {
-    order.emplace_back(place == data_centre, Mix(hash, relay), relay);
+    order.emplace_back(place == data_centre, HashPair(hash, relay), relay);
   }
   std::sort(order.rbegin(), order.rend());
   const std::size_t turn = failures % (order.size() + 1);
--- a/libraries/relay/relay_routes.h
+++ b/libraries/relay/relay_routes.h
@@ -34,8 +34,8 @@
                    SteadyTime now);
 
   // Takes in that a call by this relay had no answer.
-  void NoteFailure(const WorkerId& worker, std::size_t relay, SteadyTime now);
-  void Forget(const WorkerId& worker) { this->routes.erase(worker); }
+  void RecordFailure(const WorkerId& worker, std::size_t relay, SteadyTime now);
+  void RemoveWorker(const WorkerId& worker) { this->routes.erase(worker); }
 
  private:
   struct Route {
--- a/libraries/relay/relay_service.cc
+++ b/libraries/relay/relay_service.cc
@@ -16,9 +16,9 @@
 
 // Answers leave at once, but for those that come within this after others: a
 // batch costs the leader more than an answer in it.
-constexpr Milliseconds kGatherTime{10};
+constexpr Milliseconds kBatchDelay{10};
 // A report may list hundreds of ends, and a message is taken up to 64 MiB.
-constexpr std::size_t kMostAnswersOfBatch = 256;
+constexpr std::size_t kMaxAnswersPerBatch = 256;
 
 }  // namespace
 
@@ -111,14 +111,14 @@
 }
 
 void RelayService::ScheduleFlush() {
-  if (this->is_flush_scheduled || this->is_batch_open || this->is_cut_off ||
-      this->queue.empty()) {
+  if (this->is_flush_scheduled || this->is_batch_in_flight ||
+      this->is_cut_off || this->queue.empty()) {
     return;
   }
   this->is_flush_scheduled = true;
   const SteadyTime now = this->clock.SteadyNow();
-  const Milliseconds pause = std::clamp(this->flushed_at + kGatherTime - now,
-                                        Milliseconds(0), kGatherTime);
+  const Milliseconds pause = std::clamp(this->flushed_at + kBatchDelay - now,
+                                        Milliseconds(0), kBatchDelay);
   this->tasks.add(this->timer.afterDelay(ToKj(pause)).then([this] {
     this->is_flush_scheduled = false;
     this->Flush();
@@ -132,14 +132,14 @@
   auto request = this->answers.takeRequest();
   auto batch = request.initAnswers();
   batch.setClockMs(this->flushed_at.time_since_epoch().count());
-  const std::size_t count = std::min(this->queue.size(), kMostAnswersOfBatch);
+  const std::size_t count = std::min(this->queue.size(), kMaxAnswersPerBatch);
   const auto end = this->queue.begin() + static_cast<std::ptrdiff_t>(count);
   WriteAnswers({this->queue.data(), count}, batch);
   this->queue.erase(this->queue.begin(), end);
-  this->is_batch_open = true;
+  this->is_batch_in_flight = true;
   this->tasks.add(request.send().ignoreResult().then(
       [this] {
-        this->is_batch_open = false;
+        this->is_batch_in_flight = false;
         this->ScheduleFlush();
       },
       [this](kj::Exception&& exception) {
--- a/libraries/relay/relay_service.h
+++ b/libraries/relay/relay_service.h
@@ -67,7 +67,7 @@
   std::vector<RelayAnswer> queue;
   bool is_flush_scheduled = false;
   // The leader has not taken the last batch yet.
-  bool is_batch_open = false;
+  bool is_batch_in_flight = false;
   // The leader is gone; nothing is sent to it any more.
   bool is_cut_off = false;
   SteadyTime flushed_at{};
--- a/libraries/relay/relayed_calls.cc
+++ b/libraries/relay/relayed_calls.cc
@@ -8,7 +8,7 @@
 namespace {
 
 // Time limits of a worker's answer, as its relay applies them.
-constexpr Milliseconds kOrderLimit{400};
+constexpr Milliseconds kAnswerTimeout{400};
 
 // True if another way to the worker may do better: it may have kept silent, or
 // the relay did not do its part.
@@ -36,8 +36,8 @@
                            Host host)
     : own(std::move(own)), timer(timer), epoch(epoch), host(std::move(host)) {}
 
-void RelayedCalls::Sync(const std::set<ProcessName>& controllers,
-                        SteadyTime now) {
+void RelayedCalls::UpdateRelays(const std::set<ProcessName>& controllers,
+                                SteadyTime now) {
   for (auto item = this->relays.begin(); item != this->relays.end();) {
     if (controllers.contains(item->first)) {
       ++item;
@@ -69,12 +69,12 @@
       *channel, this->timer, this->epoch,
       RelayLink::Host{
           .lease_end = this->host.lease_end,
-          .note_change = [this, number] { this->NoteChange(number); }});
+          .on_change = [this, number] { this->UpdateRoute(number); }});
   this->links.push_back(link.get());
   this->relays.emplace(controller, Relay{number, std::move(link)});
 }
 
-void RelayedCalls::NoteChange(std::size_t number) {
+void RelayedCalls::UpdateRoute(std::size_t number) {
   const RelayLink* link = this->links[number];
   if (link->is_open()) {
     this->routes->Add(number, link->data_centre());
@@ -91,10 +91,10 @@
                : this->routes->Find(worker, this->host.data_centre_of(worker),
                                     this->clock.SteadyNow());
   if (number == RelayRoutes::kLeader) {
-    this->own_workers.insert(worker);
+    this->directly_called_workers.insert(worker);
     return nullptr;
   }
-  if (this->own_workers.erase(worker) > 0) {
+  if (this->directly_called_workers.erase(worker) > 0) {
     this->own.forget(worker);
   }
   return this->links[number];
@@ -108,7 +108,7 @@
   return link.Call(std::move(body), limit)
       .then([kept = this->routes, worker, number](RelayAnswer&& answer) {
         if (HasFailed(answer)) {
-          kept->NoteFailure(worker, number, SystemClock().SteadyNow());
+          kept->RecordFailure(worker, number, SystemClock().SteadyNow());
         }
         return std::move(answer);
       });
@@ -139,8 +139,8 @@
   if (link == nullptr) {
     return this->own.renew(order);
   }
-  return this->Relayed(order.worker, RenewCall{order}, order.wait + kOrderLimit,
-                       *link, number);
+  return this->Relayed(order.worker, RenewCall{order},
+                       order.wait + kAnswerTimeout, *link, number);
 }
 
 kj::Promise<scheduler::RenewAnswer> RelayedCalls::RequestReport(
@@ -150,7 +150,7 @@
   if (link == nullptr) {
     return this->own.request_report(order);
   }
-  return this->Relayed(order.worker, ReportCall{order}, kOrderLimit, *link,
+  return this->Relayed(order.worker, ReportCall{order}, kAnswerTimeout, *link,
                        number);
 }
 
@@ -161,19 +161,20 @@
   if (link == nullptr) {
     return this->own.send(order);
   }
-  return this->Call(WorkerOf(order), ToBody(order), kOrderLimit, *link, number)
+  return this
+      ->Call(WorkerOf(order), ToBody(order), kAnswerTimeout, *link, number)
       .then([](RelayAnswer&& answer) {
         return scheduler::OrderAnswer{.result = answer.result,
                                       .clock = answer.clock};
       });
 }
 
-void RelayedCalls::Forget(const WorkerId& worker) {
-  this->routes->Forget(worker);
-  this->own_workers.erase(worker);
+void RelayedCalls::RemoveWorker(const WorkerId& worker) {
+  this->routes->RemoveWorker(worker);
+  this->directly_called_workers.erase(worker);
   this->own.forget(worker);
   for (const auto& [controller, relay] : this->relays) {
-    relay.link->Forget(worker);
+    relay.link->CloseConnectionsTo(worker);
   }
 }
 
--- a/libraries/relay/relayed_calls.h
+++ b/libraries/relay/relayed_calls.h
@@ -48,13 +48,13 @@
 
   // Takes in which other controllers may be relays, and looks after those that
   // are. Called often.
-  void Sync(const std::set<ProcessName>& controllers, SteadyTime now);
+  void UpdateRelays(const std::set<ProcessName>& controllers, SteadyTime now);
 
   kj::Promise<scheduler::RenewAnswer> Renew(const scheduler::RenewOrder& order);
   kj::Promise<scheduler::RenewAnswer> RequestReport(
       const scheduler::RenewOrder& order);
   kj::Promise<scheduler::OrderAnswer> Send(const scheduler::Order& order);
-  void Forget(const WorkerId& worker);
+  void RemoveWorker(const WorkerId& worker);
 
   // How many relays can be used, and what all of them have done.
   std::size_t open_relays() const;
@@ -67,7 +67,7 @@
   };
 
   void Open(const ProcessName& controller);
-  void NoteChange(std::size_t number);
+  void UpdateRoute(std::size_t number);
   RelayLink* FindLink(const WorkerId& worker, std::size_t& number);
   kj::Promise<RelayAnswer> Call(const WorkerId& worker,
                                 CallBody body,
@@ -88,7 +88,7 @@
   // Answers that are under way may outlive this by a moment.
   std::shared_ptr<RelayRoutes> routes = std::make_shared<RelayRoutes>();
   // Workers to which the leader itself may have connections.
-  std::unordered_set<WorkerId> own_workers;
+  std::unordered_set<WorkerId> directly_called_workers;
   std::map<ProcessName, Relay> relays;
   // The links by their numbers; nothing for those that are gone.
   std::vector<RelayLink*> links;
--- a/libraries/replication/catch_up_mark.h
+++ b/libraries/replication/catch_up_tracker.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef LIBRARIES_REPLICATION_CATCH_UP_MARK_H_
-#define LIBRARIES_REPLICATION_CATCH_UP_MARK_H_
+#ifndef LIBRARIES_REPLICATION_CATCH_UP_TRACKER_H_
+#define LIBRARIES_REPLICATION_CATCH_UP_TRACKER_H_
 
 #include "libraries/base/names.h"
 
@@ -13,11 +13,11 @@
 // Without that a controller that came back with an empty disk waited for a lull
 // to vote again, some 5 s in a rush, and two more losses in that time left no
 // quorum. Pure.
-class CatchUpMark {
+class CatchUpTracker {
  public:
   // Takes in, at each look after the members, how far the leader of `term` has
   // committed.
-  void Note(Term term, LogIndex commit_index) {
+  void RecordCommitIndex(Term term, LogIndex commit_index) {
     this->term = term;
     this->commit_index = commit_index;
   }
@@ -25,7 +25,7 @@
   // True if a member that holds the log up to `match_index` had, at the last
   // look in this term, everything that was committed then. False before the
   // first look of a term.
-  bool IsReached(Term current_term, LogIndex match_index) const {
+  bool HasCaughtUp(Term current_term, LogIndex match_index) const {
     return current_term == this->term && this->commit_index > LogIndex(0) &&
            match_index >= this->commit_index;
   }
@@ -37,4 +37,4 @@
 
 }  // namespace sumac::replication
 
-#endif  // LIBRARIES_REPLICATION_CATCH_UP_MARK_H_
+#endif  // LIBRARIES_REPLICATION_CATCH_UP_TRACKER_H_
--- a/libraries/replication/leadership.h
+++ b/libraries/replication/leadership.h
@@ -25,7 +25,7 @@
   // does not have yet, and when the piece from there was sent.
   std::optional<std::uint64_t> snapshot_offset;
   LogIndex snapshot_index;
-  SteadyTime piece_sent_at{};
+  SteadyTime chunk_sent_at{};
 };
 
 // A leader's view of the other members, and what follows from it.
--- a/libraries/replication/replica.cc
+++ b/libraries/replication/replica.cc
@@ -79,8 +79,8 @@
     }
     this->hand_over_to.reset();
   }
-  if (std::exchange(this->needs_commit_news, false)) {
-    this->TellCommitIndex(now);
+  if (std::exchange(this->needs_commit_broadcast, false)) {
+    this->SendCommitIndex(now);
   }
   if (now - this->last_heartbeat >= this->settings.heartbeat_interval) {
     this->last_heartbeat = now;
@@ -220,7 +220,7 @@
   return std::exchange(this->output, Output{});
 }
 
-void Replica::NoteWritten(LogIndex index, SteadyTime now) {
+void Replica::HandleLogWritten(LogIndex index, SteadyTime now) {
   this->latest_now = now;
   this->written_index = std::min(index, this->log.last_index());
   if (this->current_role == Role::kLeader) {
@@ -323,7 +323,7 @@
   this->leader_start_index = this->log.last_index();
 }
 
-bool Replica::IsLeaderFresh(SteadyTime now) const {
+bool Replica::HasRecentLeader(SteadyTime now) const {
   if (this->current_role == Role::kLeader) {
     return true;
   }
@@ -345,7 +345,7 @@
   // the leader's lease rests on this. Only a hand-over, for which the leader
   // gave up its lease, passes.
   const bool is_member = this->membership().is_voter(this->own_id);
-  if (!is_member || (this->IsLeaderFresh(now) && !request.is_hand_over)) {
+  if (!is_member || (this->HasRecentLeader(now) && !request.is_hand_over)) {
     this->Send(from, VoteAnswer{request.is_pre_vote, false});
     return;
   }
@@ -497,7 +497,7 @@
   }
   this->AdvanceCommit(agreed);
   this->is_state_verified = true;
-  this->needs_commit_news = true;
+  this->needs_commit_broadcast = true;
   if (this->is_membership_committed() &&
       !this->membership().is_voter(this->own_id)) {
     this->BecomeFollower(this->hard_state.term, std::nullopt);
@@ -517,7 +517,7 @@
 // Tells members that nothing else is under way to how far the log is committed,
 // so that they apply it with this tick and not with the next heartbeat. Under
 // load entries carry the same news.
-void Replica::TellCommitIndex(SteadyTime now) {
+void Replica::SendCommitIndex(SteadyTime now) {
   for (auto& [node, progress] : this->leading->members()) {
     const bool is_idle = progress.is_matched &&
                          progress.messages_in_flight == 0 &&
@@ -552,7 +552,7 @@
     return;
   }
   const std::size_t most =
-      progress.is_matched ? this->settings.most_messages_in_flight : 1;
+      progress.is_matched ? this->settings.max_messages_in_flight : 1;
   const bool has_entries = progress.next_index <= this->log.last_index();
   if (is_heartbeat || (has_entries && progress.messages_in_flight < most)) {
     this->SendEntries(node, progress, now);
@@ -569,11 +569,11 @@
                         .is_under_lease = this->HoldsLease(now),
                         .sent_at = now};
   const std::size_t most =
-      progress.is_matched ? this->settings.most_messages_in_flight : 1;
+      progress.is_matched ? this->settings.max_messages_in_flight : 1;
   if (progress.messages_in_flight < most) {
     request.entries = this->log.Read(progress.next_index,
-                                     this->settings.most_entries_per_message,
-                                     this->settings.most_bytes_per_message);
+                                     this->settings.max_entries_per_message,
+                                     this->settings.max_bytes_per_message);
   }
   if (!request.entries.empty()) {
     ++progress.messages_in_flight;
@@ -605,7 +605,7 @@
   }
   const std::uint64_t offset = progress.snapshot_offset.value_or(0);
   progress.snapshot_offset = offset;
-  progress.piece_sent_at = now;
+  progress.chunk_sent_at = now;
   SnapshotChunk chunk{.meta = meta, .offset = offset, .sent_at = now};
   if (offset < this->snapshot_state.size()) {
     chunk.data = this->snapshot_state.substr(
@@ -624,7 +624,7 @@
   const bool is_superseded =
       progress.snapshot_index != this->log.snapshot().index;
   const bool is_lost =
-      now - progress.piece_sent_at > this->settings.election_timeout;
+      now - progress.chunk_sent_at > this->settings.election_timeout;
   if (is_superseded || is_lost) {
     this->SendSnapshot(node, progress, now);
     return;
@@ -741,12 +741,14 @@
     this->SendTo(from, *progress, false, now);
     return;
   }
-  const bool is_piece_taken = answer.next_offset > *progress->snapshot_offset;
+  const bool is_chunk_accepted =
+      answer.next_offset > *progress->snapshot_offset;
   // Only the answer to the last piece tells that the member lost what it had.
-  const bool has_begun_anew = answer.next_offset < *progress->snapshot_offset &&
-                              answer.sent_at >= progress->piece_sent_at;
+  const bool has_restarted_transfer =
+      answer.next_offset < *progress->snapshot_offset &&
+      answer.sent_at >= progress->chunk_sent_at;
   if (answer.index == progress->snapshot_index &&
-      (is_piece_taken || has_begun_anew)) {
+      (is_chunk_accepted || has_restarted_transfer)) {
     progress->snapshot_offset = answer.next_offset;
     this->SendSnapshot(from, *progress, now);
   }
--- a/libraries/replication/replica.h
+++ b/libraries/replication/replica.h
@@ -65,7 +65,7 @@
 
   // Tells that the host's disk holds the log up to `index`, the last entry of
   // the output just written. A leader counts its own copy only from here on.
-  void NoteWritten(LogIndex index, SteadyTime now);
+  void HandleLogWritten(LogIndex index, SteadyTime now);
 
   // True if anything is waiting in TakeOutput.
   bool has_output() const {
@@ -149,7 +149,7 @@
                             SteadyTime now);
   void HandleTimeoutNow(SteadyTime now);
 
-  bool IsLeaderFresh(SteadyTime now) const;
+  bool HasRecentLeader(SteadyTime now) const;
   bool IsLogUpToDate(LogIndex last_index, Term last_term) const;
   LogIndex ConflictHint(const AppendRequest& request) const;
   void AppendFollowerEntries(std::vector<Entry> entries);
@@ -157,7 +157,7 @@
   void AdvanceCommit(LogIndex index);
   void MaybeCommit(SteadyTime now);
   void Broadcast(SteadyTime now);
-  void TellCommitIndex(SteadyTime now);
+  void SendCommitIndex(SteadyTime now);
   void SendTo(const NodeId& node,
               MemberProgress& progress,
               bool is_heartbeat,
@@ -200,7 +200,7 @@
   SteadyTime hand_over_deadline{};
   bool has_sent_timeout_now = false;
   bool needs_broadcast = false;
-  bool needs_commit_news = false;
+  bool needs_commit_broadcast = false;
   SteadyTime latest_now;
 
   std::optional<Snapshot> incoming_snapshot;
--- a/libraries/replication/replica_log.cc
+++ b/libraries/replication/replica_log.cc
@@ -40,15 +40,15 @@
 }
 
 std::vector<Entry> ReplicaLog::Read(LogIndex first,
-                                    std::size_t most_entries,
-                                    std::size_t most_bytes) const {
+                                    std::size_t max_entries,
+                                    std::size_t max_bytes) const {
   std::vector<Entry> read;
   std::size_t bytes = 0;
   for (LogIndex index = first; index <= this->last_index();
        index = index.Next()) {
     const Entry& entry = this->At(index);
     bytes += entry.payload.size();
-    if (read.size() >= most_entries || (!read.empty() && bytes > most_bytes)) {
+    if (read.size() >= max_entries || (!read.empty() && bytes > max_bytes)) {
       break;
     }
     read.push_back(entry);
--- a/libraries/replication/replica_log.h
+++ b/libraries/replication/replica_log.h
@@ -32,8 +32,8 @@
   // Entries from `first` on, bounded by count and by bytes but at least one
   // when there is one.
   std::vector<Entry> Read(LogIndex first,
-                          std::size_t most_entries,
-                          std::size_t most_bytes) const;
+                          std::size_t max_entries,
+                          std::size_t max_bytes) const;
 
   // Adds an entry right after the last.
   void Append(Entry entry);
--- a/libraries/replication/types.h
+++ b/libraries/replication/types.h
@@ -185,10 +185,10 @@
   Milliseconds clock_drift_margin{80};
   // How long a hand-over may take before the leader resumes.
   Milliseconds hand_over_timeout{300};
-  std::size_t most_entries_per_message = 256;
-  std::size_t most_bytes_per_message = 512U << 10;
+  std::size_t max_entries_per_message = 256;
+  std::size_t max_bytes_per_message = 512U << 10;
   // Messages with entries that may be under way to one member before an answer.
-  std::size_t most_messages_in_flight = 8;
+  std::size_t max_messages_in_flight = 8;
   std::size_t snapshot_chunk_bytes = 256U << 10;
 };
 
--- a/libraries/routing/minion_health.cc
+++ b/libraries/routing/minion_health.cc
@@ -9,12 +9,12 @@
          outcome == TryOutcome::kBroken || outcome == TryOutcome::kTimedOut;
 }
 
-void MinionHealth::Note(TryOutcome outcome,
-                        const HealthSettings& settings,
-                        SteadyTime now,
-                        bool may_set_aside) {
+void MinionHealth::RecordOutcome(TryOutcome outcome,
+                                 const HealthSettings& settings,
+                                 SteadyTime now,
+                                 bool may_set_aside) {
   if (outcome == TryOutcome::kLeaving) {
-    this->has_said_leaving = true;
+    this->has_reported_leaving = true;
     return;
   }
   if (outcome == TryOutcome::kDeclined) {
@@ -23,7 +23,7 @@
   }
   if (outcome == TryOutcome::kAnswered) {
     this->failures_in_row = 0;
-    if (this->successes_owed > 0 && --this->successes_owed == 0) {
+    if (this->successes_needed > 0 && --this->successes_needed == 0) {
       this->times_aside = 0;
     }
     return;
@@ -45,7 +45,7 @@
   this->aside_until = now + std::min(wanted, settings.longest_time_aside);
   ++this->times_aside;
   this->failures_in_row = 0;
-  this->successes_owed = settings.successes_until_trusted;
+  this->successes_needed = settings.successes_until_trusted;
 }
 
 }  // namespace sumac::routing
--- a/libraries/routing/minion_health.h
+++ b/libraries/routing/minion_health.h
@@ -48,25 +48,25 @@
  public:
   // Takes in how a try ended. With `may_set_aside` false too many others are
   // aside already, and this one goes on whatever it does.
-  void Note(TryOutcome outcome,
-            const HealthSettings& settings,
-            SteadyTime now,
-            bool may_set_aside = true);
+  void RecordOutcome(TryOutcome outcome,
+                     const HealthSettings& settings,
+                     SteadyTime now,
+                     bool may_set_aside = true);
 
   // True while the minion is set aside.
   bool IsAside(SteadyTime now) const { return now < this->aside_until; }
   // True while a decline is fresh.
   bool IsPaused(SteadyTime now) const { return now < this->paused_until; }
   // True after its own word that it is leaving, until it starts anew.
-  bool is_leaving() const { return this->has_said_leaving; }
+  bool is_leaving() const { return this->has_reported_leaving; }
   // True from its time aside on until enough requests went well.
-  bool is_on_probation() const { return this->successes_owed > 0; }
+  bool is_on_probation() const { return this->successes_needed > 0; }
 
  private:
   std::uint32_t failures_in_row = 0;
   std::uint32_t times_aside = 0;
-  std::uint32_t successes_owed = 0;
-  bool has_said_leaving = false;
+  std::uint32_t successes_needed = 0;
+  bool has_reported_leaving = false;
   SteadyTime aside_until{};
   SteadyTime paused_until{};
 };
--- a/libraries/routing/minion_set.cc
+++ b/libraries/routing/minion_set.cc
@@ -11,11 +11,12 @@
 namespace {
 
 // A reported load older than this says nothing any more.
-constexpr Milliseconds kReportedLoadLife{200};
+constexpr Milliseconds kReportedLoadValidity{200};
 // A decision names this many of the minions that were passed over.
-constexpr std::size_t kMostPassedOver = 4;
+constexpr std::size_t kMaxPassedOver = 4;
 
-std::uint32_t ShareOf(std::uint32_t slots, const SharingSettings& settings) {
+std::uint32_t AllowedRequests(std::uint32_t slots,
+                              const SharingSettings& settings) {
   const double even =
       static_cast<double>(slots) / std::max(settings.entries, 1U);
   const auto share =
@@ -38,7 +39,7 @@
       }
     }
     minion.routed = routed;
-    minion.most_in_flight = ShareOf(routed.slots, this->settings);
+    minion.max_in_flight = AllowedRequests(routed.slots, this->settings);
     for (const ServiceName& service : routed.services) {
       Candidates& candidates = this->services[service];
       const bool is_near = routed.data_centre == this->settings.data_centre;
@@ -54,9 +55,10 @@
          !minion.health.IsAside(now);
 }
 
-std::string MinionSet::WhyNot(const Minion& minion,
-                              const std::set<InstanceName>& excluded,
-                              SteadyTime now) const {
+std::string MinionSet::ExplainUnavailable(
+    const Minion& minion,
+    const std::set<InstanceName>& excluded,
+    SteadyTime now) const {
   if (!minion.routed.can_take_work) {
     return "it is leaving, silent or set aside by the controllers";
   }
@@ -72,20 +74,20 @@
   if (minion.health.IsPaused(now)) {
     return "it has just declined a request";
   }
-  const bool is_trial_taken =
+  const bool is_trial_in_flight =
       minion.health.is_on_probation() && minion.in_flight > 0;
-  if (is_trial_taken) {
+  if (is_trial_in_flight) {
     return "it comes back slowly, one request at a time";
   }
-  if (minion.in_flight >= minion.most_in_flight) {
+  if (minion.in_flight >= minion.max_in_flight) {
     return StrCat("it has ", minion.in_flight, " requests of ",
-                  minion.most_in_flight, " that this entry may have there");
+                  minion.max_in_flight, " that this entry may have there");
   }
   return "";
 }
 
 double MinionSet::LoadOf(const Minion& minion, SteadyTime now) const {
-  const bool is_fresh = now - minion.reported_at < kReportedLoadLife;
+  const bool is_fresh = now - minion.reported_at < kReportedLoadValidity;
   const std::uint32_t load =
       is_fresh ? std::max(minion.in_flight, minion.reported_load)
                : minion.in_flight;
@@ -102,7 +104,7 @@
     return std::nullopt;
   }
   const auto note = [&](const Minion& minion, std::string why) {
-    if (passed_over.size() < kMostPassedOver) {
+    if (passed_over.size() < kMaxPassedOver) {
       passed_over.push_back(
           fleet::Alternative{minion.routed.name.value(), std::move(why)});
     }
@@ -122,7 +124,7 @@
     if (&minion == best) {
       continue;
     }
-    std::string why = this->WhyNot(minion, excluded, now);
+    std::string why = this->ExplainUnavailable(minion, excluded, now);
     if (!why.empty()) {
       note(minion, std::move(why));
     } else if (best == nullptr) {
@@ -206,7 +208,8 @@
   // service.
   const bool may_set_aside =
       !IsFailure(outcome) || this->MaySetAside(minion, now);
-  minion.health.Note(outcome, this->settings.health, now, may_set_aside);
+  minion.health.RecordOutcome(outcome, this->settings.health, now,
+                              may_set_aside);
 }
 
 // When many fail at once it is seldom their fault, and with all of them aside
@@ -226,14 +229,15 @@
         const auto total =
             static_cast<double>(all.near.size() + all.far.size());
         return static_cast<double>(aside + 1) <=
-               total * this->settings.most_aside_share;
+               total * this->settings.max_aside_share;
       });
 }
 
-void MinionSet::NoteLeaving(const InstanceName& name, SteadyTime now) {
+void MinionSet::MarkLeaving(const InstanceName& name, SteadyTime now) {
   const auto found = this->minions.find(name);
   if (found != this->minions.end()) {
-    found->second.health.Note(TryOutcome::kLeaving, this->settings.health, now);
+    found->second.health.RecordOutcome(TryOutcome::kLeaving,
+                                       this->settings.health, now);
   }
 }
 
--- a/libraries/routing/minion_set.h
+++ b/libraries/routing/minion_set.h
@@ -30,7 +30,7 @@
   double slot_overcommit = 2;
   // At most this share of a service's minions may be set aside at once; beyond
   // it the ones longest aside are used all the same.
-  double most_aside_share = 0.5;
+  double max_aside_share = 0.5;
   HealthSettings health;
 };
 
@@ -82,7 +82,7 @@
               SteadyTime now);
 
   // Notes the minion's own word, by a probe or an answer, that it is leaving.
-  void NoteLeaving(const InstanceName& minion, SteadyTime now);
+  void MarkLeaving(const InstanceName& minion, SteadyTime now);
 
   // The addresses of all minions that may get work, for probing.
   std::vector<std::pair<InstanceName, std::string>> Addresses() const;
@@ -99,7 +99,7 @@
     std::uint32_t reported_load = 0;
     SteadyTime reported_at{};
     // The most requests that this entry may have there.
-    std::uint32_t most_in_flight = 1;
+    std::uint32_t max_in_flight = 1;
   };
 
   // One service's minions: near ones (this data centre) and the others.
@@ -110,9 +110,9 @@
 
   bool IsUsable(const Minion& minion, SteadyTime now) const;
   bool MaySetAside(const Minion& minion, SteadyTime now) const;
-  std::string WhyNot(const Minion& minion,
-                     const std::set<InstanceName>& excluded,
-                     SteadyTime now) const;
+  std::string ExplainUnavailable(const Minion& minion,
+                                 const std::set<InstanceName>& excluded,
+                                 SteadyTime now) const;
   std::optional<InstanceName> ChooseFrom(
       const std::vector<InstanceName>& names,
       const std::set<InstanceName>& excluded,
--- a/libraries/routing/waiting_line.cc
+++ b/libraries/routing/request_queue.cc
@@ -1,23 +1,23 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "libraries/routing/waiting_line.h"
+#include "libraries/routing/request_queue.h"
 
 namespace sumac::routing {
 
 using fleet::RequestClass;
 
-WaitingLine::Line& WaitingLine::LineOf(RequestClass request_class) {
+RequestQueue::Line& RequestQueue::LineOf(RequestClass request_class) {
   return request_class == RequestClass::kInteractive ? this->interactive
                                                      : this->background;
 }
 
-void WaitingLine::Add(RequestNumber request,
-                      RequestClass request_class,
-                      SteadyTime deadline) {
+void RequestQueue::Add(RequestNumber request,
+                       RequestClass request_class,
+                       SteadyTime deadline) {
   this->places[request] = Place{request_class, deadline};
   this->LineOf(request_class)[{deadline, request}] = true;
 }
 
-void WaitingLine::Remove(RequestNumber request) {
+void RequestQueue::Remove(RequestNumber request) {
   const auto found = this->places.find(request);
   if (found == this->places.end()) {
     return;
@@ -27,7 +27,7 @@
   this->places.erase(found);
 }
 
-std::optional<RequestNumber> WaitingLine::Next() const {
+std::optional<RequestNumber> RequestQueue::Next() const {
   const bool is_background_due =
       this->interactive_in_row >= kInteractivePerBackground &&
       !this->background.empty();
@@ -40,7 +40,7 @@
   return line.begin()->first.second;
 }
 
-void WaitingLine::Serve(RequestNumber request) {
+void RequestQueue::Serve(RequestNumber request) {
   const auto found = this->places.find(request);
   if (found == this->places.end()) {
     return;
@@ -51,7 +51,7 @@
   this->Remove(request);
 }
 
-std::size_t WaitingLine::CountAhead(RequestClass request_class) const {
+std::size_t RequestQueue::CountAhead(RequestClass request_class) const {
   return request_class == RequestClass::kInteractive ? this->interactive.size()
                                                      : this->places.size();
 }
--- a/libraries/routing/waiting_line.h
+++ b/libraries/routing/request_queue.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef LIBRARIES_ROUTING_WAITING_LINE_H_
-#define LIBRARIES_ROUTING_WAITING_LINE_H_
+#ifndef LIBRARIES_ROUTING_REQUEST_QUEUE_H_
+#define LIBRARIES_ROUTING_REQUEST_QUEUE_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -19,7 +19,7 @@
 // but after kInteractivePerBackground of them in a row one background request
 // goes, so that none starves. Within a class the one with the earliest deadline
 // goes first.
-class WaitingLine {
+class RequestQueue {
  public:
   // Puts a request in.
   void Add(RequestNumber request,
@@ -59,4 +59,4 @@
 
 }  // namespace sumac::routing
 
-#endif  // LIBRARIES_ROUTING_WAITING_LINE_H_
+#endif  // LIBRARIES_ROUTING_REQUEST_QUEUE_H_
--- a/libraries/routing/retry_budget.cc
+++ b/libraries/routing/retry_budget.cc
@@ -5,8 +5,8 @@
 
 namespace sumac::routing {
 
-void RetryBudget::NoteFirstTry(double share) {
-  this->saved = std::min(this->saved + share, kMostSavings);
+void RetryBudget::AddFirstTry(double share) {
+  this->saved = std::min(this->saved + share, kMaxRetries);
 }
 
 bool RetryBudget::TakeRetry() {
--- a/libraries/routing/retry_budget.h
+++ b/libraries/routing/retry_budget.h
@@ -9,18 +9,18 @@
 class RetryBudget {
  public:
   // Counts a first try, which earns `share` of a retry.
-  void NoteFirstTry(double share);
+  void AddFirstTry(double share);
 
   // Takes one retry if there is one.
   bool TakeRetry();
 
  private:
-  double saved = kFirstSavings;
+  double saved = kInitialRetries;
 
   // Lets a service that has just begun retry a few times, and bounds what a
   // quiet one saves up.
-  static constexpr double kFirstSavings = 10;
-  static constexpr double kMostSavings = 100;
+  static constexpr double kInitialRetries = 10;
+  static constexpr double kMaxRetries = 100;
 };
 
 }  // namespace sumac::routing
--- a/libraries/routing/router.cc
+++ b/libraries/routing/router.cc
@@ -12,7 +12,7 @@
 // When nothing better is known, callers are asked to come back after this.
 constexpr Milliseconds kDefaultRetryAfter{250};
 // A full line moves on within a few requests' time.
-constexpr Milliseconds kRetryAfterFullLine{40};
+constexpr Milliseconds kRetryAfterFullQueue{40};
 
 fleet::Decision DecisionAbout(const RequestInfo& request, WallTime wall_now) {
   return fleet::Decision{
@@ -74,13 +74,13 @@
                service->most_open_per_caller, " are allowed."),
         kDefaultRetryAfter, wall_now);
   }
-  this->per_service[request.service].retries.NoteFirstTry(
+  this->service_states[request.service].retries.AddFirstTry(
       service->retry_budget);
   if (now >= request.deadline) {
     return this->RefuseLate(request, wall_now);
   }
   // Nobody overtakes a request that waits already.
-  if (this->per_service[request.service].line.CountAhead(
+  if (this->service_states[request.service].line.CountAhead(
           request.request_class) == 0) {
     if (std::optional<SendTo> send =
             this->TrySend(request, {}, now, wall_now)) {
@@ -115,7 +115,7 @@
                " minions, as often as its service allows."),
         kDefaultRetryAfter, wall_now);
   }
-  if (has_run && !this->per_service[request.service].retries.TakeRetry()) {
+  if (has_run && !this->service_states[request.service].retries.TakeRetry()) {
     return this->MakeRefusal(
         request, failure, "retry-budget-spent",
         StrCat("Too many requests of ", request.service.value(),
@@ -167,13 +167,13 @@
                " can take work: all are gone, leaving, set aside or tried."),
         kDefaultRetryAfter, wall_now);
   }
-  PerService& state = this->per_service[request.service];
+  ServiceState& state = this->service_states[request.service];
   if (state.line.size() >= service.most_queued) {
     return this->MakeRefusal(
         request, ResultCode::kOverloaded, "line-full",
         StrCat(state.line.size(), " requests of ", request.service.value(),
                " wait already, as many as may wait at one entry."),
-        kRetryAfterFullLine, wall_now);
+        kRetryAfterFullQueue, wall_now);
   }
   state.line.Add(request.number, request.request_class, request.deadline);
   this->waiting_requests[request.number] = WaitingRequest{request, tried};
@@ -201,7 +201,7 @@
     SteadyTime now,
     WallTime wall_now) {
   std::vector<std::pair<RequestNumber, SendTo>> ready;
-  for (auto& [name, state] : this->per_service) {
+  for (auto& [name, state] : this->service_states) {
     while (const auto next = state.line.Next()) {
       const auto waiting = this->waiting_requests.find(*next);
       VERIFY(waiting != this->waiting_requests.end());
@@ -223,7 +223,7 @@
   if (waiting == this->waiting_requests.end()) {
     return false;
   }
-  this->per_service[waiting->second.info.service].line.Remove(request);
+  this->service_states[waiting->second.info.service].line.Remove(request);
   this->waiting_requests.erase(waiting);
   return true;
 }
--- a/libraries/routing/router.h
+++ b/libraries/routing/router.h
@@ -19,8 +19,8 @@
 #include "libraries/fleet/view.h"
 #include "libraries/routing/decision_ring.h"
 #include "libraries/routing/minion_set.h"
+#include "libraries/routing/request_queue.h"
 #include "libraries/routing/retry_budget.h"
-#include "libraries/routing/waiting_line.h"
 
 namespace sumac::routing {
 
@@ -128,8 +128,8 @@
   std::size_t CountOpen() const { return this->open; }
 
  private:
-  struct PerService {
-    WaitingLine line;
+  struct ServiceState {
+    RequestQueue line;
     RetryBudget retries;
   };
   struct WaitingRequest {
@@ -158,7 +158,7 @@
   MinionSet minion_set;
   DecisionRing ring;
   std::mt19937_64 random;
-  std::map<ServiceName, PerService> per_service;
+  std::map<ServiceName, ServiceState> service_states;
   std::map<std::pair<ServiceName, CallerName>, std::uint32_t> open_by_caller;
   std::map<RequestNumber, WaitingRequest> waiting_requests;
   std::vector<fleet::Decision> unlogged;
--- a/libraries/scheduler/admission.cc
+++ b/libraries/scheduler/admission.cc
@@ -8,8 +8,8 @@
 
 // A new reading counts for a half when the loop gets later, since a sudden rush
 // fills it within two or three readings, and for an eighth when it gets better.
-constexpr int kRise = 2;
-constexpr int kFall = 8;
+constexpr int kRiseDivisor = 2;
+constexpr int kFallDivisor = 8;
 
 }  // namespace
 
@@ -21,9 +21,9 @@
       0.0, 1.0);
 }
 
-void Admission::NoteLateness(Milliseconds late) {
+void Admission::RecordLateness(Milliseconds late) {
   const Milliseconds change = late - this->smoothed;
-  const int smoothing = change > Milliseconds(0) ? kRise : kFall;
+  const int smoothing = change > Milliseconds(0) ? kRiseDivisor : kFallDivisor;
   Milliseconds step = change / smoothing;
   if (step == Milliseconds(0)) {
     step = change;
@@ -33,12 +33,12 @@
 
 std::size_t Admission::StartsLeft(const LatenessRange& range,
                                   std::size_t open_starts) const {
-  const auto span = static_cast<double>(this->settings.most_open_starts -
-                                        this->settings.fewest_open_starts);
+  const auto span = static_cast<double>(this->settings.max_open_starts -
+                                        this->settings.min_open_starts);
   const std::size_t most =
-      this->settings.fewest_open_starts +
+      this->settings.min_open_starts +
       static_cast<std::size_t>(span * range.ShareAt(this->smoothed));
-  return std::min(this->settings.most_starts_of_pass,
+  return std::min(this->settings.max_starts_per_pass,
                   most - std::min(most, open_starts));
 }
 
@@ -47,7 +47,7 @@
           .late = this->StartsLeft(this->settings.late_starts, open_starts)};
 }
 
-bool Admission::Take() {
+bool Admission::AdmitJob() {
   const double share = this->settings.jobs.ShareAt(this->smoothed);
   const double most = 1.0 + (this->settings.burst - 1.0) * share;
   this->credit = std::min(this->credit + share, most);
--- a/libraries/scheduler/admission.h
+++ b/libraries/scheduler/admission.h
@@ -37,12 +37,12 @@
   // Starts that may be unanswered at once: on a leader that is in time, and on
   // one that is as late as above. A rack that went dark takes some hundred of
   // them until its silence is noticed.
-  std::size_t most_open_starts = 600;
-  std::size_t fewest_open_starts = 16;
+  std::size_t max_open_starts = 600;
+  std::size_t min_open_starts = 16;
   // Starts that one pass orders at most: some 25 ms of a third of a core. A
   // pass that ordered a whole backlog of thousands at once would hold memory
   // and connections for all of them before the first answer is read.
-  std::size_t most_starts_of_pass = 250;
+  std::size_t max_starts_per_pass = 250;
   // Jobs that a leader which is in time takes in a row before it looks at the
   // share again, so that one stall refuses nobody.
   double burst = 4;
@@ -61,11 +61,11 @@
   explicit Admission(AdmissionSettings settings = {}) : settings(settings) {}
 
   // Takes in how long what has come waited until the loop read it.
-  void NoteLateness(Milliseconds late);
+  void RecordLateness(Milliseconds late);
 
   // Decides about one new job; the jobs that are taken are spread evenly over
   // those that come.
-  bool Take();
+  bool AdmitJob();
 
   // How many starts the next pass may order while `open_starts` are unanswered:
   // a late leader starts less, and keeps what runs.
--- a/libraries/scheduler/arrival_rate.h
+++ b/libraries/scheduler/arrival_rate.h
@@ -15,7 +15,7 @@
   // instance, and to have it announced and renewed. 0 looks back only.
   Milliseconds horizon{1'800};
   // The most that the forecast may be of what was seen, in thousandths.
-  std::int64_t most_growth_permille = 2'000;
+  std::int64_t max_forecast_permille = 2'000;
 };
 
 // How much work arrives for one service: what its jobs will keep busy if they
@@ -29,7 +29,8 @@
 
   // The cores, in thousandths, that arrivals will keep busy after the horizon;
   // 0 while there are too few to tell.
-  std::int64_t MillicoresBusy(const ForecastSettings& settings, SteadyTime now);
+  std::int64_t ForecastMillicores(const ForecastSettings& settings,
+                                  SteadyTime now);
 
  private:
   struct Arrival {
@@ -42,9 +43,9 @@
   };
 
   // What arrived from `oldest` ago until `newest` ago.
-  Window Between(Milliseconds oldest,
-                 Milliseconds newest,
-                 SteadyTime now) const;
+  Window SumBetween(Milliseconds oldest,
+                    Milliseconds newest,
+                    SteadyTime now) const;
 
   std::deque<Arrival> arrivals;
 };
--- a/libraries/scheduler/backlog.cc
+++ b/libraries/scheduler/backlog.cc
@@ -13,25 +13,26 @@
 
 }  // namespace
 
-void Backlog::NoteFinished(SteadyTime now) {
+void Backlog::RecordFinished(SteadyTime now) {
   const Milliseconds passed = now - this->second_began;
   if (passed >= kSecond) {
-    const double kept = this->best * std::pow(this->settings.kept_a_second,
-                                              Seconds(passed).count());
-    this->best = std::max(static_cast<double>(this->in_second), kept);
+    const double kept =
+        this->best *
+        std::pow(this->settings.retained_per_second, Seconds(passed).count());
+    this->best = std::max(static_cast<double>(this->finished_in_second), kept);
     this->second_began = now;
-    this->in_second = 0;
+    this->finished_in_second = 0;
   }
-  ++this->in_second;
+  ++this->finished_in_second;
 }
 
 double Backlog::BestRate() const {
-  return std::max(this->best, static_cast<double>(this->in_second));
+  return std::max(this->best, static_cast<double>(this->finished_in_second));
 }
 
 bool Backlog::IsFull(const WaitingCounts& waiting) const {
   const double most =
-      std::max(static_cast<double>(this->settings.always_taken),
+      std::max(static_cast<double>(this->settings.always_accepted),
                this->BestRate() * Seconds(this->settings.longest_wait).count());
   const double share =
       most / static_cast<double>(std::max<std::size_t>(waiting.queues, 1));
--- a/libraries/scheduler/backlog.h
+++ b/libraries/scheduler/backlog.h
@@ -19,10 +19,10 @@
   // It takes so many in any case: the first seconds of a rush, in which
   // instances still move to a pool and the best rate is not known yet. A leader
   // of a third of a core begins them within some five seconds.
-  std::size_t always_taken = 500;
+  std::size_t always_accepted = 500;
   // What is left of the best rate after a second in which it was not reached: a
   // half after 14 s, some turns of a queue's demand.
-  double kept_a_second = 0.95;
+  double retained_per_second = 0.95;
   // When a refused caller should come back, at the earliest and at the latest.
   Milliseconds shortest_retry{1'000};
   Milliseconds longest_retry{4'000};
@@ -48,7 +48,7 @@
   explicit Backlog(BacklogSettings settings = {}) : settings(settings) {}
 
   // Takes in that a job has finished.
-  void NoteFinished(SteadyTime now);
+  void RecordFinished(SteadyTime now);
 
   // True if one more job of a queue would wait too long.
   bool IsFull(const WaitingCounts& waiting) const;
@@ -64,7 +64,7 @@
   BacklogSettings settings;
   // The second that is being counted, and the jobs that finished in it.
   SteadyTime second_began{};
-  std::uint64_t in_second = 0;
+  std::uint64_t finished_in_second = 0;
   // The most that finished in a second of late, jobs a second.
   double best = 0;
 };
--- a/libraries/scheduler/demand_meter.cc
+++ b/libraries/scheduler/demand_meter.cc
@@ -8,7 +8,7 @@
 namespace sumac::scheduler {
 
 // Counts the jobs that were accepted since the last look.
-void DemandMeter::NoteArrivals(SteadyTime now) {
+void DemandMeter::RecordArrivals(SteadyTime now) {
   const auto& active = this->state.active_jobs();
   for (auto item = active.lower_bound(this->next_arrival); item != active.end();
        ++item) {
@@ -49,13 +49,14 @@
     }
     const std::int64_t left = step.count - job.CountDone(occurrence, number);
     if (step.most_per_worker > 0) {
-      service.fewest_instances =
-          std::max(service.fewest_instances,
+      service.min_instances =
+          std::max(service.min_instances,
                    (left + step.most_per_worker - 1) / step.most_per_worker);
     }
-    std::int64_t& millicores = step.is_long_running ? service.lasting_millicores
-                               : is_worthless       ? service.late_millicores
-                                                    : service.short_millicores;
+    std::int64_t& millicores = step.is_long_running
+                                   ? service.long_running_millicores
+                               : is_worthless ? service.late_millicores
+                                              : service.short_millicores;
     millicores += left * step.need.millicores;
     if (!step.required_label.empty()) {
       jobs::LabelDemand& labelled = service.by_label[step.required_label];
@@ -69,7 +70,7 @@
 std::map<ServiceName, jobs::ServiceDemand> DemandMeter::Measure(
     SteadyTime now,
     WallTime wall_now) {
-  this->NoteArrivals(now);
+  this->RecordArrivals(now);
   std::map<ServiceName, jobs::ServiceDemand> demand;
   for (const auto& [sequence, job] : this->state.active_jobs()) {
     for (std::uint32_t occurrence = 0; occurrence < job->spec.occurrences() &&
@@ -81,7 +82,7 @@
   for (auto& [service, rate] : this->arrivals) {
     jobs::ServiceDemand& needed = demand[service];
     needed.short_millicores = std::max(
-        needed.short_millicores, rate.MillicoresBusy(this->forecast, now));
+        needed.short_millicores, rate.ForecastMillicores(this->forecast, now));
   }
   return demand;
 }
--- a/libraries/scheduler/demand_meter.h
+++ b/libraries/scheduler/demand_meter.h
@@ -37,7 +37,7 @@
                      std::uint32_t occurrence,
                      WallTime wall_now,
                      jobs::ServiceDemand& service) const;
-  void NoteArrivals(SteadyTime now);
+  void RecordArrivals(SteadyTime now);
 
   const jobs::JobsState& state;
   const RunTimes& run_times;
--- a/libraries/scheduler/loop_pacer.cc
+++ b/libraries/scheduler/loop_pacer.cc
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-void LoopPacer::NotePass(std::chrono::microseconds took) {
+void LoopPacer::RecordPass(std::chrono::microseconds took) {
   this->smoothed += (took - this->smoothed) / kSmoothing;
 }
 
--- a/libraries/scheduler/loop_pacer.h
+++ b/libraries/scheduler/loop_pacer.h
@@ -46,10 +46,10 @@
 
   // Takes in how long a pass took by the clock, the time that the loop stood
   // still without the processor included.
-  void NotePass(std::chrono::microseconds took);
+  void RecordPass(std::chrono::microseconds took);
 
   // Takes in how long what has come waits now until the loop reads it.
-  void NoteLateness(Milliseconds late) { this->late = late; }
+  void RecordLateness(Milliseconds late) { this->late = late; }
 
   // How long to gather news before the next pass.
   Milliseconds PassPause() const;
--- a/libraries/scheduler/pace_control.cc
+++ b/libraries/scheduler/pace_control.cc
@@ -20,13 +20,13 @@
 constexpr Milliseconds kStepUpTime{1'000};
 constexpr std::uint32_t kStepUpPercent = 10;
 // Less than this is no use to anyone.
-constexpr std::uint32_t kLeastPercent = 10;
+constexpr std::uint32_t kMinPercent = 10;
 // A pace this far below one that was too fast is the highest that is tried.
-constexpr std::uint32_t kBelowTooFast = 5;
+constexpr std::uint32_t kCeilingMargin = 5;
 // By how much that bound rises with each step that would pass it.
 constexpr std::uint32_t kCeilingStep = 3;
 // Pairs of images that are remembered; bounds memory.
-constexpr std::size_t kMostPairs = 1'000;
+constexpr std::size_t kMaxPairs = 1'000;
 
 }  // namespace
 
@@ -45,13 +45,13 @@
     if (now - pace.changed_at < kSettleTime || pace.percent == 0) {
       return false;
     }
-    if (this->ceilings.size() >= kMostPairs) {
+    if (this->ceilings.size() >= kMaxPairs) {
       this->ceilings.clear();
     }
     this->ceilings[images] =
-        pace.percent > kBelowTooFast ? pace.percent - kBelowTooFast : 0;
+        pace.percent > kCeilingMargin ? pace.percent - kCeilingMargin : 0;
     pace.percent = report.worst_permille > kStopPermille ? 0 : pace.percent / 2;
-    if (pace.percent < kLeastPercent) {
+    if (pace.percent < kMinPercent) {
       pace.percent = 0;
     }
   } else if (report.worst_permille < kLowPermille &&
--- a/libraries/scheduler/placement.cc
+++ b/libraries/scheduler/placement.cc
@@ -10,17 +10,17 @@
 
 // One worker in so many of a service, and one at least, is risked at a time on
 // tasks that may crash it.
-constexpr std::size_t kWorkersOfTrial = 4;
+constexpr std::size_t kWorkersPerTrial = 4;
 
 }  // namespace
 
-void Placement::BeginTurn(Sessions& sessions, SteadyTime now) {
+void Placement::BeginPass(Sessions& sessions, SteadyTime now) {
   this->now = now;
   for (Pool& pool : this->pools) {
     pool.workers.clear();
     pool.quarantined.clear();
     pool.trials = 0;
-    pool.most_room = {};
+    pool.largest_room = {};
     pool.failed_needs.clear();
   }
   for (auto& [id, session] : sessions) {
@@ -43,7 +43,7 @@
     }
     for (const WorkerSession* session : pool.workers) {
       const jobs::Resources room = session->Room();
-      jobs::Resources& most = pool.most_room;
+      jobs::Resources& most = pool.largest_room;
       most.millicores = std::max(most.millicores, room.millicores);
       most.memory_mb = std::max(most.memory_mb, room.memory_mb);
       most.accelerators = std::max(most.accelerators, room.accelerators);
@@ -77,7 +77,7 @@
 bool Placement::HasRoom(const ServiceName& service,
                         const jobs::Resources& need) const {
   const Pool* pool = this->FindPool(service);
-  if (pool == nullptr || !pool->most_room.Holds(need)) {
+  if (pool == nullptr || !pool->largest_room.Holds(need)) {
     return false;
   }
   const std::vector<jobs::Resources>& failed = pool->failed_needs;
@@ -86,18 +86,18 @@
       [&](const jobs::Resources& other) { return need.Holds(other); });
 }
 
-bool Placement::HasTrialPlace(const ServiceName& service) const {
+bool Placement::HasTrialCapacity(const ServiceName& service) const {
   const Pool* pool = this->FindPool(service);
   if (pool == nullptr) {
     return false;
   }
   const std::size_t workers = pool->workers.size() + pool->trials;
-  return pool->trials < std::max<std::size_t>(workers / kWorkersOfTrial, 1);
+  return pool->trials < std::max<std::size_t>(workers / kWorkersPerTrial, 1);
 }
 
 // In a rush hundreds of steps wait for a full pool, and each of them would look
 // at every worker in every turn.
-void Placement::NoteFailure(const PlacementRequest& request) const {
+void Placement::RecordFailedNeed(const PlacementRequest& request) const {
   const jobs::StepSpec& step = request.step();
   // The members of a gang hold room for each other while they are placed.
   const bool is_plain = step.required_label.empty() && !step.is_gang &&
@@ -110,12 +110,12 @@
     return;
   }
   // A few suffice: what asks for less is noted as it fails.
-  constexpr std::size_t kMostNeeds = 8;
+  constexpr std::size_t kMaxNeeds = 8;
   std::vector<jobs::Resources>& failed = pool->failed_needs;
   const jobs::Resources need = CountedNeed(step);
   std::erase_if(
       failed, [&](const jobs::Resources& other) { return other.Holds(need); });
-  if (failed.size() < kMostNeeds) {
+  if (failed.size() < kMaxNeeds) {
     failed.push_back(need);
   }
 }
@@ -145,7 +145,7 @@
          session.CountTasksOf(request.task.step) < step.most_per_worker;
 }
 
-bool Placement::IsGood(const WorkerSession& session) const {
+bool Placement::IsHealthy(const WorkerSession& session) const {
   const WorkerId& id = session.worker().id;
   return !this->health.IsQuarantined(id, this->now) &&
          !this->health.IsSlow(id, this->now);
@@ -156,18 +156,18 @@
          worker.has_label(step.data_rack.value());
 }
 
-bool Placement::MayBeNear(const PlacementRequest& request) const {
+bool Placement::CanRunNearData(const PlacementRequest& request) const {
   const jobs::StepSpec& step = request.step();
   const std::vector<WorkerSession*>& workers =
       this->WorkersOf(request.job->service);
-  return std::any_of(workers.begin(), workers.end(),
-                     [&](const WorkerSession* session) {
-                       const jobs::Worker& worker = session->worker();
-                       return IsNear(step, worker) && this->IsGood(*session) &&
-                              (step.required_label.empty() ||
-                               worker.has_label(step.required_label)) &&
-                              worker.capacity.Holds(CountedNeed(step));
-                     });
+  return std::any_of(
+      workers.begin(), workers.end(), [&](const WorkerSession* session) {
+        const jobs::Worker& worker = session->worker();
+        return IsNear(step, worker) && this->IsHealthy(*session) &&
+               (step.required_label.empty() ||
+                worker.has_label(step.required_label)) &&
+               worker.capacity.Holds(CountedNeed(step));
+      });
 }
 
 WorkerSession* Placement::Choose(const PlacementRequest& request) const {
@@ -206,7 +206,7 @@
     }
   }
   if (best == nullptr) {
-    this->NoteFailure(request);
+    this->RecordFailedNeed(request);
   }
   return best;
 }
@@ -218,7 +218,7 @@
   return pool == nullptr ? kNone : pool->workers;
 }
 
-std::vector<WorkerId> Placement::ListRoom(
+std::vector<WorkerId> Placement::ListWorkersWithRoom(
     const PlacementRequest& request) const {
   std::vector<std::pair<std::int64_t, WorkerId>> order;
   for (const WorkerSession* session : this->WorkersOf(request.job->service)) {
--- a/libraries/scheduler/placement.h
+++ b/libraries/scheduler/placement.h
@@ -50,7 +50,7 @@
 
   // Begins a turn: finds which workers take work at `now`. The sessions must
   // stay until the next turn.
-  void BeginTurn(Sessions& sessions, SteadyTime now);
+  void BeginPass(Sessions& sessions, SteadyTime now);
 
   // True unless no worker of the service can have room for `need`. It looks at
   // no single worker, since most tasks that wait find no room anywhere.
@@ -63,7 +63,7 @@
   static bool IsNear(const jobs::StepSpec& step, const jobs::Worker& worker);
   // True if some good worker near the task's data will have room for it once
   // what runs there has ended.
-  bool MayBeNear(const PlacementRequest& request) const;
+  bool CanRunNearData(const PlacementRequest& request) const;
 
   // The racks that have workers of the service, and the workers that take work.
   std::set<Rack> RacksOf(const ServiceName& service) const;
@@ -71,19 +71,22 @@
       const ServiceName& service) const;
   // Workers that have room for the task whatever a policy says, those with most
   // room first.
-  std::vector<WorkerId> ListRoom(const PlacementRequest& request) const;
+  std::vector<WorkerId> ListWorkersWithRoom(
+      const PlacementRequest& request) const;
 
   // True if the worker can hold the task now, whatever a policy says.
   static bool Fits(const PlacementRequest& request,
                    const WorkerSession& session);
 
   // True if nothing is known against the worker.
-  bool IsGood(const WorkerSession& session) const;
+  bool IsHealthy(const WorkerSession& session) const;
 
   // True if one more worker of the service may be risked on a trial.
-  bool HasTrialPlace(const ServiceName& service) const;
+  bool HasTrialCapacity(const ServiceName& service) const;
   // Takes in that a trial began on a worker of the service in this turn.
-  void NoteTrial(const ServiceName& service) { ++this->PoolOf(service).trials; }
+  void RecordTrial(const ServiceName& service) {
+    ++this->PoolOf(service).trials;
+  }
 
   // What a task of the step takes of its worker's room.
   static jobs::Resources CountedNeed(const jobs::StepSpec& step);
@@ -96,7 +99,7 @@
     // Workers with a run on trial.
     std::size_t trials = 0;
     // The most that one worker had left of each resource when the turn began.
-    jobs::Resources most_room;
+    jobs::Resources largest_room;
     // Needs for which this turn found no room on any worker. Rooms only shrink
     // within a turn, so nothing that needs as much finds any.
     mutable std::vector<jobs::Resources> failed_needs;
@@ -107,7 +110,7 @@
   Pool& PoolOf(WorkerSession& session);
   // Nothing for a service that had no worker yet.
   const Pool* FindPool(const ServiceName& service) const;
-  void NoteFailure(const PlacementRequest& request) const;
+  void RecordFailedNeed(const PlacementRequest& request) const;
 
   const WorkerHealth& health;
   SteadyTime now{};
--- a/libraries/scheduler/placement_advice.cc
+++ b/libraries/scheduler/placement_advice.cc
@@ -9,7 +9,7 @@
 
 // Workers in one question: about as many as the time that a job may take is
 // reckoned with.
-constexpr std::size_t kMostInQuestion = 30;
+constexpr std::size_t kMaxWorkersInQuestion = 30;
 // Before another question, after one without an answer.
 constexpr Milliseconds kPauseAfterFailure{300};
 // Taken off a ticket's time: its answer was on the way, and the start that
@@ -31,17 +31,17 @@
              : &ticket->second.text;
 }
 
-void PlacementAdvice::Want(const jobs::StepId& step,
-                           const std::vector<WorkerId>& workers,
-                           const jobs::PlacementPolicy& policy,
-                           SteadyTime now) {
-  if (!this->MayWant(now)) {
+void PlacementAdvice::RequestQuestion(const jobs::StepId& step,
+                                      const std::vector<WorkerId>& workers,
+                                      const jobs::PlacementPolicy& policy,
+                                      SteadyTime now) {
+  if (!this->CanRequestQuestion(now)) {
     return;
   }
   const StepAdvice& advice = this->steps[step];
   AdviceQuestion question{.step = step, .declared_validity = policy.validity};
   for (const WorkerId& worker : workers) {
-    if (question.workers.size() < kMostInQuestion &&
+    if (question.workers.size() < kMaxWorkersInQuestion &&
         !advice.refused.contains(worker) &&
         this->FindTicket(step, worker, now) == nullptr) {
       question.workers.push_back(worker);
@@ -64,9 +64,9 @@
   return this->wanted;
 }
 
-void PlacementAdvice::TakeAnswer(const AdviceQuestion& question,
-                                 const AdviceAnswer& answer,
-                                 SteadyTime now) {
+void PlacementAdvice::ApplyAnswer(const AdviceQuestion& question,
+                                  const AdviceAnswer& answer,
+                                  SteadyTime now) {
   this->is_open = false;
   if (!answer.is_answered) {
     this->pause_until = now + kPauseAfterFailure;
--- a/libraries/scheduler/placement_advice.h
+++ b/libraries/scheduler/placement_advice.h
@@ -24,10 +24,10 @@
 class PlacementAdvice {
  public:
   // Begins a turn of the scheduler: nothing is wanted yet.
-  void BeginTurn() { this->wanted.reset(); }
+  void BeginPass() { this->wanted.reset(); }
 
   // True while a question could be asked and none is wanted yet in this turn.
-  bool MayWant(SteadyTime now) const {
+  bool CanRequestQuestion(SteadyTime now) const {
     return !this->is_open && !this->wanted && now >= this->pause_until;
   }
 
@@ -41,17 +41,17 @@
   // known to be admitted. `workers` have room for them, the best first; the
   // steps come in the order of their urgency, and the first about which there
   // is something to ask is asked about. `policy` is the queue's.
-  void Want(const jobs::StepId& step,
-            const std::vector<WorkerId>& workers,
-            const jobs::PlacementPolicy& policy,
-            SteadyTime now);
+  void RequestQuestion(const jobs::StepId& step,
+                       const std::vector<WorkerId>& workers,
+                       const jobs::PlacementPolicy& policy,
+                       SteadyTime now);
 
   // The next question, while none is open; it counts as open until its answer
   // is taken.
   std::optional<AdviceQuestion> NextQuestion(SteadyTime now);
-  void TakeAnswer(const AdviceQuestion& question,
-                  const AdviceAnswer& answer,
-                  SteadyTime now);
+  void ApplyAnswer(const AdviceQuestion& question,
+                   const AdviceAnswer& answer,
+                   SteadyTime now);
 
   // Takes in that a worker refused a ticket.
   void DropTicket(const jobs::StepId& step, const WorkerId& worker);
--- a/libraries/scheduler/refused_callers.cc
+++ b/libraries/scheduler/refused_callers.cc
@@ -3,7 +3,7 @@
 
 namespace sumac::scheduler {
 
-void RefusedCallers::Note(const JobId& job, SteadyTime now) {
+void RefusedCallers::RecordRefusal(const JobId& job, SteadyTime now) {
   if (this->first_asked.contains(job.value())) {
     return;
   }
@@ -12,7 +12,8 @@
   this->order.emplace_back(now, job.value());
 }
 
-Milliseconds RefusedCallers::WaitedOf(const JobId& job, SteadyTime now) const {
+Milliseconds RefusedCallers::WaitingTimeOf(const JobId& job,
+                                           SteadyTime now) const {
   const auto found = this->first_asked.find(job.value());
   return found == this->first_asked.end() ? Milliseconds(0)
                                           : now - found->second;
@@ -21,7 +22,7 @@
 void RefusedCallers::DropOld(SteadyTime now) {
   while (!this->order.empty() &&
          (now - this->order.front().first > this->settings.kept ||
-          this->order.size() >= this->settings.most_kept)) {
+          this->order.size() >= this->settings.max_entries)) {
     this->first_asked.erase(this->order.front().second);
     this->order.pop_front();
   }
--- a/libraries/scheduler/refused_callers.h
+++ b/libraries/scheduler/refused_callers.h
@@ -17,7 +17,7 @@
   // Longer than callers try.
   Milliseconds kept{30'000};
   // Bounds the memory: some 2 MB.
-  std::size_t most_kept = 20'000;
+  std::size_t max_entries = 20'000;
 };
 
 // Remembers when callers that were refused asked first, since the time in which
@@ -30,11 +30,11 @@
       : settings(settings) {}
 
   // Takes in that a job was refused.
-  void Note(const JobId& job, SteadyTime now);
+  void RecordRefusal(const JobId& job, SteadyTime now);
 
   // For how long the job's caller has been trying; 0 if it was not refused
   // before.
-  Milliseconds WaitedOf(const JobId& job, SteadyTime now) const;
+  Milliseconds WaitingTimeOf(const JobId& job, SteadyTime now) const;
 
  private:
   // Makes room for one more.
--- a/libraries/scheduler/run_times.h
+++ b/libraries/scheduler/run_times.h
@@ -16,7 +16,7 @@
 class RunTimes {
  public:
   // Takes in a run that ended done.
-  void Note(const QueueName& queue, Milliseconds took);
+  void RecordRunTime(const QueueName& queue, Milliseconds took);
 
   // How long one task of a step probably takes.
   Milliseconds Expect(const QueueName& queue, const jobs::StepSpec& step) const;
@@ -33,17 +33,17 @@
                           const jobs::JobSpec& spec) const;
 
  private:
-  struct Seen {
+  struct Observed {
     std::uint32_t count = 0;
     double mean_ms = 0;
   };
 
   template <typename IsDone>
-  Milliseconds Chain(const QueueName& queue,
-                     const jobs::JobSpec& spec,
-                     IsDone is_done) const;
+  Milliseconds LongestChain(const QueueName& queue,
+                            const jobs::JobSpec& spec,
+                            IsDone is_done) const;
 
-  std::map<QueueName, Seen> queues;
+  std::map<QueueName, Observed> queues;
 };
 
 }  // namespace sumac::scheduler
