--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -109,8 +109,9 @@
 void Scheduler::EndObsoleteIncarnation(const WorkerId& worker, SteadyTime now) {
   const WorkerSession* session = this->FindSession(worker);
   const jobs::Worker* next =
-      session == nullptr ? nullptr
-                         : this->state.FindPresentLife(session->worker().name);
+      session == nullptr
+          ? nullptr
+          : this->state.FindCurrentIncarnation(session->worker().name);
   if (next == nullptr) {
     this->EndIncarnation(worker, IncarnationEnd::kPlanned, now);
     return;
@@ -188,7 +189,7 @@
   if (!report.has_more_ends) {
     this->ReleaseMissingRuns(session, report);
   }
-  if (auto reason = this->sharing.TakeReport(session, now)) {
+  if (auto reason = this->sharing.ApplyReport(session, now)) {
     this->LogPaceChange(session, *reason);
   }
   this->needs_plan = this->needs_plan || is_adopting || ends.up_to > 0;
@@ -198,7 +199,7 @@
 void Scheduler::RecordRunTime(const Run& run, SteadyTime now) {
   const jobs::Job* job = this->state.FindJob(run.task.step.job);
   if (job != nullptr) {
-    this->run_times.Note(job->queue, now - run.ordered_at);
+    this->run_times.RecordRunTime(job->queue, now - run.ordered_at);
   }
 }
 
@@ -235,9 +236,9 @@
       }
       if (end.cause == EndCause::kFailed) {
         memory.failed_on.insert(session.worker().id);
-        this->health.NoteFailure(session.worker().id, end.task.step.job, now);
+        this->health.RecordFailure(session.worker().id, end.task.step.job, now);
       } else if (end.cause == EndCause::kDone) {
-        this->health.NoteDone(session.worker().id, now);
+        this->health.RecordSuccess(session.worker().id, now);
       }
       if (is_final && !step->is_long_running) {
         result.ends.push_back(jobs::RunEnd{end.task, end.run,
@@ -427,7 +428,7 @@
   } else if (const auto* pace = std::get_if<PaceOrder>(&order)) {
     WorkerSession* session = this->FindSession(pace->worker);
     if (session != nullptr) {
-      Sharing::TakeAnswer(*session, *pace, answer.result);
+      Sharing::ApplyResult(*session, *pace, answer.result);
     }
   }
 }
@@ -557,7 +558,7 @@
 void Scheduler::HandleAdvice(const AdviceQuestion& question,
                              const AdviceAnswer& answer,
                              SteadyTime now) {
-  this->advice.TakeAnswer(question, answer, now);
+  this->advice.ApplyAnswer(question, answer, now);
   this->advice.DropFinished(this->state);
   this->needs_plan = true;
 }
@@ -580,10 +581,10 @@
                              const jobs::TaskId& task,
                              SteadyTime now) {
   const jobs::PlacementPolicy* policy = this->PolicyOf(*candidate.job);
-  if (policy != nullptr && this->advice.MayWant(now)) {
+  if (policy != nullptr && this->advice.CanRequestQuestion(now)) {
     const PlacementRequest request{.job = candidate.job, .task = task};
-    this->advice.Want(task.step, this->placement.ListRoom(request), *policy,
-                      now);
+    this->advice.RequestQuestion(
+        task.step, this->placement.ListWorkersWithRoom(request), *policy, now);
   }
 }
 
@@ -610,7 +611,7 @@
     this->RecordCrash(found->second, now);
   }
   this->ReleaseAllRuns(found->second, std::string(TextOf(end)));
-  this->health.Forget(worker);
+  this->health.RemoveRecord(worker);
   this->RemoveFromInstance(found->second.worker());
   this->workers.erase(found);
   this->needs_plan = true;
@@ -769,12 +770,12 @@
   this->starts_left = allowed;
   SchedulerOutput output;
   this->ExpireSilentWorkers(now);
-  this->placement.BeginTurn(this->workers, now);
+  this->placement.BeginPass(this->workers, now);
   this->RemoveSilentWorkers(now, output);
   this->EvacuateCordoned(now);
   this->GiveUpStragglers(now);
   this->StopUnwanted(now, output);
-  this->advice.BeginTurn();
+  this->advice.BeginPass();
   this->StartDue(now, wall_now, output);
   for (PaceOrder& order : Sharing::NextOrders(this->workers, this->epoch)) {
     output.orders.emplace_back(std::move(order));
@@ -1159,18 +1160,18 @@
   }
   const std::vector<DueOccurrence> order = this->waiting.Order(now, wall_now);
   JobNumbers unplaced(order.size());
-  this->forecast.NoteWaiting(this->waiting.waiting_of_queues());
+  this->forecast.UpdateWaiting(this->waiting.waiting_by_queue());
   for (const DueOccurrence& due : order) {
     const std::size_t orders = output.orders.size();
     if (!this->MayStart(due.lateness) || !this->StartSteps(due, now, output)) {
       unplaced.Add(due.job->sequence);
     } else if (due.is_new && output.orders.size() > orders) {
-      this->forecast.NoteBegun(due.job->queue, now);
+      this->forecast.RecordFirstStart(due.job->queue, now);
     }
   }
   unplaced.Sort();
   this->ReviewWaiting(order, unplaced, now);
-  this->waiting.Settle(unplaced, wall_now);
+  this->waiting.RemovePlaced(unplaced, wall_now);
 }
 
 // Returns true if this planning pass may still order a start for a job of this
@@ -1223,10 +1224,10 @@
       PlacementRequest{
           .job = &job, .task = {step, 0}, .advice = this->AdviceFor(job)},
       this->placement, this->workers, this->MayRunUnseen(job), now);
-  const WaitingNews news = this->waiting_steps.Note(step, tasks, cause);
+  const ReviewFinding news = this->waiting_steps.RecordWait(step, tasks, cause);
   const std::string& label = job.spec.steps[step.step].required_label;
-  if (news != WaitingNews::kNone) {
-    const bool is_alarm = news == WaitingNews::kWaitsWithoutNeed;
+  if (news != ReviewFinding::kNone) {
+    const bool is_alarm = news == ReviewFinding::kWaitsDespiteRoom;
     this->collected_events.AddText(
         is_alarm ? "feasible-not-placed" : "step-waits",
         std::string(NameOf(cause.reason)), is_alarm,
@@ -1318,7 +1319,7 @@
     this->StartRunOn(*session, candidate, task, run, now, output);
     if (trial == TrialDecision::kNow) {
       session->BeginTrial(*session->FindRun(task, run));
-      this->placement.NoteTrial(job.service);
+      this->placement.RecordTrial(job.service);
       this->collected_events.Add("run-on-trial", task, run,
                                  session->worker().id,
                                  "its worker crashed before");
@@ -1350,7 +1351,7 @@
   const bool has_waited =
       now - wanted_at >= (is_repeated ? this->settings.max_repeated_trial_wait
                                       : this->settings.max_trial_wait);
-  if (this->placement.HasTrialPlace(job.service) &&
+  if (this->placement.HasTrialCapacity(job.service) &&
       (is_repeated || !has_waited)) {
     return TrialDecision::kNow;
   }
@@ -1370,7 +1371,7 @@
   }
   // A run far from its data holds its room several times as long, so under load
   // each of them delays other tasks, too.
-  return this->placement.MayBeNear({.job = &job, .task = task}) &&
+  return this->placement.CanRunNearData({.job = &job, .task = task}) &&
          this->near_wait.ShouldWait(
              task.step, this->run_times.Expect(job.queue, step), now);
 }
@@ -1480,7 +1481,7 @@
   memory.placed = {session.worker().id, run};
   ++memory.known_runs;
   memory.last_run = run;
-  this->sharing.Begin(session, now);
+  this->sharing.SetFirstPace(session, now);
   const std::string* ticket =
       this->AdviceFor(*candidate.job) == nullptr
           ? nullptr
--- a/libraries/scheduler/sharing.cc
+++ b/libraries/scheduler/sharing.cc
@@ -43,7 +43,7 @@
 
 // Where a filler begins beside a run that serves, what is known of their images
 // sets its pace.
-void Sharing::Begin(WorkerSession& session, SteadyTime now) {
+void Sharing::SetFirstPace(WorkerSession& session, SteadyTime now) {
   const std::optional<SharingReport> report = this->Measure(session);
   if (!report || session.filler_pace.percent < kFullPace) {
     return;
@@ -54,8 +54,8 @@
                 .changed_at = now};
 }
 
-std::optional<std::string> Sharing::TakeReport(WorkerSession& session,
-                                               SteadyTime now) {
+std::optional<std::string> Sharing::ApplyReport(WorkerSession& session,
+                                                SteadyTime now) {
   const std::optional<SharingReport> report = this->Measure(session);
   if (!report) {
     const bool is_free =
@@ -98,9 +98,9 @@
   return orders;
 }
 
-void Sharing::TakeAnswer(WorkerSession& session,
-                         const PaceOrder& order,
-                         OrderResult result) {
+void Sharing::ApplyResult(WorkerSession& session,
+                          const PaceOrder& order,
+                          OrderResult result) {
   Run* run = session.FindRun(order.task, order.run);
   if (run != nullptr && result != OrderResult::kDone &&
       run->pace == order.percent) {
--- a/libraries/scheduler/sharing.h
+++ b/libraries/scheduler/sharing.h
@@ -26,19 +26,20 @@
   explicit Sharing(const jobs::JobsState& state) : state(state) {}
 
   // Takes in that a run was added to the worker.
-  void Begin(WorkerSession& session, SteadyTime now);
+  void SetFirstPace(WorkerSession& session, SteadyTime now);
 
   // Takes in the worker's last report. If the pace of its fillers changes, why.
-  std::optional<std::string> TakeReport(WorkerSession& session, SteadyTime now);
+  std::optional<std::string> ApplyReport(WorkerSession& session,
+                                         SteadyTime now);
 
   // Orders for the fillers that were told another pace than their worker's.
   static std::vector<PaceOrder> NextOrders(Sessions& sessions,
                                            LeaderEpoch epoch);
 
   // Takes in what became of an order.
-  static void TakeAnswer(WorkerSession& session,
-                         const PaceOrder& order,
-                         OrderResult result);
+  static void ApplyResult(WorkerSession& session,
+                          const PaceOrder& order,
+                          OrderResult result);
 
  private:
   std::optional<SharingReport> Measure(const WorkerSession& session) const;
--- a/libraries/scheduler/start_forecast.cc
+++ b/libraries/scheduler/start_forecast.cc
@@ -11,19 +11,19 @@
 
 }  // namespace
 
-void StartForecast::NoteBegun(const QueueName& queue, SteadyTime now) {
+void StartForecast::RecordFirstStart(const QueueName& queue, SteadyTime now) {
   Queue& known = this->queues[queue];
   this->DropOld(known, now);
   known.begun.push_back(now);
-  known.waiting.timely_new -=
-      std::min<std::size_t>(known.waiting.timely_new, 1);
+  known.waiting.new_in_time -=
+      std::min<std::size_t>(known.waiting.new_in_time, 1);
 }
 
-void StartForecast::NoteTaken(const QueueName& queue) {
-  ++this->queues[queue].waiting.timely_new;
+void StartForecast::RecordAccepted(const QueueName& queue) {
+  ++this->queues[queue].waiting.new_in_time;
 }
 
-void StartForecast::NoteWaiting(
+void StartForecast::UpdateWaiting(
     const std::map<QueueName, QueueWaiting>& waiting) {
   for (auto& [name, queue] : this->queues) {
     queue.waiting = {};
@@ -52,8 +52,8 @@
   Queue& known = this->queues[queue];
   const bool is_late = to_spare < Milliseconds(0);
   const std::size_t before =
-      known.waiting.timely_new + (is_late ? known.waiting.late : 0);
-  if (before < this->settings.always_taken) {
+      known.waiting.new_in_time + (is_late ? known.waiting.late : 0);
+  if (before < this->settings.always_accepted) {
     return false;
   }
   const Seconds wait(static_cast<double>(before) / this->RateOf(known, now));
@@ -63,10 +63,10 @@
 Milliseconds StartForecast::RetryAfter(const QueueName& queue, SteadyTime now) {
   Queue& known = this->queues[queue];
   const Seconds gap(1.0 / this->RateOf(known, now));
-  known.last_return = std::clamp(
-      known.last_return + std::chrono::ceil<Milliseconds>(gap),
+  known.last_retry_at = std::clamp(
+      known.last_retry_at + std::chrono::ceil<Milliseconds>(gap),
       now + this->settings.shortest_retry, now + this->settings.longest_retry);
-  return known.last_return - now;
+  return known.last_retry_at - now;
 }
 
 }  // namespace sumac::scheduler
--- a/libraries/scheduler/start_forecast.h
+++ b/libraries/scheduler/start_forecast.h
@@ -14,7 +14,7 @@
 // The jobs of a queue that wait for a start.
 struct QueueWaiting {
   // Those that can still be in time and have not begun.
-  std::size_t timely_new = 0;
+  std::size_t new_in_time = 0;
   std::size_t late = 0;
 };
 
@@ -23,7 +23,7 @@
   Milliseconds window{1'000};
   // So many jobs of a queue may wait in any case: a queue that was idle has no
   // rate yet.
-  std::size_t always_taken = 16;
+  std::size_t always_accepted = 16;
   // How much of the time that a job can spare it may be expected to wait. The
   // rest is for a rate that falls.
   double used_share = 0.5;
@@ -43,12 +43,12 @@
       : settings(settings) {}
 
   // Takes in that a job of the queue has been begun.
-  void NoteBegun(const QueueName& queue, SteadyTime now);
+  void RecordFirstStart(const QueueName& queue, SteadyTime now);
   // Takes in that a job of the queue was taken; it counts as waiting until the
-  // next NoteWaiting.
-  void NoteTaken(const QueueName& queue);
+  // next UpdateWaiting.
+  void RecordAccepted(const QueueName& queue);
   // Takes in what waits now.
-  void NoteWaiting(const std::map<QueueName, QueueWaiting>& waiting);
+  void UpdateWaiting(const std::map<QueueName, QueueWaiting>& waiting);
 
   // True if one more job of the queue, which can spare this much time, would
   // begin too late. One that is late already is taken while next to nothing
@@ -65,7 +65,7 @@
     std::deque<SteadyTime> begun;
     QueueWaiting waiting;
     // When the last of the refused callers was told to come back.
-    SteadyTime last_return{};
+    SteadyTime last_retry_at{};
   };
 
   void DropOld(Queue& queue, SteadyTime now) const;
--- a/libraries/scheduler/stragglers.cc
+++ b/libraries/scheduler/stragglers.cc
@@ -15,7 +15,7 @@
   std::vector<Straggler> found;
   for (auto& [id, session] : sessions) {
     if (session.is_answering()) {
-      this->FindOn(session, now, found);
+      this->FindOnWorker(session, now, found);
     }
   }
   return found;
@@ -49,9 +49,9 @@
                       : this->run_times.Expect(job->queue, *step)};
 }
 
-void Stragglers::FindOn(WorkerSession& session,
-                        SteadyTime now,
-                        std::vector<Straggler>& found) {
+void Stragglers::FindOnWorker(WorkerSession& session,
+                              SteadyTime now,
+                              std::vector<Straggler>& found) {
   struct Suspect {
     Run* run;
     RunProgress progress;
@@ -67,10 +67,10 @@
     if (!progress) {
       continue;
     }
-    const RunPace pace = JudgeProgress(*progress);
+    const RunPace pace = ClassifyProgress(*progress);
     normal += static_cast<std::size_t>(pace == RunPace::kNormal);
     if (pace == RunPace::kStalled) {
-      this->health.NoteStalled(worker, now);
+      this->health.RecordStall(worker, now);
     } else if (pace == RunPace::kSlow || pace == RunPace::kVerySlow) {
       // The submitter's estimate alone says too little.
       const jobs::Job* job = this->state.FindJob(run.task.step.job);
@@ -88,7 +88,7 @@
   // worker.
   is_slow = is_slow || (slow_jobs.size() > 1 && suspects.size() > normal);
   if (is_slow) {
-    this->health.NoteSlow(worker, now);
+    this->health.RecordSlowness(worker, now);
   }
   for (const auto& [run, progress, pace] : suspects) {
     if ((pace == RunPace::kStalled || is_slow) &&
@@ -123,7 +123,7 @@
                        .memory = memory,
                        .other_than = session.worker().id,
                        .advice = this->advice_for(*job)});
-  return other != nullptr && this->placement.IsGood(*other);
+  return other != nullptr && this->placement.IsHealthy(*other);
 }
 
 }  // namespace sumac::scheduler
--- a/libraries/scheduler/stragglers.h
+++ b/libraries/scheduler/stragglers.h
@@ -55,9 +55,9 @@
   std::vector<Straggler> Find(Sessions& sessions, SteadyTime now);
 
  private:
-  void FindOn(WorkerSession& session,
-              SteadyTime now,
-              std::vector<Straggler>& found);
+  void FindOnWorker(WorkerSession& session,
+                    SteadyTime now,
+                    std::vector<Straggler>& found);
   std::optional<RunProgress> ProgressOf(const WorkerSession& session,
                                         const Run& run) const;
   bool IsBetterElsewhere(const WorkerSession& session,
--- a/libraries/scheduler/urgency.cc
+++ b/libraries/scheduler/urgency.cc
@@ -42,7 +42,7 @@
 
 Urgency UrgencyBasis::At(WallTime wall_now) const {
   Urgency urgency{.priority = this->priority, .sequence = this->sequence};
-  if (this->is_timeless) {
+  if (this->is_never_late) {
     return urgency;
   }
   if (wall_now > this->late_from) {
@@ -83,7 +83,7 @@
   const Milliseconds objective =
       ObjectiveOf(*queue, run_times.WholeChain(job.queue, job.spec));
   const Milliseconds left = run_times.RemainingChain(job, occurrence);
-  basis.is_timeless = false;
+  basis.is_never_late = false;
   basis.is_new = !job.has_begun && job.occurrences.empty();
   basis.late_from = due + objective - left - kUsualDelay;
   basis.worthless_from = due + kWorthlessAfter * objective - left;
--- a/libraries/scheduler/urgency.h
+++ b/libraries/scheduler/urgency.h
@@ -60,7 +60,7 @@
   std::uint64_t sequence = 0;
   // It has a step that lasts, or jobs go in the order in which they came: it is
   // never late.
-  bool is_timeless = true;
+  bool is_never_late = true;
   bool is_new = false;
   // From these times on it can't be in time, and is not worth anything.
   WallTime late_from{};
--- a/libraries/scheduler/waiting_jobs.cc
+++ b/libraries/scheduler/waiting_jobs.cc
@@ -17,9 +17,9 @@
 
 // Adds the jobs that are new, and all active ones now and then: a job of which
 // a change went unnoticed waits for that long at most.
-void WaitingJobs::Gather(SteadyTime now) {
-  if (now - this->looked_at_all >= this->full_look_interval) {
-    this->looked_at_all = now;
+void WaitingJobs::AddCandidates(SteadyTime now) {
+  if (now - this->last_full_scan >= this->full_scan_interval) {
+    this->last_full_scan = now;
     this->next_job = 0;
     // Run times are learned and declarations change.
     for (auto& [sequence, known] : this->waiting) {
@@ -49,12 +49,12 @@
 
 std::vector<DueOccurrence> WaitingJobs::Order(SteadyTime now,
                                               WallTime wall_now) {
-  this->Gather(now);
+  this->AddCandidates(now);
   std::vector<std::pair<Urgency, DueOccurrence>> order;
   order.reserve(this->waiting.size());
   this->counts.clear();
   this->lateness = {};
-  this->of_queues.clear();
+  this->by_queue.clear();
   ActiveJobs active(this->state);
   for (auto& [sequence, known] : this->waiting) {
     const jobs::Job* job = active.Find(sequence);
@@ -69,9 +69,9 @@
           this->BasisOf(*job, occurrence, known).At(wall_now);
       this->lateness.Count(urgency.lateness);
       if (urgency.lateness != Lateness::kInTime) {
-        ++this->of_queues[job->queue].late;
+        ++this->by_queue[job->queue].late;
       } else if (urgency.is_new) {
-        ++this->of_queues[job->queue].timely_new;
+        ++this->by_queue[job->queue].new_in_time;
       }
       order.emplace_back(
           urgency,
--- a/libraries/scheduler/waiting_jobs.h
+++ b/libraries/scheduler/waiting_jobs.h
@@ -35,16 +35,16 @@
 // third less processor time for the leader). Pure.
 class WaitingJobs {
  public:
-  // All active jobs are looked at every `full_look_interval`, and in between
+  // All active jobs are looked at every `full_scan_interval`, and in between
   // only those of which something changed.
   WaitingJobs(const jobs::JobsState& state,
               const RunTimes& run_times,
               bool orders_by_slack,
-              Milliseconds full_look_interval)
+              Milliseconds full_scan_interval)
       : state(state),
         run_times(run_times),
         orders_by_slack(orders_by_slack),
-        full_look_interval(full_look_interval) {}
+        full_scan_interval(full_scan_interval) {}
 
   // Takes in that a run of the job is gone or an end of it is on record.
   void Reconsider(const JobId& id);
@@ -56,7 +56,7 @@
   // Takes in which of the ordered jobs, by their numbers, still lack a place
   // for some task; the others wait no longer.
   template <typename Numbers = std::set<std::uint64_t>>
-  void Settle(const Numbers& unplaced, WallTime wall_now) {
+  void RemovePlaced(const Numbers& unplaced, WallTime wall_now) {
     ActiveJobs active(this->state);
     std::erase_if(this->waiting, [&](const auto& item) {
       const jobs::Job* job = active.Find(item.first);
@@ -71,8 +71,8 @@
   // How late the occurrences were that were last ordered.
   const LatenessCounts& lateness_counts() const { return this->lateness; }
   // The jobs that waited then, by queue; without those that are never late.
-  const std::map<QueueName, QueueWaiting>& waiting_of_queues() const {
-    return this->of_queues;
+  const std::map<QueueName, QueueWaiting>& waiting_by_queue() const {
+    return this->by_queue;
   }
 
  private:
@@ -106,12 +106,12 @@
   const UrgencyBasis& BasisOf(const jobs::Job& job,
                               std::uint32_t occurrence,
                               std::vector<UrgencyBasis>& known) const;
-  void Gather(SteadyTime now);
+  void AddCandidates(SteadyTime now);
 
   const jobs::JobsState& state;
   const RunTimes& run_times;
   bool orders_by_slack;
-  Milliseconds full_look_interval;
+  Milliseconds full_scan_interval;
   // By the jobs' numbers, with the urgency of each occurrence that was due;
   // none where it has to be worked out (again).
   std::map<std::uint64_t, std::vector<UrgencyBasis>> waiting;
@@ -119,10 +119,10 @@
   std::map<QueueName, std::size_t> counts;
   // Their occurrences that were due, by lateness.
   LatenessCounts lateness;
-  std::map<QueueName, QueueWaiting> of_queues;
+  std::map<QueueName, QueueWaiting> by_queue;
   // Jobs numbered from here on have not been looked at.
   std::uint64_t next_job = 0;
-  SteadyTime looked_at_all{};
+  SteadyTime last_full_scan{};
 };
 
 }  // namespace sumac::scheduler
--- a/libraries/scheduler/waiting_table.cc
+++ b/libraries/scheduler/waiting_table.cc
@@ -10,9 +10,9 @@
   this->before = std::exchange(this->current, {});
 }
 
-WaitingNews WaitingTable::Note(const jobs::StepId& step,
-                               std::uint32_t tasks,
-                               const WaitingCause& cause) {
+ReviewFinding WaitingTable::RecordWait(const jobs::StepId& step,
+                                       std::uint32_t tasks,
+                                       const WaitingCause& cause) {
   WaitingStep& waiting = this->current[step];
   const auto known = this->before.find(step);
   if (known == this->before.end()) {
@@ -23,15 +23,17 @@
   waiting.cause = cause;
   waiting.tasks = tasks;
   if (this->reviewed_at - waiting.since < kLongWait) {
-    return WaitingNews::kNone;
+    return ReviewFinding::kNone;
   }
-  const bool is_without_need = cause.is_feasible && cause.is_half_free;
-  if (is_without_need && !std::exchange(waiting.is_alarmed, true)) {
-    waiting.is_told = true;
-    return WaitingNews::kWaitsWithoutNeed;
+  const bool has_unused_room = cause.is_feasible && cause.is_half_free;
+  if (has_unused_room &&
+      !std::exchange(waiting.is_wait_despite_room_reported, true)) {
+    waiting.is_long_wait_reported = true;
+    return ReviewFinding::kWaitsDespiteRoom;
   }
-  return std::exchange(waiting.is_told, true) ? WaitingNews::kNone
-                                              : WaitingNews::kWaitsLong;
+  return std::exchange(waiting.is_long_wait_reported, true)
+             ? ReviewFinding::kNone
+             : ReviewFinding::kWaitsLong;
 }
 
 std::uint64_t WaitingTable::CountTasks(WaitingReason reason) const {
--- a/libraries/scheduler/waiting_table.h
+++ b/libraries/scheduler/waiting_table.h
@@ -19,12 +19,12 @@
   std::uint32_t tasks = 0;
   SteadyTime since{};
   // That it waits long, or without need, was told already.
-  bool is_told = false;
-  bool is_alarmed = false;
+  bool is_long_wait_reported = false;
+  bool is_wait_despite_room_reported = false;
 };
 
 // What a review of one step leads to.
-enum class WaitingNews { kNone, kWaitsLong, kWaitsWithoutNeed };
+enum class ReviewFinding { kNone, kWaitsLong, kWaitsDespiteRoom };
 
 // Keeps why steps wait and since when, from one review to the next. A review
 // looks at the most urgent steps only, so that it stays small beside a pass
@@ -50,9 +50,9 @@
   // True while the review may take in more.
   bool HasRoom() const { return this->current.size() < kMostSteps; }
   // Takes in that tasks of a step wait, and tells what is new about that.
-  WaitingNews Note(const jobs::StepId& step,
-                   std::uint32_t tasks,
-                   const WaitingCause& cause);
+  ReviewFinding RecordWait(const jobs::StepId& step,
+                           std::uint32_t tasks,
+                           const WaitingCause& cause);
 
   const std::map<jobs::StepId, WaitingStep>& steps() const {
     return this->current;
--- a/libraries/scheduler/worker_health.cc
+++ b/libraries/scheduler/worker_health.cc
@@ -10,8 +10,8 @@
 constexpr Milliseconds kWindow{6'000};
 // A worker that failed tasks of this many jobs that failed nowhere else, and
 // more than this share of its runs (in thousandths), is taken for bad.
-constexpr std::size_t kFailedJobsOfTheBad = 2;
-constexpr std::size_t kFailedPermilleOfTheBad = 300;
+constexpr std::size_t kBadWorkerFailedJobs = 2;
+constexpr std::size_t kBadWorkerFailurePermille = 300;
 constexpr std::size_t kPermille = 1'000;
 // A bad worker gets no work for the first of these at first, and twice as long
 // each time it turns out bad again.
@@ -20,10 +20,10 @@
 // A worker is taken for slow for this long after a run there was.
 constexpr Milliseconds kSlowTime{2'500};
 // Jobs whose failures are remembered; bounds memory.
-constexpr std::size_t kMostJobs = 2'000;
+constexpr std::size_t kMaxJobs = 2'000;
 
 // Too little time to judge a run by.
-constexpr Milliseconds kShortestJudged{500};
+constexpr Milliseconds kMinJudgedTime{500};
 // A run that did not get on for this long, and for a quarter of what it should
 // take, stands still: reports come each second and round to hundredths.
 constexpr Milliseconds kShortestStall{1'300};
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-RunPace JudgeProgress(const RunProgress& progress) {
+RunPace ClassifyProgress(const RunProgress& progress) {
   if (progress.percent >= kWholePercent ||
       progress.expected <= Milliseconds(0)) {
     return RunPace::kUnknown;
@@ -45,7 +45,7 @@
       std::max(kShortestStall, progress.expected / kStallDivisor)) {
     return RunPace::kStalled;
   }
-  if (progress.elapsed < kShortestJudged) {
+  if (progress.elapsed < kMinJudgedTime) {
     return RunPace::kUnknown;
   }
   // A run that has not shown any progress yet counts with half a hundredth.
@@ -77,11 +77,11 @@
 void WorkerHealth::Quarantine(Record& record, SteadyTime now) {
   const Milliseconds time = std::min(
       kLongestQuarantine, kShortestQuarantine * (1 << record.quarantines));
-  constexpr int kMostDoublings = 8;
-  record.quarantines = std::min(record.quarantines + 1, kMostDoublings);
+  constexpr int kMaxDoublings = 8;
+  record.quarantines = std::min(record.quarantines + 1, kMaxDoublings);
   record.quarantined_until = now + time;
-  this->latest_set_aside =
-      std::max(this->latest_set_aside, record.quarantined_until);
+  this->last_exclusion_ends_at =
+      std::max(this->last_exclusion_ends_at, record.quarantined_until);
   record.failures.clear();
   record.successes.clear();
 }
@@ -99,13 +99,13 @@
     }
   }
   // After a quarantine one more job is enough.
-  const std::size_t enough = record.quarantines > 0 ? 1 : kFailedJobsOfTheBad;
+  const std::size_t enough = record.quarantines > 0 ? 1 : kBadWorkerFailedJobs;
   const std::size_t runs = failures + record.successes.size();
   return jobs.size() >= enough &&
-         failures * kPermille > runs * kFailedPermilleOfTheBad;
+         failures * kPermille > runs * kBadWorkerFailurePermille;
 }
 
-void WorkerHealth::NoteDone(const WorkerId& worker, SteadyTime now) {
+void WorkerHealth::RecordSuccess(const WorkerId& worker, SteadyTime now) {
   Record& record = this->workers[worker];
   this->DropOld(record, now);
   record.successes.push_back(now);
@@ -115,10 +115,10 @@
   }
 }
 
-void WorkerHealth::NoteFailure(const WorkerId& worker,
-                               const JobId& job,
-                               SteadyTime now) {
-  if (this->failed_on.size() >= kMostJobs) {
+void WorkerHealth::RecordFailure(const WorkerId& worker,
+                                 const JobId& job,
+                                 SteadyTime now) {
+  if (this->failed_on.size() >= kMaxJobs) {
     this->failed_on.clear();
   }
   this->failed_on[job].insert(worker);
@@ -130,20 +130,21 @@
   }
 }
 
-void WorkerHealth::NoteStalled(const WorkerId& worker, SteadyTime now) {
+void WorkerHealth::RecordStall(const WorkerId& worker, SteadyTime now) {
   Record& record = this->workers[worker];
   if (now >= record.quarantined_until) {
     this->Quarantine(record, now);
   }
 }
 
-void WorkerHealth::NoteSlow(const WorkerId& worker, SteadyTime now) {
+void WorkerHealth::RecordSlowness(const WorkerId& worker, SteadyTime now) {
   this->workers[worker].slow_until = now + kSlowTime;
-  this->latest_set_aside = std::max(this->latest_set_aside, now + kSlowTime);
+  this->last_exclusion_ends_at =
+      std::max(this->last_exclusion_ends_at, now + kSlowTime);
 }
 
 bool WorkerHealth::IsQuarantined(const WorkerId& worker, SteadyTime now) const {
-  if (!this->MayHaveSetAside(now)) {
+  if (!this->MayHaveExclusions(now)) {
     return false;
   }
   const auto found = this->workers.find(worker);
@@ -151,7 +152,7 @@
 }
 
 bool WorkerHealth::IsSlow(const WorkerId& worker, SteadyTime now) const {
-  if (!this->MayHaveSetAside(now)) {
+  if (!this->MayHaveExclusions(now)) {
     return false;
   }
   const auto found = this->workers.find(worker);
--- a/libraries/scheduler/worker_health.h
+++ b/libraries/scheduler/worker_health.h
@@ -38,7 +38,7 @@
 };
 
 // Judges a run by its progress.
-RunPace JudgeProgress(const RunProgress& progress);
+RunPace ClassifyProgress(const RunProgress& progress);
 
 // What runs tell about the workers that they run on: one that fails the tasks
 // of several jobs, or on which runs stand still, is kept from new work for a
@@ -47,13 +47,13 @@
 class WorkerHealth {
  public:
   // Takes in how a run ended, or how it is seen to get on.
-  void NoteDone(const WorkerId& worker, SteadyTime now);
-  void NoteFailure(const WorkerId& worker, const JobId& job, SteadyTime now);
-  void NoteStalled(const WorkerId& worker, SteadyTime now);
-  void NoteSlow(const WorkerId& worker, SteadyTime now);
+  void RecordSuccess(const WorkerId& worker, SteadyTime now);
+  void RecordFailure(const WorkerId& worker, const JobId& job, SteadyTime now);
+  void RecordStall(const WorkerId& worker, SteadyTime now);
+  void RecordSlowness(const WorkerId& worker, SteadyTime now);
 
   // Forgets a worker.
-  void Forget(const WorkerId& worker) { this->workers.erase(worker); }
+  void RemoveRecord(const WorkerId& worker) { this->workers.erase(worker); }
 
   // True while nothing should be started there.
   bool IsQuarantined(const WorkerId& worker, SteadyTime now) const;
@@ -62,8 +62,8 @@
 
  private:
   // False for sure if no worker is kept from work or known to be slow.
-  bool MayHaveSetAside(SteadyTime now) const {
-    return now < this->latest_set_aside;
+  bool MayHaveExclusions(SteadyTime now) const {
+    return now < this->last_exclusion_ends_at;
   }
   struct Failure {
     SteadyTime at;
@@ -84,7 +84,7 @@
   bool IsBad(const Record& record) const;
 
   // When the last worker that is set aside now is so no more.
-  SteadyTime latest_set_aside{};
+  SteadyTime last_exclusion_ends_at{};
   std::unordered_map<WorkerId, Record> workers;
   // Where tasks of a job failed lately.
   std::map<JobId, std::set<WorkerId>> failed_on;
--- a/services/sumacd/controller.cc
+++ b/services/sumacd/controller.cc
@@ -178,7 +178,7 @@
       all_orders.emplace_back();
       continue;
     }
-    this->soft.Hear(announcement, now);
+    this->soft.RecordAnnouncement(announcement, now);
     for (fleet::RecordTargets& command :
          CommandsForTarget(this->state(), announcement)) {
       this->ProposeInBackground(std::move(command));
@@ -190,7 +190,7 @@
     }
     fleet::TargetOrders orders = OrdersFor(this->state(), name);
     if (orders.is_confirmed) {
-      this->soft.NoteRenewed(name, now);
+      this->soft.RecordLeaseRenewal(name, now);
     } else {
       orders.renew_after = kFirstRenewal;
     }
@@ -281,7 +281,7 @@
     return;
   }
   this->last_applied_view = version;
-  this->history.Take(fleet::MakeView(this->state()));
+  this->history.RecordView(fleet::MakeView(this->state()));
   std::erase_if(this->view_waiters, [version](ViewWaiter& waiter) {
     const bool is_due = version > waiter.have || !waiter.fulfiller->isWaiting();
     if (is_due) {
--- a/services/sumacd/entry.cc
+++ b/services/sumacd/entry.cc
@@ -383,7 +383,7 @@
   const SteadyTime now = this->clock.SteadyNow();
   this->router.FinishTry(minion, result.outcome, result.reported_load, now);
   if (result.is_leaving) {
-    this->router.minions().NoteLeaving(minion, now);
+    this->router.minions().MarkLeaving(minion, now);
   }
   this->WakeReady();
 }
@@ -484,7 +484,7 @@
           address, std::move(connection), probe, 1024, deadline);
       if (result.is_leaving) {
         const std::lock_guard lock(this->mutex);
-        this->router.minions().NoteLeaving(name, this->clock.SteadyNow());
+        this->router.minions().MarkLeaving(name, this->clock.SteadyNow());
       }
     }
     stop_lock.lock();
--- a/services/sumacd/instance_keeper.cc
+++ b/services/sumacd/instance_keeper.cc
@@ -42,7 +42,7 @@
       return "busy";
     case kFenced:
       return "fenced";
-    case kNotOfWave:
+    case kNotInWave:
       return "not of this wave";
     case kUnknownInstance:
       return "unknown instance";
@@ -121,12 +121,12 @@
   this->RefreshList(now);
   std::map<InstanceName, maintenance::InstanceFacts> facts =
       GatherInstanceFacts(this->scheduler);
-  for (const InstanceName& name : this->capacity.Moving()) {
+  for (const InstanceName& name : this->capacity.MovingInstances()) {
     facts[name].is_moving = true;
   }
   maintenance::MaintenanceOutput output =
       this->waves.Plan(this->state, facts, this->listing, wall_now, now);
-  for (const maintenance::InstanceNote& note : output.notes) {
+  for (const maintenance::InstanceCompletion& note : output.completions) {
     LogEvent(LogLevel::kInfo, "maintenance-over",
              {{"instance", note.instance.value()},
               {"wave", note.wave.value()},
@@ -174,8 +174,8 @@
     maintenance::InstanceResult result) {
   const SteadyTime now = this->clock.SteadyNow();
   return order.wave.value().empty()
-             ? this->capacity.TakeResult(order, result, now)
-             : this->waves.TakeResult(this->state, order, result, now);
+             ? this->capacity.HandleOrderResult(order, result, now)
+             : this->waves.HandleOrderResult(this->state, order, result, now);
 }
 
 // NOTE: The planners look on while their commands are being committed, and want
@@ -217,7 +217,7 @@
   const Milliseconds interval =
       this->scheduler.NeedsInstanceCheck()
           ? LifeCheckInterval(this->scheduler.sessions().size())
-      : maintenance::MaintenancePlanner::NeedsList(this->state)
+      : maintenance::MaintenancePlanner::NeedsListing(this->state)
           ? kListInterval
           : kQuietListInterval;
   const bool is_first = this->last_list == SteadyTime{};
@@ -249,10 +249,10 @@
         }
         this->is_listing = false;
         this->LogList();
-        this->listing.Take(std::move(this->pages), this->last_list,
-                           this->nameless_rows > 0);
+        this->listing.RecordList(std::move(this->pages), this->last_list,
+                                 this->nameless_rows > 0);
         this->CheckLives();
-        this->capacity.TakeList(this->listing);
+        this->capacity.UpdateListing(this->listing);
         return kj::READY_NOW;
       });
 }
--- a/services/sumacd/job_controller.cc
+++ b/services/sumacd/job_controller.cc
@@ -178,7 +178,7 @@
 void JobController::Tick() {
   const SteadyTime now = this->clock.SteadyNow();
   this->load.Measure();
-  this->loop_pacer.NoteLateness(this->load.lateness());
+  this->loop_pacer.RecordLateness(this->load.lateness());
   {
     const auto measured = this->load.work_times.Measure(Work::kReplicate);
     this->host->Tick(now);
@@ -253,7 +253,7 @@
   chosen.max_stop_time = times.longest_stop;
   this->scheduler.emplace(this->jobs_state, chosen, now);
   const maintenance::MaintenanceSettings maintenance{
-      .holder_pause = times.instance_lease,
+      .takeover_pause = times.instance_lease,
       .maintenance_time = times.maintenance_time()};
   this->keeper = std::make_unique<InstanceKeeper>(
       this->jobs_state, *this->scheduler, this->instance_calls,
@@ -266,7 +266,7 @@
           .count_order = [this] { this->load.CountPiece(Piece::kMove); }},
       maintenance,
       maintenance::CapacitySettings{.is_on = policy.moves,
-                                    .holder_pause = times.instance_lease,
+                                    .takeover_pause = times.instance_lease,
                                     .reserve_permille = policy.reserve_permille,
                                     .surplus_time = policy.surplus_time,
                                     .move_time = times.move_time()},
@@ -320,7 +320,7 @@
   if (!this->scheduler) {
     return;
   }
-  this->changed_workers.merge(this->jobs_state.WorkersTouchedBy(command));
+  this->changed_workers.merge(this->jobs_state.FindAffectedWorkers(command));
 }
 
 // The active jobs that a command may finish; while another controller leads,
@@ -361,7 +361,7 @@
     if (job == nullptr || job->is_active()) {
       continue;
     }
-    this->backlog.NoteFinished(this->clock.SteadyNow());
+    this->backlog.RecordFinished(this->clock.SteadyNow());
     const Milliseconds took = job->finished_at - job->accepted_at;
     this->metrics.Observe("sumac_job_seconds",
                           std::chrono::duration<double>(took).count());
@@ -428,7 +428,7 @@
                                         std::string message,
                                         Milliseconds retry_after) {
     this->load.CountRefusal(reason);
-    this->refused_callers.Note(job, now);
+    this->refused_callers.RecordRefusal(job, now);
     return fleet::Answer{.code = ResultCode::kOverloaded,
                          .message = std::move(message),
                          .document = {{"retry_after_ms", retry_after.count()}}};
@@ -448,7 +448,7 @@
   }
   scheduler::StartForecast& forecast = this->scheduler->start_forecast();
   const auto to_spare = this->scheduler->TimeToSpareFor(queue, spec);
-  const Milliseconds waited = this->refused_callers.WaitedOf(job, now);
+  const Milliseconds waited = this->refused_callers.WaitingTimeOf(job, now);
   if (to_spare && forecast.IsTooLate(queue.name, *to_spare - waited, now)) {
     return refuse(scheduler::RefusalReason::kTooLate,
                   "it would begin too late behind those that wait",
@@ -460,7 +460,7 @@
                          " ms late"),
                   this->load.RetryAfter());
   }
-  forecast.NoteTaken(queue.name);
+  forecast.RecordAccepted(queue.name);
   this->load.CountTakenJob();
   return std::nullopt;
 }
@@ -492,7 +492,7 @@
   return this
       ->Propose(jobs::SubmitJob{address->job, address->queue->name,
                                 request.spec,
-                                this->refused_callers.WaitedOf(
+                                this->refused_callers.WaitingTimeOf(
                                     address->job, this->clock.SteadyNow())})
       .then([this, job = address->job,
              queue = address->queue->name](fleet::Answer&& answer) {
@@ -564,7 +564,7 @@
     // Reading a document takes every controller some 3 ms, and operators send
     // each again until they have its answer: 14 in two seconds took a tenth of
     // a busy leader's loop. The door has checked that it is valid.
-    if (auto answer = this->jobs_state.AnswerIfOld(*declare)) {
+    if (auto answer = this->jobs_state.AnswerIfNotNewer(*declare)) {
       return *std::move(answer);
     }
   }
@@ -647,7 +647,7 @@
       this->host->replica().membership();
   std::set<ProcessName> controllers;
   if (!this->uses_relays) {
-    this->relayed->Sync(controllers, now);
+    this->relayed->UpdateRelays(controllers, now);
     return;
   }
   for (const auto* members : {&membership.voters, &membership.learners}) {
@@ -656,7 +656,7 @@
     }
   }
   controllers.erase(this->settings.process());
-  this->relayed->Sync(controllers, now);
+  this->relayed->UpdateRelays(controllers, now);
 }
 
 absl::StatusOr<wire::Relay::Client> JobController::OpenRelay(
@@ -699,7 +699,7 @@
                            },
                        .forget =
                            [this](const WorkerId& worker) {
-                             this->relayed->Forget(worker);
+                             this->relayed->RemoveWorker(worker);
                            }});
   std::size_t begun = 0;
   for (const auto& [worker, session] : this->scheduler->sessions()) {
@@ -866,7 +866,7 @@
   this->load.CountTurn();
   this->metrics.Observe("sumac_pass_seconds",
                         std::chrono::duration<double>(took).count());
-  this->loop_pacer.NotePass(
+  this->loop_pacer.RecordPass(
       std::chrono::duration_cast<std::chrono::microseconds>(took));
 }
 
--- a/services/sumacd/leader_load.cc
+++ b/services/sumacd/leader_load.cc
@@ -66,7 +66,7 @@
 void LeaderLoad::Measure() {
   const Milliseconds late = this->probe.Lateness();
   this->probe.Send();
-  this->admission.NoteLateness(late);
+  this->admission.RecordLateness(late);
   this->most_late = std::max(this->most_late, late);
   this->metrics.Observe("sumac_loop_late_seconds", InSeconds(late));
 }
--- a/services/sumacd/leader_load.h
+++ b/services/sumacd/leader_load.h
@@ -63,7 +63,7 @@
   void LogIfDue(const LeaderQueues& queues, SteadyTime now);
 
   // Decides about one new job; see Admission.
-  bool TakesJob() { return this->admission.Take(); }
+  bool TakesJob() { return this->admission.AdmitJob(); }
   void CountTakenJob() { ++this->taken_jobs; }
   void CountRefusal(scheduler::RefusalReason reason);
   // Counts a turn of the scheduler.
--- a/services/sumacd/replica_host.cc
+++ b/services/sumacd/replica_host.cc
@@ -250,7 +250,7 @@
   replication::MemberHealth health;
   health.is_silent = silence > kSilentControllerTime;
   health.is_lost = silence > kLostControllerTime;
-  health.is_caught_up = !health.is_silent && this->catch_up_mark.IsReached(
+  health.is_caught_up = !health.is_silent && this->catch_up_mark.HasCaughtUp(
                                                  this->replica_core->term(),
                                                  found->second.match_index);
   return health;
@@ -267,8 +267,8 @@
       health[node] = this->HealthOf(node, now);
     }
   }
-  this->catch_up_mark.Note(this->replica_core->term(),
-                           this->replica_core->commit_index());
+  this->catch_up_mark.RecordCommitIndex(this->replica_core->term(),
+                                        this->replica_core->commit_index());
   const auto next = replication::PlanNextMembers(members, health,
                                                  this->settings.wanted_voters);
   if (next) {
@@ -513,8 +513,8 @@
   replication::Output output = std::move(this->unwritten.front());
   this->unwritten.pop_front();
   if (!output.entries_to_write.empty()) {
-    this->replica_core->NoteWritten(output.entries_to_write.back().index,
-                                    this->clock.SteadyNow());
+    this->replica_core->HandleLogWritten(output.entries_to_write.back().index,
+                                         this->clock.SteadyNow());
   }
   // What was delivered before the write has nothing left to deliver.
   this->Deliver(output);
--- a/services/sumacd/replica_host.h
+++ b/services/sumacd/replica_host.h
@@ -21,7 +21,7 @@
 #include "libraries/base/names.h"
 #include "libraries/base/time.h"
 #include "libraries/fleet/answer.h"
-#include "libraries/replication/catch_up_mark.h"
+#include "libraries/replication/catch_up_tracker.h"
 #include "libraries/replication/membership_plan.h"
 #include "libraries/replication/replica.h"
 #include "services/sumacd/disk_thread.h"
@@ -182,7 +182,7 @@
   std::pair<replication::Role, ProcessName> logged_role{
       replication::Role::kFollower, ProcessName()};
   // How far the log was committed when the members were last looked after.
-  replication::CatchUpMark catch_up_mark;
+  replication::CatchUpTracker catch_up_mark;
   SteadyTime last_join{};
   std::size_t next_to_ask = 0;
   // The leader as the last one asked named it; empty if it did not.
--- a/tests/libraries/fleet/claims_test.cc
+++ b/tests/libraries/fleet/claims_test.cc
@@ -34,7 +34,7 @@
   }
 };
 
-TEST_F(ClaimsTest, OnlyOneTryHoldsTheRightToSend) {
+TEST_F(ClaimsTest, OnlyOneAttemptHoldsTheClaim) {
   const IdempotencyKey key = this->KeyMadeAt(this->clock.Now());
   EXPECT_TRUE(this->Claim(key, 1).document.is_null());
   // The same try told twice still holds it; any other does not, through
@@ -67,7 +67,7 @@
   EXPECT_TRUE(this->Claim(key, 4).is_ok());
 }
 
-TEST_F(ClaimsTest, WhatDidNotRunMayBeClaimedAgain) {
+TEST_F(ClaimsTest, ARequestThatDidNotRunMayBeClaimedAgain) {
   const IdempotencyKey key = this->KeyMadeAt(this->clock.Now());
   this->Claim(key, 1);
   ASSERT_TRUE(this->Finish(key, 1, ClaimState::kNotRun).is_ok());
@@ -84,7 +84,7 @@
   EXPECT_EQ(this->Claim(key, 2, "two").code, ResultCode::kKeyReused);
 }
 
-TEST_F(ClaimsTest, AForgottenKeyIsRefusedAndNeverTakenForNew) {
+TEST_F(ClaimsTest, AnExpiredKeyIsRefusedAndNotTreatedAsNew) {
   const IdempotencyKey key = this->KeyMadeAt(this->clock.Now());
   this->Claim(key, 1);
   this->Finish(key, 1, ClaimState::kAnswered);
@@ -99,7 +99,7 @@
 
 TEST_F(ClaimsTest, KeysFromTheFutureAreRefused) {
   const IdempotencyKey key =
-      this->KeyMadeAt(this->clock.Now() + kMostKeySkew + Milliseconds(1'000));
+      this->KeyMadeAt(this->clock.Now() + kMaxKeySkew + Milliseconds(1'000));
   EXPECT_EQ(this->Claim(key, 1).code, ResultCode::kBadIdempotencyKey);
 }
 
--- a/tests/libraries/fleet/fleet_harness.cc
+++ b/tests/libraries/fleet/fleet_harness.cc
@@ -90,11 +90,11 @@
   this->targets.at(name).is_silent = true;
 }
 
-void FleetHarness::Wake(const std::string& name) {
+void FleetHarness::EndSilence(const std::string& name) {
   this->targets.at(name).is_silent = false;
 }
 
-void FleetHarness::StartAnew(const std::string& name) {
+void FleetHarness::RestartTarget(const std::string& name) {
   Target& target = this->targets.at(name);
   target.is_silent = false;
   target.announcement.target.incarnation =
@@ -121,7 +121,7 @@
     if (target.is_silent) {
       continue;
     }
-    this->soft.Hear(target.announcement, now);
+    this->soft.RecordAnnouncement(target.announcement, now);
     for (RecordTargets& command :
          CommandsForTarget(this->state(), target.announcement)) {
       this->Apply(std::move(command));
@@ -132,7 +132,7 @@
       this->Apply(RecordTasks{InstanceName(name), std::move(reports)});
     }
     if (OrdersFor(this->state(), InstanceName(name)).is_confirmed) {
-      this->soft.NoteRenewed(InstanceName(name), now);
+      this->soft.RecordLeaseRenewal(InstanceName(name), now);
     }
   }
 }
--- a/tests/libraries/fleet/fleet_harness.h
+++ b/tests/libraries/fleet/fleet_harness.h
@@ -38,9 +38,9 @@
                  std::uint32_t millicores = 16'000,
                  std::uint32_t accelerators = 0);
   void Silence(const std::string& name);
-  void Wake(const std::string& name);
+  void EndSilence(const std::string& name);
   // Starts the target anew.
-  void StartAnew(const std::string& name);
+  void RestartTarget(const std::string& name);
   void SetInFlight(const std::string& name, std::uint32_t in_flight);
   // A worker's answers to the tasks it was ordered: by default it says nothing
   // of them.
--- a/tests/libraries/fleet/instances_test.cc
+++ b/tests/libraries/fleet/instances_test.cc
@@ -29,7 +29,7 @@
   }
 };
 
-TEST_F(InstancesTest, AQuietFleetSettlesWithoutAnyCommand) {
+TEST_F(InstancesTest, ANewInstanceSettlesWithoutAnOperator) {
   this->AddMinion("m6", "p");
   this->PassTime(Milliseconds(300));
   EXPECT_EQ(this->StateOf("m6"), InstanceState::kSettling);
@@ -37,8 +37,8 @@
   EXPECT_EQ(this->StateOf("m6"), InstanceState::kAvailable);
 }
 
-TEST_F(InstancesTest, AFleetLargerThanOneTurnIsGoneRoundInParts) {
-  this->planner.most_instances_per_turn = 2;
+TEST_F(InstancesTest, AFleetLargerThanOnePassIsScannedInParts) {
+  this->planner.max_instances_per_pass = 2;
   for (const char* name : {"m1", "m3", "m5"}) {
     this->Silence(name);
   }
@@ -66,7 +66,7 @@
   EXPECT_EQ(this->StateOf("m4"), InstanceState::kSilent);
   EXPECT_EQ(this->Operate(InstanceRequest::kDrain, "m1").code,
             ResultCode::kBudgetWouldBreak);
-  this->Wake("m4");
+  this->EndSilence("m4");
   this->PassTime(Milliseconds(200));
   // Heard again, it must settle first: a second one is often lost right then.
   EXPECT_EQ(this->Operate(InstanceRequest::kDrain, "m1").code,
@@ -108,7 +108,7 @@
   EXPECT_EQ(this->StateOf("m2"), InstanceState::kAvailable);
 }
 
-TEST_F(InstancesTest, DrainsOnlyAfterTheGraceAndWithNothingInHand) {
+TEST_F(InstancesTest, DrainsOnlyAfterTheGraceAndWithNothingInFlight) {
   this->SetInFlight("m1", 1);
   ASSERT_TRUE(this->Operate(InstanceRequest::kReboot, "m1").is_ok());
   this->PassTime(Milliseconds(5'000));
@@ -131,15 +131,14 @@
   EXPECT_EQ(this->StateOf("m1"), InstanceState::kDrained);
 }
 
-TEST_F(InstancesTest,
-       ARebootIsOverOnlyWhenThePlatformSaysSoAndTheInstanceStartedAnew) {
+TEST_F(InstancesTest, ARebootEndsOnlyAfterAPlatformReportAndARestart) {
   ASSERT_TRUE(this->Operate(InstanceRequest::kReboot, "m1").is_ok());
   this->PassTime(Milliseconds(4'000));
   ASSERT_EQ(PlatformSteps(this->state()).size(), 1U);
   this->Report("m1", PlatformProgress::kAccepted);
   EXPECT_EQ(this->StateOf("m1"), InstanceState::kRebooting);
   // It crashed and came back before the reboot, which is still to come.
-  this->StartAnew("m1");
+  this->RestartTarget("m1");
   this->PassTime(Milliseconds(2'000));
   EXPECT_EQ(this->StateOf("m1"), InstanceState::kRebooting);
   EXPECT_EQ(PlatformSteps(this->state()).size(), 1U);
@@ -157,7 +156,7 @@
       this->state().FindInstance(InstanceName("m1"))->operation->id;
   // The first answer was lost, the instance is back, and only then the platform
   // is heard.
-  this->StartAnew("m1");
+  this->RestartTarget("m1");
   this->PassTime(Milliseconds(500));
   this->Apply(
       RecordPlatformReport{InstanceName("m1"), id, PlatformProgress::kDone});
@@ -186,7 +185,7 @@
   EXPECT_EQ(this->state().CountsOf(PoolName("p")).total().members, 4U);
   EXPECT_EQ(this->state().CountsOf(PoolName("q")).total().members, 1U);
   // Its own wish counts only the first time.
-  this->StartAnew("m1");
+  this->RestartTarget("m1");
   this->PassTime(Milliseconds(500));
   EXPECT_EQ(this->state().FindInstance(InstanceName("m1"))->pool,
             PoolName("q"));
@@ -215,14 +214,14 @@
 }
 
 TEST_F(InstancesTest, ReportsOfAnEarlierStartAreIgnored) {
-  this->StartAnew("m1");
+  this->RestartTarget("m1");
   this->PassTime(Milliseconds(1'000));
   this->Apply(RecordInstanceEvents{
       {{InstanceName("m1"), Incarnation(1), InstanceEvent::kSilence}}});
   EXPECT_EQ(this->StateOf("m1"), InstanceState::kAvailable);
 }
 
-TEST_F(InstancesTest, ANewLeaderDoesNotTakeItsOwnIgnoranceForSilence) {
+TEST_F(InstancesTest, ANewLeaderDoesNotTreatUnheardInstancesAsSilent) {
   this->ChangeLeader();
   this->PassTime(Milliseconds(100));
   EXPECT_EQ(this->AvailableIn("p"), 5U);
--- a/tests/libraries/fleet/jobs_test.cc
+++ b/tests/libraries/fleet/jobs_test.cc
@@ -34,7 +34,7 @@
   }
 };
 
-TEST_F(JobsTest, RunsThroughItsLife) {
+TEST_F(JobsTest, AJobIsPlacedRunsAndFinishes) {
   const std::string worker = this->Place(MakeJob("j"));
   this->ReportTask(worker, "j", TaskState::kRunning);
   this->PassTime(Milliseconds(200));
@@ -56,7 +56,7 @@
   EXPECT_NE(this->JobOf("j").worker.value(), worker);
 }
 
-TEST_F(JobsTest, ANewLeaderTakesEveryLeaseForJustRenewed) {
+TEST_F(JobsTest, ANewLeaderAssumesEveryLeaseWasJustRenewed) {
   const std::string worker = this->Place(MakeJob("j"));
   this->Silence(worker);
   this->PassTime(Milliseconds(2'500));
@@ -67,7 +67,7 @@
   EXPECT_EQ(this->JobOf("j").token, FencingToken(2));
 }
 
-TEST_F(JobsTest, ANonRepeatableJobIsNeverPlacedTwiceByItself) {
+TEST_F(JobsTest, ANonRepeatableJobIsNeverPlacedTwiceAutomatically) {
   const std::string worker = this->Place(MakeJob("j", false));
   this->Silence(worker);
   this->PassTime(Milliseconds(10'000));
@@ -87,7 +87,7 @@
   EXPECT_EQ(this->JobOf("j").state, before);
 }
 
-TEST_F(JobsTest, WhatCanNeverRunIsRefusedWithTheNearestMiss) {
+TEST_F(JobsTest, AJobThatFitsNoWorkerIsRefusedWithTheNearestMiss) {
   JobSpec spec = MakeJob("j");
   spec.accelerators = 9;
   const Answer answer = this->Submit(spec);
@@ -209,7 +209,7 @@
   EXPECT_EQ(this->StateOf(worker), InstanceState::kDrained);
 }
 
-TEST_F(JobsTest, APlacementThatNoLongerHoldsIsNotMade) {
+TEST_F(JobsTest, AnOutdatedPlacementIsIgnored) {
   ASSERT_TRUE(this->Submit(MakeJob("j")).is_ok());
   ASSERT_TRUE(this->Operate(InstanceRequest::kDrain, "w1").is_ok());
   this->Apply(PlaceJobs{{Placement{JobId("j"), InstanceName("w1"), "stale"}}});
--- a/tests/libraries/fleet/view_history_test.cc
+++ b/tests/libraries/fleet/view_history_test.cc
@@ -54,7 +54,7 @@
         break;
     }
     const View whole = MakeView(version, minions, most_queued);
-    history.Take(whole);
+    history.RecordView(whole);
     followers.push_back(whole);
   }
   for (const View& follower : followers) {
@@ -71,18 +71,18 @@
   for (int number = 0; number < 1'000; ++number) {
     minions[number] = true;
   }
-  history.Take(MakeView(1, minions));
+  history.RecordView(MakeView(1, minions));
   minions[7] = false;
-  history.Take(MakeView(2, minions));
+  history.RecordView(MakeView(2, minions));
   const auto delta = history.DeltaSince(1);
   ASSERT_TRUE(delta);
   EXPECT_EQ(delta->minions.size(), 1U);
   EXPECT_FALSE(delta->has_services);
 }
 
-TEST(ViewHistoryTest, WhoeverIsTooFarBehindGetsTheWholeView) {
+TEST(ViewHistoryTest, AFollowerTooFarBehindGetsTheWholeView) {
   ViewHistory history;
-  history.Take(MakeView(5, {{1, true}}));
+  history.RecordView(MakeView(5, {{1, true}}));
   EXPECT_FALSE(history.DeltaSince(0));
   EXPECT_FALSE(history.DeltaSince(4));
   EXPECT_TRUE(history.DeltaSince(5));
@@ -90,9 +90,9 @@
   EXPECT_FALSE(history.DeltaSince(6));
   std::map<int, bool> minions;
   for (std::uint64_t version = 6;
-       version < 6 + 2 * ViewHistory::kMostRemoved + 10; ++version) {
+       version < 6 + 2 * ViewHistory::kMaxRemovedMinions + 10; ++version) {
     minions = {{static_cast<int>(version), true}};
-    history.Take(MakeView(version, minions));
+    history.RecordView(MakeView(version, minions));
   }
   EXPECT_FALSE(history.DeltaSince(6));
 }
--- a/tests/libraries/jobs/jobs_state_test.cc
+++ b/tests/libraries/jobs/jobs_state_test.cc
@@ -70,9 +70,9 @@
 // comes when it is in force needs no further commit.
 TEST_F(JobsStateTest, ADeclarationThatIsInForceNeedsNoCommit) {
   this->Do(Declare{5, "other"});
-  EXPECT_TRUE(this->state.AnswerIfOld(Declare{5, "other"}).has_value());
-  EXPECT_TRUE(this->state.AnswerIfOld(Declare{4, "third"})->is_ok());
-  EXPECT_FALSE(this->state.AnswerIfOld(Declare{6, "third"}).has_value());
+  EXPECT_TRUE(this->state.AnswerIfNotNewer(Declare{5, "other"}).has_value());
+  EXPECT_TRUE(this->state.AnswerIfNotNewer(Declare{4, "third"})->is_ok());
+  EXPECT_FALSE(this->state.AnswerIfNotNewer(Declare{6, "third"}).has_value());
 }
 
 TEST_F(JobsStateTest, AJobIsAcceptedOnce) {
--- a/tests/libraries/maintenance/capacity_planner_test.cc
+++ b/tests/libraries/maintenance/capacity_planner_test.cc
@@ -69,23 +69,23 @@
                       .service = kOff,
                       .state = InstanceState::kUp});
     }
-    this->TakeList(list);
+    this->DeliverList(list);
   }
   // A list that is asked for and comes now.
-  void TakeList(std::vector<ListedInstance> rows) {
-    this->listing.Take(std::move(rows), this->now);
-    this->planner.TakeList(this->listing);
+  void DeliverList(std::vector<ListedInstance> rows) {
+    this->listing.RecordList(std::move(rows), this->now);
+    this->planner.UpdateListing(this->listing);
   }
-  // One look; what it wants committed is committed, and it looks again for the
+  // One pass; what it wants committed is committed, and it looks again for the
   // orders that follow.
   CapacityOutput Plan() {
-    CapacityOutput first = this->Look();
-    CapacityOutput second = this->Look();
+    CapacityOutput first = this->PlanOnce();
+    CapacityOutput second = this->PlanOnce();
     std::move(second.orders.begin(), second.orders.end(),
               std::back_inserter(first.orders));
     return first;
   }
-  CapacityOutput Look() {
+  CapacityOutput PlanOnce() {
     this->now += Milliseconds(100);
     CapacityOutput output =
         this->planner.Plan(this->state, this->facts, this->demand, this->busy,
@@ -110,7 +110,7 @@
       return InstanceName();
     }
     const InstanceOrder& order = output.orders.front();
-    this->planner.TakeResult(order, InstanceResult::kDone, this->now);
+    this->planner.HandleOrderResult(order, InstanceResult::kDone, this->now);
     this->facts.erase(order.instance);
     return order.instance;
   }
@@ -161,10 +161,10 @@
   this->AddInstances(kBusy, 2);
   this->AddIdle(1);
   this->demand[kBusy].short_millicores = 2 * kCores;
-  const CapacityOutput first = this->Look();
+  const CapacityOutput first = this->PlanOnce();
   EXPECT_TRUE(first.orders.empty());
   EXPECT_EQ(first.commands.size(), 1U);
-  EXPECT_EQ(this->Look().orders.size(), 1U);
+  EXPECT_EQ(this->PlanOnce().orders.size(), 1U);
 }
 
 // The leader before was about to move it, and its order may just have gone out.
@@ -178,7 +178,7 @@
                                   this->state.epoch(), this->now);
   this->AddIdle(1);
   EXPECT_TRUE(this->Plan().orders.empty());
-  this->now += CapacitySettings().holder_pause;
+  this->now += CapacitySettings().takeover_pause;
   EXPECT_EQ(this->Plan().orders.size(), 1U);
 }
 
@@ -188,7 +188,7 @@
   this->AddInstances(kBusy, 5);
   this->AddInstances(kQuiet, 2);
   this->AddIdle(1);
-  this->demand[kBusy] = {.lasting_millicores = 5'000, .fewest_instances = 5};
+  this->demand[kBusy] = {.long_running_millicores = 5'000, .min_instances = 5};
   this->demand[kQuiet] = {};
   this->now += Milliseconds(10'000);
   EXPECT_TRUE(this->Plan().orders.empty());
@@ -216,8 +216,8 @@
   const CapacityOutput first = this->Plan();
   ASSERT_EQ(first.orders.size(), 1U);
   EXPECT_TRUE(this->Plan().orders.empty());
-  this->planner.TakeResult(first.orders[0], InstanceResult::kUnknown,
-                           this->now);
+  this->planner.HandleOrderResult(first.orders[0], InstanceResult::kUnknown,
+                                  this->now);
   this->now += CapacitySettings().retry;
   EXPECT_EQ(this->Plan().orders.size(), 1U);
 }
@@ -230,7 +230,7 @@
   this->demand[kQuiet] = {};
   const CapacityOutput output = this->Plan();
   ASSERT_EQ(output.orders.size(), 1U);
-  const auto commands = this->planner.TakeResult(
+  const auto commands = this->planner.HandleOrderResult(
       output.orders[0], InstanceResult::kDone, this->now);
   ASSERT_EQ(commands.size(), 1U);
   const auto& forget = std::get<jobs::ForgetWorker>(commands[0]);
@@ -243,7 +243,7 @@
 TEST_F(CapacityPlannerTest,
        AnInstanceThatWasJustSwitchedOffIsUsedOnceItArrived) {
   const InstanceName moved = this->SwitchOneOff();
-  this->TakeList(
+  this->DeliverList(
       {{.name = moved, .service = kQuiet, .state = InstanceState::kMoving}});
   this->demand[kBusy].short_millicores = 2 * kCores;
   this->now += CapacitySettings().move_time / 2;
@@ -258,12 +258,12 @@
 // the instance has left, which took it for one that is not off until the next
 // list, 15 s later.
 TEST_F(CapacityPlannerTest, AListFromBeforeAMoveDoesNotUndoIt) {
-  const SteadyTime asked_at = this->now;
+  const SteadyTime requested_at = this->now;
   const InstanceName moved = this->SwitchOneOff();
-  this->listing.Take(
+  this->listing.RecordList(
       {{.name = moved, .service = kQuiet, .state = InstanceState::kUp}},
-      asked_at);
-  this->planner.TakeList(this->listing);
+      requested_at);
+  this->planner.UpdateListing(this->listing);
   this->demand[kBusy].short_millicores = 2 * kCores;
   this->now += CapacitySettings().move_time;
   EXPECT_EQ(PoolsOf(this->Plan()), std::vector<std::string>{"busy"});
@@ -278,8 +278,8 @@
   this->now += CapacitySettings().move_time;
   const WallTime second_at = this->wall();
   std::vector<InstanceOrder> orders;
-  for (int look = 0; look < 5 && orders.empty(); ++look) {
-    orders = this->Look().orders;
+  for (int pass = 0; pass < 5 && orders.empty(); ++pass) {
+    orders = this->PlanOnce().orders;
   }
   ASSERT_EQ(orders.size(), 1U);
   EXPECT_GT(this->state.record().moves.at(moved).at, second_at);
@@ -296,7 +296,8 @@
   const CapacityOutput output = this->Plan();
   ASSERT_FALSE(output.orders.empty());
   const InstanceName moved = output.orders[0].instance;
-  this->planner.TakeResult(output.orders[0], InstanceResult::kDone, this->now);
+  this->planner.HandleOrderResult(output.orders[0], InstanceResult::kDone,
+                                  this->now);
   this->facts[moved] =
       InstanceFacts{.worker = WorkerId("before"), .is_only_announced = true};
   EXPECT_TRUE(this->Plan().cordoned.contains(moved));
@@ -321,7 +322,7 @@
   for (const std::string& pool : PoolsOf(this->Plan())) {
     EXPECT_EQ(pool, "quiet");
   }
-  EXPECT_FALSE(this->planner.Moving().empty());
+  EXPECT_FALSE(this->planner.MovingInstances().empty());
 }
 
 // A third of the tasks required a label that one instance in ten has. The pool
@@ -330,14 +331,14 @@
 TEST_F(CapacityPlannerTest, APoolTakesInstancesThatHaveTheLabel) {
   this->AddInstances(kBusy, 2);
   this->AddInstances(kQuiet, 2);
-  this->TakeList({{.name = InstanceName("idle0"),
-                   .service = kOff,
-                   .state = InstanceState::kUp,
-                   .labels = {"a"}},
-                  {.name = InstanceName("idle1"),
-                   .service = kOff,
-                   .state = InstanceState::kUp,
-                   .labels = {"b"}}});
+  this->DeliverList({{.name = InstanceName("idle0"),
+                      .service = kOff,
+                      .state = InstanceState::kUp,
+                      .labels = {"a"}},
+                     {.name = InstanceName("idle1"),
+                      .service = kOff,
+                      .state = InstanceState::kUp,
+                      .labels = {"b"}}});
   this->demand[kQuiet] = {};
   this->Demand(kBusy, "b", 1'000);
   const CapacityOutput output = this->Plan();
@@ -405,8 +406,8 @@
   this->demand[kBusy].short_millicores = 2 * kCores;
   const CapacityOutput output = this->Plan();
   ASSERT_EQ(output.orders.size(), 1U);
-  this->planner.TakeResult(output.orders[0], InstanceResult::kFenced,
-                           this->now);
+  this->planner.HandleOrderResult(output.orders[0], InstanceResult::kFenced,
+                                  this->now);
   this->now += Milliseconds(2'000);
   EXPECT_TRUE(this->Plan().orders.empty());
 }
--- a/tests/libraries/maintenance/instance_listing_test.cc
+++ b/tests/libraries/maintenance/instance_listing_test.cc
@@ -25,28 +25,28 @@
 TEST(InstanceListingTest, NobodyIsGoneBeforeTwoLists) {
   InstanceListing listing;
   EXPECT_FALSE(listing.IsGone(kOne, At(0)));
-  listing.Take({}, At(10));
+  listing.RecordList({}, At(10));
   EXPECT_FALSE(listing.IsGone(kOne, At(0)));
-  listing.Take({}, At(20));
+  listing.RecordList({}, At(20));
   EXPECT_TRUE(listing.IsGone(kOne, At(0)));
 }
 
 TEST(InstanceListingTest, BothListsMustBeAskedForSinceThen) {
   InstanceListing listing;
-  listing.Take({}, At(10));
-  listing.Take({}, At(20));
+  listing.RecordList({}, At(10));
+  listing.RecordList({}, At(20));
   EXPECT_FALSE(listing.IsGone(kOne, At(10)));
   EXPECT_TRUE(listing.IsGone(kOne, At(9)));
 }
 
 TEST(InstanceListingTest, ARowIsKeptOverOneListThatLacksIt) {
   InstanceListing listing;
-  listing.Take(Rows({kOne, kOther}), At(10));
-  listing.Take(Rows({kOther}), At(20));
+  listing.RecordList(Rows({kOne, kOther}), At(10));
+  listing.RecordList(Rows({kOther}), At(20));
   EXPECT_TRUE(listing.rows().contains(kOne));
   EXPECT_EQ(listing.Find(kOne), nullptr);
   EXPECT_FALSE(listing.IsGone(kOne, At(0)));
-  listing.Take(Rows({kOther}), At(30));
+  listing.RecordList(Rows({kOther}), At(30));
   EXPECT_FALSE(listing.rows().contains(kOne));
   EXPECT_TRUE(listing.IsGone(kOne, At(0)));
   EXPECT_NE(listing.Find(kOther), nullptr);
@@ -55,12 +55,12 @@
 // A row without a name may be that of any instance.
 TEST(InstanceListingTest, ListsWithNamelessRowsShowNobodyAsGone) {
   InstanceListing listing;
-  listing.Take({}, At(10), true);
-  listing.Take({}, At(20));
+  listing.RecordList({}, At(10), true);
+  listing.RecordList({}, At(20));
   EXPECT_FALSE(listing.IsGone(kOne, At(0)));
-  listing.Take({}, At(30));
+  listing.RecordList({}, At(30));
   EXPECT_TRUE(listing.IsGone(kOne, At(0)));
-  listing.Take({}, At(40), true);
+  listing.RecordList({}, At(40), true);
   EXPECT_TRUE(listing.has_nameless_rows());
   EXPECT_FALSE(listing.IsGone(kOne, At(0)));
 }
@@ -68,8 +68,9 @@
 TEST(InstanceListingTest, ARowThatComesAndGoesIsNeverGone) {
   InstanceListing listing;
   for (int round = 0; round < 6; ++round) {
-    listing.Take(Rows(round % 2 == 0 ? std::vector{kOne} : std::vector{kOther}),
-                 At(round));
+    listing.RecordList(
+        Rows(round % 2 == 0 ? std::vector{kOne} : std::vector{kOther}),
+        At(round));
     EXPECT_FALSE(listing.IsGone(kOne, At(-1)));
   }
 }
--- a/tests/libraries/maintenance/maintenance_planner_test.cc
+++ b/tests/libraries/maintenance/maintenance_planner_test.cc
@@ -30,8 +30,8 @@
   }
   WallTime wall() const { return WallTime(this->now.time_since_epoch()); }
 
-  // One look; what it wants committed is committed.
-  std::vector<InstanceOrder> Look() {
+  // One pass; what it wants committed is committed.
+  std::vector<InstanceOrder> PlanOnce() {
     this->now += Milliseconds(100);
     MaintenanceOutput output = this->planner.Plan(
         this->state, this->facts, this->listing, this->wall(), this->now);
@@ -42,9 +42,9 @@
     return output.orders;
   }
   // Looks until there are orders, a few times at most.
-  std::vector<InstanceOrder> LookForOrders() {
-    for (int look = 0; look < 5; ++look) {
-      std::vector<InstanceOrder> orders = this->Look();
+  std::vector<InstanceOrder> PlanUntilOrders() {
+    for (int pass = 0; pass < 5; ++pass) {
+      std::vector<InstanceOrder> orders = this->PlanOnce();
       if (!orders.empty()) {
         return orders;
       }
@@ -52,30 +52,31 @@
     return {};
   }
   void Answer(const InstanceOrder& order, InstanceResult result) {
-    for (jobs::Command& command :
-         this->planner.TakeResult(this->state, order, result, this->now)) {
+    for (jobs::Command& command : this->planner.HandleOrderResult(
+             this->state, order, result, this->now)) {
       this->Commit(std::move(command));
     }
   }
   MaintenanceState StateOf(const std::string& name) const {
     return this->state.waves().at(kWave).instances.at(InstanceName(name)).state;
   }
-  // A whole list that was asked for at `asked_at` and comes now.
-  void TakeList(const std::vector<std::string>& names, SteadyTime asked_at) {
+  // A whole list that was asked for at `requested_at` and comes now.
+  void DeliverList(const std::vector<std::string>& names,
+                   SteadyTime requested_at) {
     std::vector<ListedInstance> rows;
     rows.reserve(names.size());
     for (const std::string& name : names) {
       rows.push_back({.name = InstanceName(name), .state = InstanceState::kUp});
     }
-    this->listing.Take(rows, asked_at);
+    this->listing.RecordList(rows, requested_at);
   }
-  // Lists that are asked for from now on and answered at once, with a look
+  // Lists that are asked for from now on and answered at once, with a pass
   // after each.
-  void LookWithLists(const std::vector<std::string>& names, int lists) {
+  void PlanWithLists(const std::vector<std::string>& names, int lists) {
     for (int list = 0; list < lists; ++list) {
       this->now += Milliseconds(1);
-      this->TakeList(names, this->now);
-      this->Look();
+      this->DeliverList(names, this->now);
+      this->PlanOnce();
     }
   }
   void LetTheInstanceComeBack(const std::string& name) {
@@ -97,14 +98,14 @@
   this->AddInstance("m2", 500);
   this->StartWave({InstanceName("m1"), InstanceName("m2")}, 1);
   for (const char* name : {"m1", "m2"}) {
-    const auto orders = this->LookForOrders();
+    const auto orders = this->PlanUntilOrders();
     ASSERT_EQ(orders.size(), 1U);
     EXPECT_EQ(orders[0].instance.value(), name);
     this->Answer(orders[0], InstanceResult::kDone);
     EXPECT_EQ(this->StateOf(name), MaintenanceState::kBegun);
     this->now += Milliseconds(2'000);
     this->LetTheInstanceComeBack(name);
-    this->Look();
+    this->PlanOnce();
     EXPECT_EQ(this->StateOf(name), MaintenanceState::kOver);
   }
   EXPECT_TRUE(this->state.waves().at(kWave).is_done());
@@ -117,34 +118,34 @@
   this->StartWave({InstanceName("m1"), InstanceName("m2"), InstanceName("m3"),
                    InstanceName("m4")},
                   2);
-  const auto orders = this->LookForOrders();
+  const auto orders = this->PlanUntilOrders();
   EXPECT_EQ(orders.size(), 2U);
   for (const InstanceOrder& order : orders) {
     this->Answer(order, InstanceResult::kDone);
   }
-  EXPECT_TRUE(this->LookForOrders().empty());
+  EXPECT_TRUE(this->PlanUntilOrders().empty());
 }
 
 TEST_F(MaintenancePlannerTest, AnInstanceIsEmptiedFirst) {
   this->AddInstance("m1");
   this->facts[InstanceName("m1")].budgeted_runs = 1;
   this->StartWave({InstanceName("m1")}, 1);
-  EXPECT_TRUE(this->LookForOrders().empty());
+  EXPECT_TRUE(this->PlanUntilOrders().empty());
   EXPECT_TRUE(this->cordoned.contains(InstanceName("m1")));
   this->facts[InstanceName("m1")].budgeted_runs = 0;
-  EXPECT_EQ(this->LookForOrders().size(), 1U);
+  EXPECT_EQ(this->PlanUntilOrders().size(), 1U);
 }
 
 TEST_F(MaintenancePlannerTest, ALateAnnouncementIsNotTakenForTheReturn) {
   this->AddInstance("m1");
   this->AddInstance("m2");
   this->StartWave({InstanceName("m1"), InstanceName("m2")}, 1);
-  const auto orders = this->LookForOrders();
+  const auto orders = this->PlanUntilOrders();
   ASSERT_EQ(orders.size(), 1U);
   this->Answer(orders[0], InstanceResult::kDone);
   // A life that began just before the order is heard of only now.
   this->LetTheInstanceComeBack("m1");
-  EXPECT_TRUE(this->LookForOrders().empty());
+  EXPECT_TRUE(this->PlanUntilOrders().empty());
   EXPECT_EQ(this->StateOf("m1"), MaintenanceState::kBegun);
 }
 
@@ -155,16 +156,16 @@
   this->AddInstance("m1");
   this->AddInstance("m2");
   this->StartWave({InstanceName("m1"), InstanceName("m2")}, 1);
-  const auto orders = this->LookForOrders();
+  const auto orders = this->PlanUntilOrders();
   ASSERT_EQ(orders.size(), 1U);
   this->Answer(orders[0], InstanceResult::kDone);
   this->now += Milliseconds(10'000);
   this->facts[InstanceName("m1")] =
       InstanceFacts{.worker = WorkerId("before-m1"), .is_only_announced = true};
-  EXPECT_TRUE(this->LookForOrders().empty());
+  EXPECT_TRUE(this->PlanUntilOrders().empty());
   EXPECT_EQ(this->StateOf("m1"), MaintenanceState::kBegun);
   this->LetTheInstanceComeBack("m1");
-  EXPECT_EQ(this->LookForOrders().size(), 1U);
+  EXPECT_EQ(this->PlanUntilOrders().size(), 1U);
   EXPECT_EQ(this->StateOf("m1"), MaintenanceState::kOver);
 }
 
@@ -172,17 +173,17 @@
   this->AddInstance("m1");
   this->AddInstance("m2");
   this->StartWave({InstanceName("m1"), InstanceName("m2")}, 1);
-  const auto first = this->LookForOrders();
+  const auto first = this->PlanUntilOrders();
   ASSERT_EQ(first.size(), 1U);
   this->Answer(first[0], InstanceResult::kUnknown);
   this->now += Milliseconds(500);
-  const auto again = this->LookForOrders();
+  const auto again = this->PlanUntilOrders();
   ASSERT_EQ(again.size(), 1U);
   EXPECT_EQ(again[0].instance, first[0].instance);
   this->Answer(again[0], InstanceResult::kBusy);
   EXPECT_EQ(this->StateOf("m1"), MaintenanceState::kOrdered);
   this->now += Milliseconds(500);
-  for (const InstanceOrder& order : this->LookForOrders()) {
+  for (const InstanceOrder& order : this->PlanUntilOrders()) {
     EXPECT_EQ(order.instance, first[0].instance);
   }
 }
@@ -190,18 +191,18 @@
 TEST_F(MaintenancePlannerTest, ABusyInstanceIsTriedAgainLater) {
   this->AddInstance("m1");
   this->StartWave({InstanceName("m1")}, 1);
-  const auto orders = this->LookForOrders();
+  const auto orders = this->PlanUntilOrders();
   ASSERT_EQ(orders.size(), 1U);
   this->Answer(orders[0], InstanceResult::kBusy);
   EXPECT_EQ(this->StateOf("m1"), MaintenanceState::kWaiting);
   this->now += Milliseconds(1'000);
-  EXPECT_EQ(this->LookForOrders().size(), 1U);
+  EXPECT_EQ(this->PlanUntilOrders().size(), 1U);
 }
 
 TEST_F(MaintenancePlannerTest, AnInstanceThatIsGoneIsDone) {
   this->StartWave({InstanceName("m1")}, 1);
-  this->Look();
-  this->LookWithLists({}, 2);
+  this->PlanOnce();
+  this->PlanWithLists({}, 2);
   EXPECT_EQ(this->StateOf("m1"), MaintenanceState::kOver);
 }
 
@@ -211,12 +212,12 @@
 // rows, the next one, at 4.270 s, has 50.
 TEST_F(MaintenancePlannerTest, AnInstanceThatAppearedAfterTheListIsMaintained) {
   this->AddInstance("m2", 500);
-  this->TakeList({"m2"}, this->now);
+  this->DeliverList({"m2"}, this->now);
   this->StartWave({InstanceName("m1"), InstanceName("m2")}, 2);
-  this->Look();
+  this->PlanOnce();
   EXPECT_EQ(this->StateOf("m1"), MaintenanceState::kWaiting);
-  this->LookWithLists({"m1", "m2"}, 2);
-  const auto orders = this->LookForOrders();
+  this->PlanWithLists({"m1", "m2"}, 2);
+  const auto orders = this->PlanUntilOrders();
   ASSERT_FALSE(orders.empty());
   EXPECT_EQ(orders[0].instance.value(), "m1");
 }
@@ -224,11 +225,11 @@
 TEST_F(MaintenancePlannerTest, AListAskedForBeforeTheWaveShowsNobodyAsGone) {
   const SteadyTime before = this->now;
   this->StartWave({InstanceName("m1")}, 1);
-  this->Look();
-  this->TakeList({}, before);
-  this->Look();
-  this->TakeList({}, before);
-  this->Look();
+  this->PlanOnce();
+  this->DeliverList({}, before);
+  this->PlanOnce();
+  this->DeliverList({}, before);
+  this->PlanOnce();
   EXPECT_EQ(this->StateOf("m1"), MaintenanceState::kWaiting);
 }
 
@@ -238,10 +239,10 @@
   // No orders yet.
   this->now = SteadyTime(Milliseconds(1'500));
   this->StartWave({InstanceName("m1")}, 1);
-  this->Look();
+  this->PlanOnce();
   for (int round = 0; round < 2; ++round) {
-    this->LookWithLists({"m1"}, 1);
-    this->LookWithLists({}, 1);
+    this->PlanWithLists({"m1"}, 1);
+    this->PlanWithLists({}, 1);
     EXPECT_NE(this->StateOf("m1"), MaintenanceState::kOver);
   }
 }
@@ -249,15 +250,15 @@
 TEST_F(MaintenancePlannerTest, AnInstanceUnderWayThatOneListLacksIsNotBack) {
   this->AddInstance("m1");
   this->StartWave({InstanceName("m1")}, 1);
-  const auto orders = this->LookForOrders();
+  const auto orders = this->PlanUntilOrders();
   ASSERT_EQ(orders.size(), 1U);
   this->Answer(orders[0], InstanceResult::kDone);
   this->facts.clear();
   this->now += Milliseconds(3'000);
-  this->LookWithLists({"m1"}, 1);
-  this->LookWithLists({}, 1);
+  this->PlanWithLists({"m1"}, 1);
+  this->PlanWithLists({}, 1);
   EXPECT_EQ(this->StateOf("m1"), MaintenanceState::kBegun);
-  this->LookWithLists({}, 1);
+  this->PlanWithLists({}, 1);
   EXPECT_EQ(this->StateOf("m1"), MaintenanceState::kOver);
 }
 
@@ -268,7 +269,7 @@
     this->AddInstance(names.back().value());
   }
   this->StartWave(names, 9, Milliseconds(60'000));
-  EXPECT_LE(this->LookForOrders().size(), 3U);
+  EXPECT_LE(this->PlanUntilOrders().size(), 3U);
 }
 
 // It costs no capacity, so only the wave's bound holds it back.
@@ -281,11 +282,11 @@
   }
   this->AddInstance("a");
   this->AddInstance("b");
-  this->listing.Take(list, this->now);
+  this->listing.RecordList(list, this->now);
   this->StartWave(names, 3, Milliseconds(60'000));
   std::set<InstanceName> ordered;
-  for (int look = 0; look < 5; ++look) {
-    for (const InstanceOrder& order : this->Look()) {
+  for (int pass = 0; pass < 5; ++pass) {
+    for (const InstanceOrder& order : this->PlanOnce()) {
       ordered.insert(order.instance);
     }
   }
@@ -298,7 +299,7 @@
   this->AddInstance("m1");
   this->StartWave({InstanceName("m1")}, 1);
   this->now = SteadyTime(Milliseconds(1'500));
-  EXPECT_TRUE(this->LookForOrders().empty());
+  EXPECT_TRUE(this->PlanUntilOrders().empty());
 }
 
 }  // namespace
--- a/tests/libraries/relay/relay_clock_test.cc
+++ b/tests/libraries/relay/relay_clock_test.cc
@@ -13,19 +13,19 @@
   return SteadyTime(Milliseconds(milliseconds));
 }
 
-TEST(RelayClockTest, AnOldReadingTellsNothing) {
+TEST(RelayClockTest, AnOldReadingIsNotUsed) {
   RelayClock clock;
-  EXPECT_FALSE(clock.EarliestAt(At(0), At(0)));
-  clock.NoteReading(RelayTime(70'000), At(1'000));
-  EXPECT_EQ(clock.EarliestAt(At(1'500), At(1'000)), RelayTime(70'500));
-  EXPECT_FALSE(clock.EarliestAt(At(9'000), At(9'000)));
+  EXPECT_FALSE(clock.LowerBoundAt(At(0), At(0)));
+  clock.RecordReading(RelayTime(70'000), At(1'000));
+  EXPECT_EQ(clock.LowerBoundAt(At(1'500), At(1'000)), RelayTime(70'500));
+  EXPECT_FALSE(clock.LowerBoundAt(At(9'000), At(9'000)));
 }
 
 TEST(RelayClockTest, AReadingThatCameLateDoesNotReplaceAFreshOne) {
   RelayClock clock;
-  clock.NoteReading(RelayTime(70'000), At(1'000));
-  clock.NoteReading(RelayTime(70'100), At(1'900));
-  EXPECT_EQ(clock.EarliestAt(At(2'000), At(2'000)), RelayTime(71'000));
+  clock.RecordReading(RelayTime(70'000), At(1'000));
+  clock.RecordReading(RelayTime(70'100), At(1'900));
+  EXPECT_EQ(clock.LowerBoundAt(At(2'000), At(2'000)), RelayTime(71'000));
 }
 
 // A call must not leave a relay after the leader's lease: what the leader takes
@@ -43,9 +43,9 @@
   for (int count = 0; count < kReadings; ++count) {
     const auto sent = now;
     now += *rc::gen::inRange<std::int64_t>(0, 700);
-    clock.NoteReading(RelayTime(true_clock(sent)), At(now));
+    clock.RecordReading(RelayTime(true_clock(sent)), At(now));
     const auto ahead = *rc::gen::inRange<std::int64_t>(0, 450);
-    const auto earliest = clock.EarliestAt(At(now + ahead), At(now));
+    const auto earliest = clock.LowerBoundAt(At(now + ahead), At(now));
     RC_ASSERT(earliest.has_value());
     RC_ASSERT(earliest->value() <= true_clock(now + ahead) + kMargin);
   }
--- a/tests/libraries/relay/relay_codec_test.cc
+++ b/tests/libraries/relay/relay_codec_test.cc
@@ -47,7 +47,7 @@
   capnp::MallocMessageBuilder message;
 };
 
-TEST_F(RelayCodecTest, AStartComesThroughWhole) {
+TEST_F(RelayCodecTest, AStartIsReadBackUnchanged) {
   std::vector<RelayCall> calls;
   calls.push_back({.id = 5, .expires = RelayTime(99), .body = StartOf(4, "x")});
   const auto batch = this->Write(calls);
@@ -86,7 +86,7 @@
   EXPECT_FALSE(ReadCall(batch.getCalls()[1], {}, kEpoch).ok());
 }
 
-TEST_F(RelayCodecTest, AnAnswerOfALaterVersionProvesNothing) {
+TEST_F(RelayCodecTest, UnknownValuesInAnAnswerGiveAnUnknownResult) {
   constexpr std::uint16_t kLater = 900;
   auto builder = this->message.initRoot<wire::RelayedAnswer>();
   builder.setResult(kLater);
@@ -124,7 +124,7 @@
   return report;
 }
 
-RC_GTEST_PROP(RelayCodecPropertyTest, AReportComesThroughWhole, ()) {
+RC_GTEST_PROP(RelayCodecPropertyTest, AReportIsReadBackUnchanged, ()) {
   std::vector<RelayAnswer> answers(1);
   answers[0].result = scheduler::OrderResult::kDone;
   answers[0].report = std::make_unique<scheduler::RenewReport>(AnyReport());
--- a/tests/libraries/relay/relay_link_test.cc
+++ b/tests/libraries/relay/relay_link_test.cc
@@ -20,7 +20,7 @@
 namespace sumac::relay {
 namespace {
 
-constexpr Milliseconds kLimit{400};
+constexpr Milliseconds kWorkerTimeout{400};
 constexpr LeaderEpoch kEpoch{3};
 
 // Workers that answer as they are told to, or not at all.
@@ -103,7 +103,7 @@
     this->link.emplace(
         *this->channel, this->io.provider->getTimer(), kEpoch,
         RelayLink::Host{.lease_end = [this] { return this->lease_end; },
-                        .note_change = [this] { ++this->changes; }});
+                        .on_change = [this] { ++this->changes; }});
   }
 
   // NOTE: kj's destructors may throw; a test's may not.
@@ -118,8 +118,8 @@
   template <typename Condition>
   void WaitFor(Condition condition) {
     constexpr Milliseconds kStep{5};
-    constexpr int kMostSteps = 1'000;
-    for (int step = 0; step < kMostSteps && !condition(); ++step) {
+    constexpr int kMaxSteps = 1'000;
+    for (int step = 0; step < kMaxSteps && !condition(); ++step) {
       this->io.provider->getTimer()
           .afterDelay(ToKj(kStep))
           .wait(this->io.waitScope);
@@ -152,19 +152,19 @@
   std::optional<RelayLink> link;
 };
 
-TEST_F(RelayLinkTest, CallsGoOutAndAnswersComeBack) {
+TEST_F(RelayLinkTest, CallsAreSentAndAnswersReturned) {
   this->Open();
   EXPECT_EQ(this->link->data_centre(), DataCentre("north"));
   const RelayAnswer stopped =
-      this->link->Call(Stop(), kLimit).wait(this->io.waitScope);
+      this->link->Call(Stop(), kWorkerTimeout).wait(this->io.waitScope);
   EXPECT_EQ(stopped.result, scheduler::OrderResult::kDone);
   EXPECT_EQ(stopped.clock, scheduler::WorkerTime(8));
   const RelayAnswer renewed =
-      this->link->Call(RenewCall{{.worker = WorkerId("w-1")}}, kLimit)
+      this->link->Call(RenewCall{{.worker = WorkerId("w-1")}}, kWorkerTimeout)
           .wait(this->io.waitScope);
   ASSERT_NE(renewed.report, nullptr);
   EXPECT_EQ(renewed.report->clock, scheduler::WorkerTime(5));
-  this->link->Forget(WorkerId("w-1"));
+  this->link->CloseConnectionsTo(WorkerId("w-1"));
   this->WaitFor([this] { return !this->workers.forgotten.empty(); });
 }
 
@@ -174,7 +174,7 @@
   std::vector<kj::Promise<RelayAnswer>> answers;
   answers.reserve(kOrders);
   for (int count = 0; count < kOrders; ++count) {
-    answers.push_back(this->link->Call(Stop(), kLimit));
+    answers.push_back(this->link->Call(Stop(), kWorkerTimeout));
   }
   for (auto& answer : answers) {
     EXPECT_EQ(answer.wait(this->io.waitScope).result,
@@ -185,48 +185,51 @@
 }
 
 // A relay may be suspended while an order lies in it.
-TEST_F(RelayLinkTest, EachCallBringsTheTimeWithinWhichItLeaves) {
+TEST_F(RelayLinkTest, EachCallContainsItsDeadline) {
   constexpr Milliseconds kLease{300};
   this->Open();
   this->lease_end = this->clock.SteadyNow() + kLease;
-  this->link->Call(Stop(), kLimit).wait(this->io.waitScope);
+  this->link->Call(Stop(), kWorkerTimeout).wait(this->io.waitScope);
   const auto& order = std::get<scheduler::StopOrder>(this->workers.orders[0]);
   EXPECT_GT(order.longest_wait, Milliseconds(0));
   EXPECT_LE(order.longest_wait, kLease);
 }
 
-TEST_F(RelayLinkTest, ACallWhoseTimeIsOverIsNotMade) {
+TEST_F(RelayLinkTest, ACallWhoseDeadlineHasPassedIsNotMade) {
   this->Open();
   this->lease_end = this->clock.SteadyNow() - Milliseconds(1);
-  EXPECT_EQ(this->link->Call(Stop(), kLimit).wait(this->io.waitScope).result,
-            scheduler::OrderResult::kNotSent);
+  EXPECT_EQ(
+      this->link->Call(Stop(), kWorkerTimeout).wait(this->io.waitScope).result,
+      scheduler::OrderResult::kNotSent);
   EXPECT_TRUE(this->workers.orders.empty());
 }
 
 TEST_F(RelayLinkTest, ALeaderWithoutALeaseSendsNothing) {
   this->Open();
   this->lease_end.reset();
-  EXPECT_EQ(this->link->Call(Stop(), kLimit).wait(this->io.waitScope).result,
-            scheduler::OrderResult::kNotSent);
+  EXPECT_EQ(
+      this->link->Call(Stop(), kWorkerTimeout).wait(this->io.waitScope).result,
+      scheduler::OrderResult::kNotSent);
   EXPECT_EQ(this->link->counts().batches, 0U);
 }
 
 TEST_F(RelayLinkTest, ARelayMakesNoCallsOnceALaterLeadershipIsKnown) {
   this->Open();
   this->known_epoch = kEpoch.Next();
-  EXPECT_EQ(this->link->Call(Stop(), kLimit).wait(this->io.waitScope).result,
-            scheduler::OrderResult::kNotSent);
+  EXPECT_EQ(
+      this->link->Call(Stop(), kWorkerTimeout).wait(this->io.waitScope).result,
+      scheduler::OrderResult::kNotSent);
   EXPECT_TRUE(this->workers.orders.empty());
 }
 
 // "Never left" would let the scheduler start the task elsewhere.
-TEST_F(RelayLinkTest, WhatALostRelayHadIsUnknown) {
+TEST_F(RelayLinkTest, CallsOfALostRelayHaveAnUnknownOutcome) {
   this->Open();
   this->workers.answers = false;
-  auto answer = this->link->Call(Stop(), kLimit);
+  auto answer = this->link->Call(Stop(), kWorkerTimeout);
   this->WaitFor([this] { return !this->workers.orders.empty(); });
   this->LoseRelay();
-  auto next = this->link->Call(Stop(), kLimit);
+  auto next = this->link->Call(Stop(), kWorkerTimeout);
   EXPECT_EQ(answer.wait(this->io.waitScope).result,
             scheduler::OrderResult::kRelayLost);
   EXPECT_EQ(next.wait(this->io.waitScope).result,
@@ -235,21 +238,21 @@
   EXPECT_EQ(this->changes, 2);
 }
 
-TEST_F(RelayLinkTest, WhatHasNotLeftBeforeTheLinkEndsNeverDoes) {
+TEST_F(RelayLinkTest, QueuedCallsAreNotSentAfterTheLinkEnds) {
   this->Open();
   auto answer =
-      this->link->Call(RenewCall{{.worker = WorkerId("w-1")}}, kLimit);
+      this->link->Call(RenewCall{{.worker = WorkerId("w-1")}}, kWorkerTimeout);
   this->link.reset();
   EXPECT_EQ(answer.wait(this->io.waitScope).result,
             scheduler::OrderResult::kNotSent);
   EXPECT_TRUE(this->workers.renewals.empty());
 }
 
-TEST_F(RelayLinkTest, ARelayThatKeepsAnAnswerBackIsGivenUp) {
+TEST_F(RelayLinkTest, ARelayThatHoldsBackAnAnswerIsGivenUp) {
   constexpr Milliseconds kBeyond{60'000};
   this->Open();
   this->workers.answers = false;
-  auto answer = this->link->Call(Stop(), kLimit);
+  auto answer = this->link->Call(Stop(), kWorkerTimeout);
   this->WaitFor([this] { return !this->workers.orders.empty(); });
   this->link->CheckOpenCalls(this->clock.SteadyNow());
   EXPECT_TRUE(this->link->is_open());
--- a/tests/libraries/relay/relay_routes_test.cc
+++ b/tests/libraries/relay/relay_routes_test.cc
@@ -72,19 +72,19 @@
 }
 
 // A relay may be cut off from workers and not from the leader.
-TEST(RelayRoutesTest, AWorkerThatARelayDoesNotReachGetsAnotherForAWhile) {
+TEST(RelayRoutesTest, AWorkerThatARelayCannotReachGetsAnotherForAWhile) {
   constexpr Milliseconds kAvoidTime{5'000};
   RelayRoutes routes;
   routes.Add(0, DataCentre("a"));
   routes.Add(1, DataCentre("b"));
   const WorkerId worker = WorkerOf(1);
   EXPECT_EQ(routes.Find(worker, DataCentre("a"), kStart), 0U);
-  routes.NoteFailure(worker, 0, kStart);
+  routes.RecordFailure(worker, 0, kStart);
   EXPECT_EQ(routes.Find(worker, DataCentre("a"), kStart), 1U);
   // A late answer of the relay before says nothing about the present one.
-  routes.NoteFailure(worker, 0, kStart);
+  routes.RecordFailure(worker, 0, kStart);
   EXPECT_EQ(routes.Find(worker, DataCentre("a"), kStart), 1U);
-  routes.NoteFailure(worker, 1, kStart);
+  routes.RecordFailure(worker, 1, kStart);
   EXPECT_EQ(routes.Find(worker, DataCentre("a"), kStart), RelayRoutes::kLeader);
   EXPECT_EQ(routes.Find(worker, DataCentre("a"), kStart + kAvoidTime), 0U);
 }
--- a/tests/libraries/relay/relayed_calls_test.cc
+++ b/tests/libraries/relay/relayed_calls_test.cc
@@ -81,11 +81,11 @@
   ~RelayedCallsTest() noexcept override {}
 
   void OpenRelay() {
-    constexpr int kMostSteps = 1'000;
+    constexpr int kMaxSteps = 1'000;
     constexpr Milliseconds kStep{5};
-    for (int step = 0; step < kMostSteps && this->calls->open_relays() == 0;
+    for (int step = 0; step < kMaxSteps && this->calls->open_relays() == 0;
          ++step) {
-      this->calls->Sync({ProcessName("c2")}, SystemClock().SteadyNow());
+      this->calls->UpdateRelays({ProcessName("c2")}, SystemClock().SteadyNow());
       this->io.provider->getTimer()
           .afterDelay(ToKj(kStep))
           .wait(this->io.waitScope);
@@ -116,14 +116,14 @@
   this->OpenRelay();
   EXPECT_EQ(this->Renew(), scheduler::OrderResult::kDone);
   EXPECT_EQ(this->by_relay, 1);
-  this->calls->Sync({}, SystemClock().SteadyNow());
+  this->calls->UpdateRelays({}, SystemClock().SteadyNow());
   EXPECT_EQ(this->Renew(), scheduler::OrderResult::kDone);
   EXPECT_EQ(this->by_leader, 2);
 }
 
 // A relay that is late, or has no connection to spare, would hold up its
 // workers until their leases end.
-TEST_F(RelayedCallsTest, AWorkerWhoseRelaySendsNothingIsCalledAnotherWay) {
+TEST_F(RelayedCallsTest, AWorkerWhoseRelaySendsNothingIsCalledDirectly) {
   this->OpenRelay();
   this->relay_sends = false;
   EXPECT_EQ(this->Renew(), scheduler::OrderResult::kNotSent);
--- a/tests/libraries/replication/cluster.cc
+++ b/tests/libraries/replication/cluster.cc
@@ -125,7 +125,7 @@
       node.stored.push_back(std::move(entry));
     }
     if (has_entries) {
-      node.replica->NoteWritten(node.stored.back().index, this->now);
+      node.replica->HandleLogWritten(node.stored.back().index, this->now);
     }
     for (Message& message : output.messages) {
       this->network.push_back(std::move(message));
--- a/tests/libraries/replication/election_seed_test.cc
+++ b/tests/libraries/replication/election_seed_test.cc
@@ -8,7 +8,7 @@
 namespace sumac::replication {
 namespace {
 
-TEST(ElectionSeedTest, NoTwoStartsShareOne) {
+TEST(ElectionSeedTest, NoTwoStartsShareASeed) {
   std::set<std::uint64_t> seeds;
   constexpr int kStarts = 200;
   for (int start = 0; start < kStarts; ++start) {
--- a/tests/libraries/replication/membership_plan_test.cc
+++ b/tests/libraries/replication/membership_plan_test.cc
@@ -37,14 +37,14 @@
                                {{kNew, {.is_caught_up = true}}, {kOld, {}}}));
 }
 
-TEST(MembershipPlanTest, ALearnerThatLostItsDiskAgainGivesWay) {
+TEST(MembershipPlanTest, ALearnerThatLostItsDiskAgainIsReplaced) {
   const NodeId later("c3.1790000009999");
   const Membership members = WithLearner(MakeMembers(), later);
   EXPECT_EQ(members.learners, std::set<NodeId>{later});
   EXPECT_TRUE(members.is_voter(kOld));
 }
 
-TEST(MembershipPlanTest, AGroupThatLooksAfterItsSizeGrowsOnlyToIt) {
+TEST(MembershipPlanTest, AGroupGrowsOnlyToItsWantedSize) {
   Membership members{{NodeId("c1.1"), NodeId("c2.1")},
                      {NodeId("c3.1"), NodeId("c4.1")}};
   std::map<NodeId, MemberHealth> health;
--- a/tests/libraries/replication/replica_property_test.cc
+++ b/tests/libraries/replication/replica_property_test.cc
@@ -129,7 +129,7 @@
   }
 }
 
-RC_GTEST_PROP(ReplicaPropertyTest, HoldsItsPromisesInAnyHistory, ()) {
+RC_GTEST_PROP(ReplicaPropertyTest, KeepsItsInvariantsInAnyHistory, ()) {
   Cluster cluster(kNodes, *rc::gen::inRange<std::uint64_t>(1, 1'000'000));
   int next_command = 0;
   std::string history;
--- a/tests/libraries/replication/replica_test.cc
+++ b/tests/libraries/replication/replica_test.cc
@@ -46,7 +46,7 @@
   EXPECT_FALSE(cluster.nodes[*old_leader].replica->HoldsLease(cluster.now));
 }
 
-TEST(ReplicaTest, AFrozenLeaderHoldsNoLeaseWhenItWakes) {
+TEST(ReplicaTest, AFrozenLeaderHoldsNoLeaseWhenItResumes) {
   Cluster cluster(3);
   const auto old_leader = cluster.ElectLeader();
   ASSERT_TRUE(old_leader);
@@ -204,7 +204,7 @@
     }
   }
 
-  std::size_t HeldByLaggard() const {
+  std::size_t AppliedByLaggard() const {
     return this->cluster.nodes[this->laggard].applied.size();
   }
 
@@ -232,10 +232,10 @@
 // With a copy at each heartbeat, each of which brought a next piece of its own,
 // this transfer sent several times the snapshot, and a busy leader did not get
 // to the end of it.
-TEST(ReplicaTest, ASnapshotGoesOverALinkSlowerThanHeartbeatsOnce) {
+TEST(ReplicaTest, ASnapshotIsSentOnceOverALinkSlowerThanHeartbeats) {
   SnapshotTransfer transfer;
   transfer.PassTime(Milliseconds(20'000), Milliseconds(180));
-  EXPECT_GE(transfer.HeldByLaggard(), 300U);
+  EXPECT_GE(transfer.AppliedByLaggard(), 300U);
   const std::size_t size =
       transfer.cluster.nodes[transfer.laggard].snapshot.state.size();
   EXPECT_GT(size, 2'000U);
@@ -243,24 +243,24 @@
   EXPECT_EQ(transfer.cluster.CheckInvariants(), "");
 }
 
-TEST(ReplicaTest, ASnapshotThatIsSupersededGoesOverAnew) {
+TEST(ReplicaTest, ASupersededSnapshotIsSentAgain) {
   SnapshotTransfer transfer;
   transfer.PassTime(Milliseconds(900), Milliseconds(60));
   transfer.ProposeMany(50);
   transfer.cluster.Compact(transfer.leader);
   transfer.PassTime(Milliseconds(20'000), Milliseconds(60));
-  EXPECT_GE(transfer.HeldByLaggard(), 350U);
+  EXPECT_GE(transfer.AppliedByLaggard(), 350U);
   EXPECT_EQ(transfer.cluster.CheckInvariants(), "");
 }
 
-TEST(ReplicaTest, AMemberThatRestartsInTheMiddleOfASnapshotGetsItAnew) {
+TEST(ReplicaTest, AMemberThatRestartsDuringASnapshotGetsItAgain) {
   SnapshotTransfer transfer;
   transfer.PassTime(Milliseconds(900), Milliseconds(60));
-  ASSERT_LT(transfer.HeldByLaggard(), 300U);
+  ASSERT_LT(transfer.AppliedByLaggard(), 300U);
   transfer.cluster.Crash(transfer.laggard);
   transfer.cluster.Restart(transfer.laggard);
   transfer.PassTime(Milliseconds(20'000), Milliseconds(60));
-  EXPECT_GE(transfer.HeldByLaggard(), 300U);
+  EXPECT_GE(transfer.AppliedByLaggard(), 300U);
   EXPECT_EQ(transfer.cluster.CheckInvariants(), "");
 }
 
@@ -395,7 +395,7 @@
   acknowledge(1);
   EXPECT_EQ(replica->commit_index(), LogIndex(0));
   acknowledge(2);
-  replica->NoteWritten(LogIndex(2), now);
+  replica->HandleLogWritten(LogIndex(2), now);
   EXPECT_EQ(replica->commit_index(), LogIndex(2));
 }
 
@@ -406,11 +406,11 @@
                            AppendAnswer{true, LogIndex(2), now}},
                    now);
   EXPECT_EQ(replica->commit_index(), LogIndex(0));
-  replica->NoteWritten(LogIndex(2), now);
+  replica->HandleLogWritten(LogIndex(2), now);
   EXPECT_EQ(replica->commit_index(), LogIndex(2));
 }
 
-TEST(ReplicaTest, ALeaderWithAStalledDiskCommitsByTheOthers) {
+TEST(ReplicaTest, ALeaderWithAStalledDiskCommitsWithTheOtherVoters) {
   const SteadyTime now{Milliseconds(5'000)};
   const auto replica = MakeLeaderWithOldEntry(now);
   for (const char* other : {"n1.1", "n2.1"}) {
--- a/tests/libraries/routing/router_test.cc
+++ b/tests/libraries/routing/router_test.cc
@@ -67,14 +67,14 @@
   RequestNumber last_number = 0;
 };
 
-TEST_F(RouterTest, AnOlderViewIsNeverTaken) {
+TEST_F(RouterTest, AnOlderViewIsNeverApplied) {
   EXPECT_TRUE(this->router.Update(MakeView(5, {MakeMinion("m1")})));
   EXPECT_FALSE(this->router.Update(MakeView(4, {})));
   EXPECT_FALSE(this->router.Update(MakeView(5, {})));
   EXPECT_EQ(MinionOf(this->Admit(this->MakeRequest())), "m1");
 }
 
-TEST_F(RouterTest, FillsSlotsThenTheLineThenRefusesAtOnce) {
+TEST_F(RouterTest, FillsSlotsThenTheQueueThenRefusesAtOnce) {
   this->router.Update(MakeView(1, {MakeMinion("m1")}));
   EXPECT_EQ(MinionOf(this->Admit(this->MakeRequest())), "m1");
   EXPECT_EQ(MinionOf(this->Admit(this->MakeRequest())), "m1");
@@ -103,7 +103,7 @@
   EXPECT_EQ(ready[0].first, soon.number);
 }
 
-TEST_F(RouterTest, NobodyOvertakesTheLine) {
+TEST_F(RouterTest, ANewRequestIsNotSentAheadOfWaitingOnes) {
   this->router.Update(MakeView(1, {MakeMinion("m1")}));
   this->Admit(this->MakeRequest());
   this->Admit(this->MakeRequest());
@@ -138,12 +138,12 @@
   EXPECT_EQ(MinionOf(this->Admit(this->MakeRequest())), "far");
 }
 
-TEST_F(RouterTest, LeavingMinionsGetNothingWhoeverSaysSo) {
+TEST_F(RouterTest, LeavingMinionsGetNoRequests) {
   fleet::RoutedMinion leaving = MakeMinion("m1");
   leaving.can_take_work = false;
   this->router.Update(MakeView(1, {leaving, MakeMinion("m2")}));
   // The other one says so itself, to an entry that hears from no controller.
-  this->router.minions().NoteLeaving(InstanceName("m2"), kStart);
+  this->router.minions().MarkLeaving(InstanceName("m2"), kStart);
   EXPECT_EQ(CodeOf(this->Admit(this->MakeRequest())), ResultCode::kNoMinion);
   // A new start has not said so.
   fleet::RoutedMinion anew = MakeMinion("m2");
@@ -228,7 +228,7 @@
             ResultCode::kDeadlineDuringRun);
 }
 
-TEST_F(RouterTest, DecisionsAreKeptExplainedAndBounded) {
+TEST_F(RouterTest, DecisionsAreKeptUpToAMaximum) {
   this->router.Update(MakeView(1, {MakeMinion("m1")}));
   const RequestInfo request = this->MakeRequest();
   const RouteResult sent = this->Admit(request);
@@ -248,8 +248,8 @@
   EXPECT_FALSE(this->router.decisions().Find(id));
 }
 
-TEST(WaitingLineTest, BackgroundIsNotStarved) {
-  WaitingLine line;
+TEST(RequestQueueTest, BackgroundIsNotStarved) {
+  RequestQueue line;
   for (RequestNumber number = 1; number <= 20; ++number) {
     line.Add(number, fleet::RequestClass::kInteractive, kStart);
   }
@@ -260,7 +260,7 @@
     ++served_before;
   }
   EXPECT_EQ(served_before,
-            static_cast<int>(WaitingLine::kInteractivePerBackground));
+            static_cast<int>(RequestQueue::kInteractivePerBackground));
   line.Serve(100);
   EXPECT_NE(*line.Next(), 100U);
 }
--- a/tests/libraries/scheduler/admission_test.cc
+++ b/tests/libraries/scheduler/admission_test.cc
@@ -40,9 +40,9 @@
     double due = 0;
     for (Milliseconds passed{0}; passed < time; passed += kTick) {
       const double part = static_cast<double>(kTick.count()) / kSecond;
-      this->admission.NoteLateness(this->lateness());
+      this->admission.RecordLateness(this->lateness());
       for (due += load * this->capacity * part; due >= 1; due -= 1) {
-        const bool is_taken = this->admission.Take();
+        const bool is_taken = this->admission.AdmitJob();
         (is_taken ? this->taken : this->refused) += 1;
         this->queue += is_taken ? 1 : this->refusal_cost;
       }
@@ -86,9 +86,9 @@
 
 TEST(AdmissionTest, OneStallRefusesNobody) {
   Admission admission;
-  admission.NoteLateness(Milliseconds(300));
-  EXPECT_TRUE(admission.Take());
-  EXPECT_TRUE(admission.Take());
+  admission.RecordLateness(Milliseconds(300));
+  EXPECT_TRUE(admission.AdmitJob());
+  EXPECT_TRUE(admission.AdmitJob());
   EXPECT_EQ(admission.RetryAfter(), Milliseconds(1'000));
 }
 
@@ -96,7 +96,7 @@
   Admission admission;
   const auto allow_at = [&](Milliseconds late, std::size_t open_starts) {
     for (int count = 0; count < 100; ++count) {
-      admission.NoteLateness(late);
+      admission.RecordLateness(late);
     }
     return admission.AllowStarts(open_starts);
   };
@@ -109,7 +109,7 @@
   EXPECT_EQ(allow_at(Milliseconds(100), 200).late, 0U);
   EXPECT_EQ(allow_at(Milliseconds(550), 0).all, 16U);
   EXPECT_EQ(allow_at(Milliseconds(550), 16).all, 0U);
-  EXPECT_FALSE(admission.Take() && admission.Take());
+  EXPECT_FALSE(admission.AdmitJob() && admission.AdmitJob());
   EXPECT_EQ(admission.RetryAfter(), Milliseconds(2'000));
 }
 
--- a/tests/libraries/scheduler/arrival_rate_test.cc
+++ b/tests/libraries/scheduler/arrival_rate_test.cc
@@ -17,38 +17,39 @@
   }
 }
 
-TEST(ArrivalRateTest, FewArrivalsAreTakenForChance) {
+TEST(ArrivalRateTest, FewArrivalsAreIgnored) {
   ArrivalRate rate;
   Arrive(rate, 0, 300, 100);
-  EXPECT_EQ(rate.MillicoresBusy(kLooksAhead, SteadyTime(Milliseconds(300))), 0);
+  EXPECT_EQ(rate.ForecastMillicores(kLooksAhead, SteadyTime(Milliseconds(300))),
+            0);
 }
 
 TEST(ArrivalRateTest, ASteadyRateIsNotRaised) {
   ArrivalRate rate;
   Arrive(rate, 0, 4'000, 50);
   const SteadyTime now{Milliseconds(3'999)};
-  EXPECT_EQ(rate.MillicoresBusy(kLooksAhead, now),
-            rate.MillicoresBusy(kLooksBack, now));
+  EXPECT_EQ(rate.ForecastMillicores(kLooksAhead, now),
+            rate.ForecastMillicores(kLooksBack, now));
 }
 
-TEST(ArrivalRateTest, AGrowingRateIsCarriedOnWithinItsBound) {
+TEST(ArrivalRateTest, AGrowingRateIsExtrapolatedWithinItsBound) {
   ArrivalRate rate;
   Arrive(rate, 0, 1'000, 100);
   Arrive(rate, 1'000, 2'000, 60);
   const SteadyTime now{Milliseconds(1'999)};
-  const std::int64_t seen = rate.MillicoresBusy(kLooksBack, now);
-  const std::int64_t ahead = rate.MillicoresBusy(kLooksAhead, now);
+  const std::int64_t seen = rate.ForecastMillicores(kLooksBack, now);
+  const std::int64_t ahead = rate.ForecastMillicores(kLooksAhead, now);
   EXPECT_GT(ahead, seen * 13 / 10);
   EXPECT_LE(ahead, 2 * seen);
 }
 
-TEST(ArrivalRateTest, AFallingRateIsWhatItIs) {
+TEST(ArrivalRateTest, AFallingRateIsNotExtrapolated) {
   ArrivalRate rate;
   Arrive(rate, 0, 1'000, 20);
   Arrive(rate, 1'000, 2'000, 100);
   const SteadyTime now{Milliseconds(1'999)};
-  EXPECT_EQ(rate.MillicoresBusy(kLooksAhead, now),
-            rate.MillicoresBusy(kLooksBack, now));
+  EXPECT_EQ(rate.ForecastMillicores(kLooksAhead, now),
+            rate.ForecastMillicores(kLooksBack, now));
 }
 
 }  // namespace
--- a/tests/libraries/scheduler/backlog_test.cc
+++ b/tests/libraries/scheduler/backlog_test.cc
@@ -16,7 +16,7 @@
   void Finish(int a_second, int seconds) {
     for (int number = 0; number < a_second * seconds; ++number) {
       this->now += Milliseconds(1'000) / a_second;
-      this->backlog.NoteFinished(this->now);
+      this->backlog.RecordFinished(this->now);
     }
   }
   // True if a queue is refused that is the only one with jobs that wait.
@@ -46,7 +46,7 @@
 }
 
 // Nor does a calm time make it forget at once what it can do.
-TEST_F(BacklogTest, TheBestRateIsForgottenSlowly) {
+TEST_F(BacklogTest, TheBestRateDecaysSlowly) {
   this->Finish(100, 4);
   this->Finish(5, 10);
   EXPECT_FALSE(this->IsFull(550));
--- a/tests/libraries/scheduler/fake_fleet.cc
+++ b/tests/libraries/scheduler/fake_fleet.cc
@@ -57,7 +57,7 @@
 }
 
 fleet::Answer FakeFleet::Commit(jobs::Command command) {
-  const std::set<WorkerId> changed = this->state.WorkersTouchedBy(command);
+  const std::set<WorkerId> changed = this->state.FindAffectedWorkers(command);
   fleet::Answer answer = this->state.Apply(jobs::StampedCommand{
       WallTime(this->now.time_since_epoch()), std::move(command)});
   if (this->scheduler) {
--- a/tests/libraries/scheduler/fake_relays.cc
+++ b/tests/libraries/scheduler/fake_relays.cc
@@ -143,7 +143,7 @@
   if (call.stage == Stage::kSent && now >= call.unanswered_at) {
     call.stage = Stage::kAbandoned;
     if (call.is_open) {
-      this->routes.NoteFailure(call.worker, number, now);
+      this->routes.RecordFailure(call.worker, number, now);
     }
     call.answer = [fail = call.body.fail] { fail(OrderResult::kUnknown); };
   }
@@ -174,8 +174,8 @@
 
 void FakeRelays::Move(const WorkerId& worker, SteadyTime now) {
   if (!this->routes.empty()) {
-    this->routes.NoteFailure(worker,
-                             this->routes.Find(worker, DataCentre(), now), now);
+    this->routes.RecordFailure(
+        worker, this->routes.Find(worker, DataCentre(), now), now);
   }
 }
 
--- a/tests/libraries/scheduler/long_rush_test.cc
+++ b/tests/libraries/scheduler/long_rush_test.cc
@@ -10,7 +10,7 @@
 
 struct Shares {
   double in_time = 0;
-  double taken = 0;
+  double accepted = 0;
 };
 
 // The shares of all calls of a rush of three times what a whole leader can do.
@@ -18,23 +18,23 @@
   RushReplay replay({.processor_share = processor_share,
                      .rush_calls_a_second = 330,
                      .rush = std::chrono::seconds(20),
-                     .has_door = true});
+                     .has_backlog_limits = true});
   replay.Run();
-  return {.in_time = (replay.InTime(RushReplay::kUrgent) +
-                      replay.InTime(RushReplay::kPatient)) /
+  return {.in_time = (replay.InTimeShare(RushReplay::kUrgent) +
+                      replay.InTimeShare(RushReplay::kPatient)) /
                      2,
-          .taken = replay.Taken()};
+          .accepted = replay.AcceptedShare()};
 }
 
-TEST(LongRushTest, StaleJobsShutTheDoorOnCallersWhoCouldBeInTime) {
+TEST(LongRushTest, StaleJobsDoNotCrowdOutCallersWhoCanBeInTime) {
   for (const double share : {1.0, 0.75}) {
     const Shares shares = ReplayWith(share);
     EXPECT_GE(shares.in_time, share * 0.3) << share;
-    EXPECT_GE(shares.in_time, shares.taken * 0.55) << share;
+    EXPECT_GE(shares.in_time, shares.accepted * 0.55) << share;
   }
 }
 
-TEST(LongRushTest, ServiceFallsFasterThanProcessorTime) {
+TEST(LongRushTest, ServiceFallsNoFasterThanProcessorTime) {
   const Shares whole = ReplayWith(1.0);
   for (const double share : {0.9, 0.75}) {
     EXPECT_GE(ReplayWith(share).in_time, share * whole.in_time) << share;
--- a/tests/libraries/scheduler/loop_pacer_test.cc
+++ b/tests/libraries/scheduler/loop_pacer_test.cc
@@ -11,7 +11,7 @@
 TEST(LoopPacerTest, AnIdleLeaderTakesTheShortestPause) {
   LoopPacer pacer;
   EXPECT_EQ(pacer.PassPause(), Milliseconds(10));
-  pacer.NotePass(microseconds(200));
+  pacer.RecordPass(microseconds(200));
   EXPECT_EQ(pacer.PassPause(), Milliseconds(10));
 }
 
@@ -20,7 +20,7 @@
 TEST(LoopPacerTest, PassesUseAQuarterOfTheLoop) {
   LoopPacer pacer;
   for (int pass = 0; pass < 50; ++pass) {
-    pacer.NotePass(microseconds(20'000));
+    pacer.RecordPass(microseconds(20'000));
   }
   EXPECT_GE(pacer.PassPause(), Milliseconds(59));
   EXPECT_LE(pacer.PassPause(), Milliseconds(60));
@@ -28,10 +28,10 @@
 
 TEST(LoopPacerTest, OneLongPassIsForgotten) {
   LoopPacer pacer;
-  pacer.NotePass(std::chrono::seconds(3));
+  pacer.RecordPass(std::chrono::seconds(3));
   EXPECT_EQ(pacer.PassPause(), Milliseconds(100));
   for (int pass = 0; pass < 24; ++pass) {
-    pacer.NotePass(microseconds(500));
+    pacer.RecordPass(microseconds(500));
   }
   EXPECT_EQ(pacer.PassPause(), Milliseconds(10));
 }
@@ -41,15 +41,15 @@
   LoopPacer pacer;
   EXPECT_EQ(pacer.ReportPause(), Milliseconds(15));
   EXPECT_EQ(pacer.CommitPause(), Milliseconds(5));
-  pacer.NoteLateness(Milliseconds(100));
+  pacer.RecordLateness(Milliseconds(100));
   EXPECT_EQ(pacer.PassPause(), Milliseconds(50));
   EXPECT_EQ(pacer.ReportPause(), Milliseconds(215));
   EXPECT_EQ(pacer.CommitPause(), Milliseconds(30));
-  pacer.NoteLateness(Milliseconds(2'000));
+  pacer.RecordLateness(Milliseconds(2'000));
   EXPECT_EQ(pacer.PassPause(), Milliseconds(100));
   EXPECT_EQ(pacer.ReportPause(), Milliseconds(250));
   EXPECT_EQ(pacer.CommitPause(), Milliseconds(40));
-  pacer.NoteLateness(Milliseconds(0));
+  pacer.RecordLateness(Milliseconds(0));
   EXPECT_EQ(pacer.PassPause(), Milliseconds(10));
 }
 
--- a/tests/libraries/scheduler/near_data_test.cc
+++ b/tests/libraries/scheduler/near_data_test.cc
@@ -63,7 +63,7 @@
   EXPECT_EQ(this->Workers(), std::vector<std::string>{"far"});
 }
 
-TEST_F(NearDataTest, NothingIsWaitedForWhereNoWorkerIsNear) {
+TEST_F(NearDataTest, ATaskDoesNotWaitWhereNoWorkerIsNear) {
   this->SubmitNear("r7");
   this->fleet.PassTime(Milliseconds(200));
   EXPECT_EQ(this->Workers(), std::vector<std::string>{"far"});
--- a/tests/libraries/scheduler/refused_callers_test.cc
+++ b/tests/libraries/scheduler/refused_callers_test.cc
@@ -11,28 +11,28 @@
 TEST(RefusedCallersTest, TimeRunsFromTheFirstRefusal) {
   RefusedCallers callers;
   SteadyTime now{Milliseconds(10'000)};
-  EXPECT_EQ(callers.WaitedOf(kJob, now), Milliseconds(0));
-  callers.Note(kJob, now);
+  EXPECT_EQ(callers.WaitingTimeOf(kJob, now), Milliseconds(0));
+  callers.RecordRefusal(kJob, now);
   now += Milliseconds(1'000);
-  callers.Note(kJob, now);
+  callers.RecordRefusal(kJob, now);
   now += Milliseconds(500);
-  EXPECT_EQ(callers.WaitedOf(kJob, now), Milliseconds(1'500));
-  EXPECT_EQ(callers.WaitedOf(JobId("b"), now), Milliseconds(0));
+  EXPECT_EQ(callers.WaitingTimeOf(kJob, now), Milliseconds(1'500));
+  EXPECT_EQ(callers.WaitingTimeOf(JobId("b"), now), Milliseconds(0));
 }
 
-TEST(RefusedCallersTest, WhatIsOldOrTooMuchIsForgotten) {
-  RefusedCallers callers({.kept = Milliseconds(1'000), .most_kept = 2});
+TEST(RefusedCallersTest, OldAndExcessEntriesAreDropped) {
+  RefusedCallers callers({.kept = Milliseconds(1'000), .max_entries = 2});
   SteadyTime now{Milliseconds(10'000)};
-  callers.Note(kJob, now);
+  callers.RecordRefusal(kJob, now);
   now += Milliseconds(1'001);
-  callers.Note(JobId("b"), now);
-  EXPECT_EQ(callers.WaitedOf(kJob, now), Milliseconds(0));
+  callers.RecordRefusal(JobId("b"), now);
+  EXPECT_EQ(callers.WaitingTimeOf(kJob, now), Milliseconds(0));
   now += Milliseconds(1);
-  callers.Note(JobId("c"), now);
-  callers.Note(JobId("d"), now);
-  EXPECT_EQ(callers.WaitedOf(JobId("b"), now), Milliseconds(0));
-  callers.Note(JobId("c"), now + Milliseconds(1));
-  EXPECT_EQ(callers.WaitedOf(JobId("c"), now + Milliseconds(1)),
+  callers.RecordRefusal(JobId("c"), now);
+  callers.RecordRefusal(JobId("d"), now);
+  EXPECT_EQ(callers.WaitingTimeOf(JobId("b"), now), Milliseconds(0));
+  callers.RecordRefusal(JobId("c"), now + Milliseconds(1));
+  EXPECT_EQ(callers.WaitingTimeOf(JobId("c"), now + Milliseconds(1)),
             Milliseconds(1));
 }
 
--- a/tests/libraries/scheduler/rush_replay.cc
+++ b/tests/libraries/scheduler/rush_replay.cc
@@ -71,11 +71,11 @@
   this->state.Apply({this->WallNow(), jobs::Declare{1, "document"}});
 }
 
-void RushReplay::At(Instant at, std::function<void()> happen) {
-  this->events.push({at, this->event_count++, std::move(happen)});
+void RushReplay::Schedule(Instant at, std::function<void()> action) {
+  this->events.push({at, this->event_count++, std::move(action)});
 }
 
-void RushReplay::Work(Instant cost) {
+void RushReplay::SpendTime(Instant cost) {
   this->now += std::chrono::duration_cast<Instant>(
       cost / this->settings.processor_share);
 }
@@ -92,23 +92,23 @@
   this->SendCalls(Instant(0), kCalm, kCalmCalls);
   this->SendCalls(kCalm, kCalm + this->settings.rush,
                   this->settings.rush_calls_a_second);
-  this->At(kTick, [this] { this->Probe(kTick); });
+  this->Schedule(kTick, [this] { this->MeasureLateness(kTick); });
   while (!this->events.empty()) {
     const Event event = this->events.top();
     this->events.pop();
     this->now = std::max(this->now, event.at);
-    event.happen();
+    event.action();
   }
 }
 
 // Measures how late the loop reads what has come.
-void RushReplay::Probe(Instant due) {
-  this->admission.NoteLateness(
+void RushReplay::MeasureLateness(Instant due) {
+  this->admission.RecordLateness(
       std::chrono::duration_cast<Milliseconds>(this->now - due));
-  this->pacer.NoteLateness(this->admission.lateness());
+  this->pacer.RecordLateness(this->admission.lateness());
   const Instant next = std::max(due + kTick, this->now);
   if (next < kCalm + this->settings.rush + kDrain) {
-    this->At(next, [this, next] { this->Probe(next); });
+    this->Schedule(next, [this, next] { this->MeasureLateness(next); });
   }
   this->SchedulePass();
 }
@@ -123,7 +123,7 @@
                            .queue = drawn % 2 == 0 ? kUrgent : kPatient,
                            .steps = drawn % 10 < 6 ? 2U : 1U,
                            .first_sent = at};
-    this->At(at + kOneWay, [this, id] { this->Submit(id); });
+    this->Schedule(at + kOneWay, [this, id] { this->Submit(id); });
   }
 }
 
@@ -140,25 +140,25 @@
     }
     spec.steps.push_back(std::move(step));
   }
-  if (auto retry_after = this->RefuseAtDoor(call, spec)) {
+  if (auto retry_after = this->RefuseForBacklog(call, spec)) {
     return this->Refuse(call, *retry_after);
   }
-  if (!this->admission.Take()) {
+  if (!this->admission.AdmitJob()) {
     return this->Refuse(call, this->admission.RetryAfter());
   }
-  this->Work(kSubmitCost);
-  call.is_taken = true;
-  this->forecast.NoteTaken(call.queue);
+  this->SpendTime(kSubmitCost);
+  call.is_accepted = true;
+  this->forecast.RecordAccepted(call.queue);
   this->Commit(
       jobs::SubmitJob{id, call.queue, std::move(spec),
-                      this->refused_callers.WaitedOf(id, this->Now())});
+                      this->refused_callers.WaitingTimeOf(id, this->Now())});
 }
 
 // When the caller should come back, or nothing if the door lets the job in.
-std::optional<Milliseconds> RushReplay::RefuseAtDoor(
+std::optional<Milliseconds> RushReplay::RefuseForBacklog(
     const Call& call,
     const jobs::JobSpec& spec) {
-  if (!this->settings.has_door) {
+  if (!this->settings.has_backlog_limits) {
     return std::nullopt;
   }
   const WaitingCounts waiting = this->waiting.CountFor(call.queue);
@@ -168,7 +168,7 @@
   const auto to_spare = TimeToSpare(
       *this->state.declaration().FindQueue(call.queue), spec, this->run_times);
   const Milliseconds waited =
-      this->refused_callers.WaitedOf(call.id, this->Now());
+      this->refused_callers.WaitingTimeOf(call.id, this->Now());
   if (to_spare &&
       this->forecast.IsTooLate(call.queue, *to_spare - waited, this->Now())) {
     return this->forecast.RetryAfter(call.queue, this->Now());
@@ -177,41 +177,41 @@
 }
 
 void RushReplay::Refuse(Call& call, Milliseconds retry_after) {
-  this->Work(kRefusalCost);
+  this->SpendTime(kRefusalCost);
   ++this->refused;
-  if (this->settings.has_door) {
-    this->refused_callers.Note(call.id, this->Now());
+  if (this->settings.has_backlog_limits) {
+    this->refused_callers.RecordRefusal(call.id, this->Now());
   }
   if (++call.tries < kMostTries) {
-    this->At(this->now + retry_after,
-             [this, id = call.id] { this->Submit(id); });
+    this->Schedule(this->now + retry_after,
+                   [this, id = call.id] { this->Submit(id); });
   }
 }
 
 void RushReplay::Commit(jobs::Command command) {
   this->gathered.push_back(std::move(command));
   if (this->gathered.size() == 1) {
-    this->At(this->now + this->pacer.CommitPause(),
-             [this] { this->CommitRound(); });
+    this->Schedule(this->now + this->pacer.CommitPause(),
+                   [this] { this->CommitRound(); });
   }
 }
 
 void RushReplay::CommitRound() {
   const std::vector<jobs::Command> round = std::exchange(this->gathered, {});
-  this->Work(kRoundCost + kCommandCost * round.size());
+  this->SpendTime(kRoundCost + kCommandCost * round.size());
   for (const jobs::Command& command : round) {
     this->state.Apply({this->WallNow(), command});
     if (const auto* ends = std::get_if<jobs::RecordEnds>(&command)) {
       for (const jobs::RunEnd& end : ends->ends) {
         this->waiting.Reconsider(end.task.step.job);
-        this->NoteFinished(end.task.step.job);
+        this->RecordFinished(end.task.step.job);
       }
     }
   }
   this->SchedulePass();
 }
 
-void RushReplay::NoteFinished(const JobId& id) {
+void RushReplay::RecordFinished(const JobId& id) {
   const jobs::Job* job = this->state.FindJob(id);
   Call& call = this->calls.at(id);
   if (job == nullptr || job->is_active()) {
@@ -223,25 +223,26 @@
   }
   const auto objective =
       std::chrono::duration_cast<Instant>(chain * kStretch) + kLatencyTarget;
-  this->backlog.NoteFinished(this->Now());
+  this->backlog.RecordFinished(this->Now());
   call.is_in_time = this->now - call.first_sent <= objective;
 }
 
 void RushReplay::SchedulePass() {
   if (!std::exchange(this->is_pass_due, true)) {
-    this->At(this->now + this->pacer.PassPause(), [this] { this->Pass(); });
+    this->Schedule(this->now + this->pacer.PassPause(),
+                   [this] { this->Pass(); });
   }
 }
 
 void RushReplay::Pass() {
   this->is_pass_due = false;
   const Instant began = this->now;
-  this->Work(kPassCost);
+  this->SpendTime(kPassCost);
   StartAllowance left = this->admission.AllowStarts(this->open_starts);
   std::set<std::uint64_t> unplaced;
   const std::vector<DueOccurrence> order =
       this->waiting.Order(this->Now(), this->WallNow());
-  this->forecast.NoteWaiting(this->waiting.waiting_of_queues());
+  this->forecast.UpdateWaiting(this->waiting.waiting_by_queue());
   for (const DueOccurrence& due : order) {
     const std::size_t started_before = this->started.size();
     bool is_all_placed = true;
@@ -249,11 +250,11 @@
     if (!is_all_placed) {
       unplaced.insert(due.job->sequence);
     } else if (due.is_new && this->started.size() > started_before) {
-      this->forecast.NoteBegun(due.job->queue, this->Now());
+      this->forecast.RecordFirstStart(due.job->queue, this->Now());
     }
   }
-  this->waiting.Settle(unplaced, this->WallNow());
-  this->pacer.NotePass(this->now - began);
+  this->waiting.RemovePlaced(unplaced, this->WallNow());
+  this->pacer.RecordPass(this->now - began);
 }
 
 void RushReplay::StartSteps(const DueOccurrence& due,
@@ -282,7 +283,7 @@
 }
 
 void RushReplay::Start(const jobs::TaskId& task) {
-  this->Work(kStartCost);
+  this->SpendTime(kStartCost);
   this->started[task] = this->now;
   ++this->open_starts;
   std::uniform_int_distribution<std::int64_t> draw(kShortestRun.count(),
@@ -293,13 +294,13 @@
   const std::size_t worker = (std::hash<std::string>()(task.step.job.value()) +
                               task.step.step + task.index / kNeighbours) %
                              kWorkers;
-  this->At(this->now + 2 * kOneWay, [this] {
-    this->Work(kAnswerCost);
+  this->Schedule(this->now + 2 * kOneWay, [this] {
+    this->SpendTime(kAnswerCost);
     --this->open_starts;
     this->SchedulePass();
   });
-  this->At(this->now + kOneWay + run,
-           [this, worker, task] { this->End(worker, task); });
+  this->Schedule(this->now + kOneWay + run,
+                 [this, worker, task] { this->End(worker, task); });
 }
 
 // The worker tells at once, unless the leader has just heard of it.
@@ -307,8 +308,8 @@
   Worker& worker = this->workers[number];
   worker.ended.push_back({task, RunNumber(1), jobs::RunOutcome::kDone});
   if (!std::exchange(worker.is_report_due, true)) {
-    this->At(std::max(this->now, worker.leave_alone_until) + kOneWay,
-             [this, number] { this->Report(number); });
+    this->Schedule(std::max(this->now, worker.earliest_report_at) + kOneWay,
+                   [this, number] { this->Report(number); });
   }
 }
 
@@ -316,24 +317,25 @@
   Worker& worker = this->workers[number];
   worker.is_report_due = false;
   std::vector<jobs::RunEnd> ended = std::exchange(worker.ended, {});
-  this->Work(kReportCost + kEndCost * ended.size());
-  worker.leave_alone_until = this->now + this->pacer.ReportPause();
+  this->SpendTime(kReportCost + kEndCost * ended.size());
+  worker.earliest_report_at = this->now + this->pacer.ReportPause();
   for (const jobs::RunEnd& end : ended) {
-    this->run_times.Note(this->calls.at(end.task.step.job).queue,
-                         std::chrono::duration_cast<Milliseconds>(
-                             this->now - this->started.at(end.task)));
+    this->run_times.RecordRunTime(this->calls.at(end.task.step.job).queue,
+                                  std::chrono::duration_cast<Milliseconds>(
+                                      this->now - this->started.at(end.task)));
   }
   this->Commit(jobs::RecordEnds{std::move(ended)});
 }
 
-double RushReplay::Taken() const {
-  const auto taken =
+double RushReplay::AcceptedShare() const {
+  const auto accepted =
       std::count_if(this->calls.begin(), this->calls.end(),
-                    [](const auto& call) { return call.second.is_taken; });
-  return static_cast<double>(taken) / static_cast<double>(this->calls.size());
+                    [](const auto& call) { return call.second.is_accepted; });
+  return static_cast<double>(accepted) /
+         static_cast<double>(this->calls.size());
 }
 
-double RushReplay::InTime(const QueueName& queue) const {
+double RushReplay::InTimeShare(const QueueName& queue) const {
   double all = 0;
   double in_time = 0;
   for (const auto& [id, call] : this->calls) {
--- a/tests/libraries/scheduler/rush_replay.h
+++ b/tests/libraries/scheduler/rush_replay.h
@@ -33,7 +33,7 @@
   double rush_calls_a_second = 110;
   std::chrono::seconds rush{10};
   // Jobs are refused for what waits before them, too.
-  bool has_door = false;
+  bool has_backlog_limits = false;
 };
 
 // Replays a rush against the decisions of a leader that has too little
@@ -51,12 +51,12 @@
 
   // The share of the queue's jobs that were done in time, counted from when
   // their callers first sent them.
-  double InTime(const QueueName& queue) const;
+  double InTimeShare(const QueueName& queue) const;
   // How many answers said that a job was not taken.
   std::uint64_t refusals() const { return this->refused; }
 
   // The share of all calls that were answered with success.
-  double Taken() const;
+  double AcceptedShare() const;
 
   static const QueueName kUrgent;
   static const QueueName kPatient;
@@ -66,7 +66,7 @@
   struct Event {
     Instant at{};
     std::uint64_t number = 0;
-    std::function<void()> happen;
+    std::function<void()> action;
 
     bool operator<(const Event& other) const {
       return std::pair(other.at, other.number) <
@@ -80,24 +80,24 @@
     Instant first_sent{};
     int tries = 0;
     Instant longest_chain{};
-    bool is_taken = false;
+    bool is_accepted = false;
     bool is_in_time = false;
   };
   struct Worker {
     std::vector<jobs::RunEnd> ended;
     bool is_report_due = false;
-    Instant leave_alone_until{};
+    Instant earliest_report_at{};
   };
 
-  void At(Instant at, std::function<void()> happen);
-  void Work(Instant cost);
+  void Schedule(Instant at, std::function<void()> action);
+  void SpendTime(Instant cost);
   SteadyTime Now() const;
   WallTime WallNow() const;
-  void Probe(Instant due);
+  void MeasureLateness(Instant due);
   void SendCalls(Instant from, Instant to, double calls_a_second);
   void Submit(const JobId& id);
-  std::optional<Milliseconds> RefuseAtDoor(const Call& call,
-                                           const jobs::JobSpec& spec);
+  std::optional<Milliseconds> RefuseForBacklog(const Call& call,
+                                               const jobs::JobSpec& spec);
   void Refuse(Call& call, Milliseconds retry_after);
   void Commit(jobs::Command command);
   void CommitRound();
@@ -109,7 +109,7 @@
   void Start(const jobs::TaskId& task);
   void End(std::size_t worker, const jobs::TaskId& task);
   void Report(std::size_t worker);
-  void NoteFinished(const JobId& id);
+  void RecordFinished(const JobId& id);
 
   RushSettings settings;
   std::mt19937_64 random{7};
--- a/tests/libraries/scheduler/rush_replay_test.cc
+++ b/tests/libraries/scheduler/rush_replay_test.cc
@@ -28,8 +28,8 @@
 Shares ReplayWith(double processor_share) {
   RushReplay replay({.processor_share = processor_share});
   replay.Run();
-  return {.urgent = replay.InTime(RushReplay::kUrgent),
-          .patient = replay.InTime(RushReplay::kPatient),
+  return {.urgent = replay.InTimeShare(RushReplay::kUrgent),
+          .patient = replay.InTimeShare(RushReplay::kPatient),
           .refusals = replay.refusals()};
 }
 
--- a/tests/libraries/scheduler/start_forecast_test.cc
+++ b/tests/libraries/scheduler/start_forecast_test.cc
@@ -15,12 +15,12 @@
   // Lets so many jobs begin in the last second.
   void Begin(int count) {
     for (int number = 0; number < count; ++number) {
-      this->forecast.NoteBegun(kQueue, this->now);
+      this->forecast.RecordFirstStart(kQueue, this->now);
     }
   }
-  void Wait(std::size_t timely_new, std::size_t late = 0) {
-    this->forecast.NoteWaiting(
-        {{kQueue, {.timely_new = timely_new, .late = late}}});
+  void Wait(std::size_t new_in_time, std::size_t late = 0) {
+    this->forecast.UpdateWaiting(
+        {{kQueue, {.new_in_time = new_in_time, .late = late}}});
   }
   bool IsTooLate(Milliseconds to_spare) {
     return this->forecast.IsTooLate(kQueue, to_spare, this->now);
@@ -48,14 +48,14 @@
 
 TEST_F(StartForecastTest, JobsTakenAndBegunSinceTheLastPassCount) {
   this->Wait(15);
-  this->forecast.NoteTaken(kQueue);
+  this->forecast.RecordAccepted(kQueue);
   EXPECT_TRUE(this->IsTooLate(kToSpare));
   this->Begin(1);
   EXPECT_FALSE(this->IsTooLate(kToSpare));
 }
 
 // Late jobs that wait shut the door on nobody but those who are late, too.
-TEST_F(StartForecastTest, LateJobsStandOnlyInTheWayOfLateOnes) {
+TEST_F(StartForecastTest, LateJobsDelayOnlyLateOnes) {
   this->Begin(100);
   this->Wait(10, 1'000);
   EXPECT_FALSE(this->IsTooLate(kToSpare));
--- a/tests/libraries/scheduler/urgency_test.cc
+++ b/tests/libraries/scheduler/urgency_test.cc
@@ -23,7 +23,7 @@
   return UrgencyBasisOf(job, 0, &queue, RunTimes(), true).At(kNow);
 }
 
-TEST(UrgencyTest, AJobIsLateOnceItsDelaysLeaveItNoTime) {
+TEST(UrgencyTest, AJobIsLateOnceItsWaitExceedsItsTimeToSpare) {
   EXPECT_EQ(UrgencyAfter(Milliseconds(0)).lateness, Lateness::kInTime);
   EXPECT_EQ(UrgencyAfter(Milliseconds(800)).lateness, Lateness::kInTime);
   EXPECT_EQ(UrgencyAfter(Milliseconds(801)).lateness, Lateness::kLate);
@@ -31,14 +31,14 @@
   EXPECT_EQ(UrgencyAfter(Milliseconds(5'601)).lateness, Lateness::kWorthless);
 }
 
-TEST(UrgencyTest, WhatCanBeInTimeGoesFirstWhateverItsPriority) {
+TEST(UrgencyTest, JobsThatCanBeInTimeGoFirstWhateverTheirPriority) {
   EXPECT_LT(UrgencyAfter(Milliseconds(100), 1),
             UrgencyAfter(Milliseconds(1'000), 0));
   EXPECT_LT(UrgencyAfter(Milliseconds(100), 0),
             UrgencyAfter(Milliseconds(100), 1));
 }
 
-TEST(UrgencyTest, WhatHasBegunGoesFirstAndThenTheNewest) {
+TEST(UrgencyTest, BegunJobsGoFirstAndThenTheNewest) {
   EXPECT_LT(UrgencyAfter(Milliseconds(100), 0, true),
             UrgencyAfter(Milliseconds(0)));
   EXPECT_LT(UrgencyAfter(Milliseconds(200), 0, true),
--- a/tests/libraries/scheduler/waiting_cause_test.cc
+++ b/tests/libraries/scheduler/waiting_cause_test.cc
@@ -44,7 +44,7 @@
   EXPECT_TRUE(cause->is_half_free);
 }
 
-TEST(WaitingCauseTest, ATaskLargerThanAnyWorkerIsTooSmallAFleet) {
+TEST(WaitingCauseTest, ATaskLargerThanAnyWorkerIsNamed) {
   FakeFleet fleet(2);
   fleet.Submit("job", {.count = 1, .need = {.millicores = 9'000}});
   fleet.PassTime(kReviews);
@@ -79,7 +79,7 @@
   EXPECT_EQ(cause->at_limit, 2U);
 }
 
-TEST(WaitingCauseTest, AGangThatHasRoomForSomeMembersSaysSo) {
+TEST(WaitingCauseTest, AGangWithRoomForSomeMembersIsNamed) {
   FakeFleet fleet(2);
   fleet.Submit(
       "job",
--- a/tests/libraries/scheduler/waiting_jobs_test.cc
+++ b/tests/libraries/scheduler/waiting_jobs_test.cc
@@ -12,7 +12,7 @@
 namespace {
 
 const QueueName kQueue("clips");
-constexpr Milliseconds kFullLook{1'000};
+constexpr Milliseconds kFullScan{1'000};
 
 absl::StatusOr<jobs::JobsDeclaration> Declared(std::string_view /*document*/) {
   const ServiceName service("previews");
@@ -28,7 +28,7 @@
 class WaitingJobsTest : public testing::Test {
  protected:
   WaitingJobsTest()
-      : state(Declared), waiting(state, run_times, true, kFullLook) {
+      : state(Declared), waiting(state, run_times, true, kFullScan) {
     this->Do(jobs::Declare{1, "document"});
   }
 
@@ -59,18 +59,18 @@
 
 // 136 long-running jobs that have their places beside a rush of short ones: a
 // pass looks at the short ones alone.
-TEST_F(WaitingJobsTest, ARushIsOrderedWithoutWhatHasItsPlace) {
+TEST_F(WaitingJobsTest, ARushIsOrderedWithoutPlacedJobs) {
   for (int number = 0; number < 136; ++number) {
     this->Submit(StrCat("lasts", number),
                  {.steps = {{.count = 24, .is_long_running = true}}});
   }
   EXPECT_EQ(this->Order().size(), 136U);
-  this->waiting.Settle({}, this->wall_now);
+  this->waiting.RemovePlaced({}, this->wall_now);
   for (int number = 0; number < 40; ++number) {
     this->PassTime(Milliseconds(20));
     this->Submit(StrCat("short", number), {.steps = {{.count = 8}}});
     EXPECT_EQ(this->Order().size(), 1U);
-    this->waiting.Settle({}, this->wall_now);
+    this->waiting.RemovePlaced({}, this->wall_now);
   }
   EXPECT_EQ(this->waiting.size(), 0U);
 }
@@ -78,26 +78,26 @@
 TEST_F(WaitingJobsTest, AJobWithoutAPlaceStays) {
   this->Submit("a", {.steps = {{.count = 8}}});
   ASSERT_EQ(this->Order().size(), 1U);
-  this->waiting.Settle({this->state.FindJob(JobId("a"))->sequence},
-                       this->wall_now);
+  this->waiting.RemovePlaced({this->state.FindJob(JobId("a"))->sequence},
+                             this->wall_now);
   EXPECT_EQ(this->Order(), std::vector<std::string>{"a"});
 }
 
 TEST_F(WaitingJobsTest, AJobComesBackWhenItIsReconsidered) {
   this->Submit("a", {.steps = {{.count = 8}}});
   this->Order();
-  this->waiting.Settle({}, this->wall_now);
+  this->waiting.RemovePlaced({}, this->wall_now);
   EXPECT_TRUE(this->Order().empty());
   this->waiting.Reconsider(JobId("a"));
   this->waiting.Reconsider(JobId("unknown"));
   EXPECT_EQ(this->Order(), std::vector<std::string>{"a"});
 }
 
-TEST_F(WaitingJobsTest, EveryActiveJobIsLookedAtNowAndThen) {
+TEST_F(WaitingJobsTest, EveryActiveJobIsConsideredPeriodically) {
   this->Submit("a", {.steps = {{.count = 8}}});
   this->Order();
-  this->waiting.Settle({}, this->wall_now);
-  this->PassTime(kFullLook);
+  this->waiting.RemovePlaced({}, this->wall_now);
+  this->PassTime(kFullScan);
   EXPECT_EQ(this->Order(), std::vector<std::string>{"a"});
 }
 
@@ -107,10 +107,10 @@
                      .first_due = this->wall_now,
                      .interval = Milliseconds(100)});
   EXPECT_EQ(this->Order().size(), 1U);
-  this->waiting.Settle({}, this->wall_now);
+  this->waiting.RemovePlaced({}, this->wall_now);
   this->PassTime(Milliseconds(250));
   EXPECT_EQ(this->Order().size(), 3U);
-  this->waiting.Settle({}, this->wall_now);
+  this->waiting.RemovePlaced({}, this->wall_now);
   EXPECT_TRUE(this->Order().empty());
 }
 
@@ -118,7 +118,7 @@
   this->Submit("a", {.steps = {{.count = 8}}});
   this->Do(jobs::CancelJob{JobId("a")});
   EXPECT_TRUE(this->Order().empty());
-  this->waiting.Settle({}, this->wall_now);
+  this->waiting.RemovePlaced({}, this->wall_now);
   this->waiting.Reconsider(JobId("a"));
   EXPECT_EQ(this->waiting.size(), 0U);
 }
--- a/tests/libraries/scheduler/waiting_table_test.cc
+++ b/tests/libraries/scheduler/waiting_table_test.cc
@@ -11,10 +11,10 @@
 // One step, reviewed again and again.
 class WaitingTableTest : public testing::Test {
  protected:
-  WaitingNews Review(Milliseconds after) {
+  ReviewFinding Review(Milliseconds after) {
     this->now += after;
     this->table.Begin(this->now);
-    return this->table.Note(this->step, kTasks, this->cause);
+    return this->table.RecordWait(this->step, kTasks, this->cause);
   }
 
   const jobs::StepId step{JobId("job"), 0, 0};
@@ -23,30 +23,31 @@
   WaitingTable table;
 };
 
-TEST_F(WaitingTableTest, ALongWaitIsToldOnce) {
-  EXPECT_EQ(this->Review(Milliseconds(0)), WaitingNews::kNone);
+TEST_F(WaitingTableTest, ALongWaitIsReportedOnce) {
+  EXPECT_EQ(this->Review(Milliseconds(0)), ReviewFinding::kNone);
   EXPECT_EQ(this->Review(WaitingTable::kLongWait - Milliseconds(1)),
-            WaitingNews::kNone);
-  EXPECT_EQ(this->Review(Milliseconds(1)), WaitingNews::kWaitsLong);
-  EXPECT_EQ(this->Review(Milliseconds(1'000)), WaitingNews::kNone);
+            ReviewFinding::kNone);
+  EXPECT_EQ(this->Review(Milliseconds(1)), ReviewFinding::kWaitsLong);
+  EXPECT_EQ(this->Review(Milliseconds(1'000)), ReviewFinding::kNone);
 }
 
-TEST_F(WaitingTableTest, AWaitWithoutNeedIsAnAlarmAlsoAfterItWasTold) {
+TEST_F(WaitingTableTest, AWaitDespiteRoomIsReportedAlsoAfterALongWait) {
   this->Review(Milliseconds(0));
-  EXPECT_EQ(this->Review(WaitingTable::kLongWait), WaitingNews::kWaitsLong);
+  EXPECT_EQ(this->Review(WaitingTable::kLongWait), ReviewFinding::kWaitsLong);
   this->cause.is_feasible = true;
-  EXPECT_EQ(this->Review(Milliseconds(1'000)), WaitingNews::kNone);
+  EXPECT_EQ(this->Review(Milliseconds(1'000)), ReviewFinding::kNone);
   this->cause.is_half_free = true;
-  EXPECT_EQ(this->Review(Milliseconds(1'000)), WaitingNews::kWaitsWithoutNeed);
-  EXPECT_EQ(this->Review(Milliseconds(1'000)), WaitingNews::kNone);
+  EXPECT_EQ(this->Review(Milliseconds(1'000)),
+            ReviewFinding::kWaitsDespiteRoom);
+  EXPECT_EQ(this->Review(Milliseconds(1'000)), ReviewFinding::kNone);
 }
 
-TEST_F(WaitingTableTest, AStepThatIsNotNotedWaitsNoLonger) {
+TEST_F(WaitingTableTest, AStepThatIsNotRecordedNoLongerWaits) {
   this->Review(Milliseconds(0));
   this->now += WaitingTable::kLongWait;
   this->table.Begin(this->now);
   EXPECT_TRUE(this->table.steps().empty());
-  EXPECT_EQ(this->Review(Milliseconds(1'000)), WaitingNews::kNone);
+  EXPECT_EQ(this->Review(Milliseconds(1'000)), ReviewFinding::kNone);
 }
 
 TEST_F(WaitingTableTest, TasksAreCountedByReason) {
@@ -59,7 +60,7 @@
   this->table.Begin(this->now);
   for (std::uint32_t number = 0; number < WaitingTable::kMostSteps; ++number) {
     EXPECT_TRUE(this->table.HasRoom());
-    this->table.Note({JobId("job"), 0, number}, kTasks, this->cause);
+    this->table.RecordWait({JobId("job"), 0, number}, kTasks, this->cause);
   }
   EXPECT_FALSE(this->table.HasRoom());
 }
--- a/tests/platform/wire_codec_test.cc
+++ b/tests/platform/wire_codec_test.cc
@@ -258,7 +258,7 @@
   EXPECT_EQ(ReadInstanceResult(200, ""), kDone);
   EXPECT_EQ(ReadInstanceResult(409, R"({"reason":"busy"})"), kBusy);
   EXPECT_EQ(ReadInstanceResult(409, R"({"reason":"fence"})"), kFenced);
-  EXPECT_EQ(ReadInstanceResult(409, R"({"reason":"wave"})"), kNotOfWave);
+  EXPECT_EQ(ReadInstanceResult(409, R"({"reason":"wave"})"), kNotInWave);
   EXPECT_EQ(ReadInstanceResult(400, ""), kUnknownInstance);
   EXPECT_EQ(ReadInstanceResult(429, ""), kRefused);
   EXPECT_EQ(ReadInstanceResult(500, ""), kUnknown);
--- a/tests/services/sumacd/instance_orders_test.cc
+++ b/tests/services/sumacd/instance_orders_test.cc
@@ -45,7 +45,7 @@
  protected:
   InstanceOrdersTest() : fleet(3) {
     // The pool needs all that it has, so nothing is moved.
-    this->demand[ServiceName("previews")].fewest_instances = 3;
+    this->demand[ServiceName("previews")].min_instances = 3;
     this->fleet.long_running_work = Milliseconds(3'600'000);
     this->BeginPlanners();
   }
