--- a/libraries/scheduler/crashed_runs.cc
+++ b/libraries/scheduler/crashed_runs.cc
@@ -6,33 +6,35 @@
 namespace sumac::scheduler {
 namespace {
 
-// A long-running task outlives many of its workers, whatever they crash of; one
-// that was at work for so long there has not crashed this one.
-constexpr Milliseconds kSoundTime{5'000};
+// A long-running task outlives many crashes of its workers, whatever causes
+// them. One that had been running for this long on a worker is not considered a
+// cause of its crash.
+constexpr Milliseconds kUnsuspiciousTime{5'000};
 
-bool HasCrashesOnRecord(const jobs::JobsState& state,
-                        const jobs::TaskId& task) {
+bool HasCommittedCrashes(const jobs::JobsState& state,
+                         const jobs::TaskId& task) {
   const jobs::Job* job = state.FindJob(task.step.job);
   return job != nullptr && job->FindCrashes(task) != nullptr;
 }
 
-// Of the runs that began shortly before the crash, those of tasks with earlier
-// crashes are the suspects, or else all of them. Marks the one that is alone.
+// Marks the only suspect of a crash, if there is exactly one. Suspects are the
+// runs that began shortly before the crash: those of tasks with earlier crashes
+// or, if there are none, all of them.
 void MarkOnlySuspect(const jobs::JobsState& state,
                      std::vector<jobs::CrashedRun>& runs) {
-  std::vector<jobs::CrashedRun*> late;
+  std::vector<jobs::CrashedRun*> recent;
   std::vector<jobs::CrashedRun*> repeated;
   for (jobs::CrashedRun& run : runs) {
     if (run.survived >= jobs::TaskCrashes::kSuspectTime) {
       continue;
     }
-    late.push_back(&run);
-    if (HasCrashesOnRecord(state, run.task)) {
+    recent.push_back(&run);
+    if (HasCommittedCrashes(state, run.task)) {
       repeated.push_back(&run);
     }
   }
   const std::vector<jobs::CrashedRun*>& suspects =
-      repeated.empty() ? late : repeated;
+      repeated.empty() ? recent : repeated;
   if (suspects.size() == 1) {
     suspects.front()->is_only_suspect = true;
   }
@@ -47,9 +49,9 @@
     const jobs::StepSpec* step = state.FindStep(run.task);
     const Milliseconds survived =
         std::max(session.last_answer - run.ordered_at, Milliseconds(0));
-    const bool is_sound =
-        step != nullptr && step->is_long_running && survived >= kSoundTime;
-    if (step != nullptr && !is_sound) {
+    const bool is_unsuspicious = step != nullptr && step->is_long_running &&
+                                 survived >= kUnsuspiciousTime;
+    if (step != nullptr && !is_unsuspicious) {
       crashed.push_back(
           jobs::CrashedRun{.task = run.task,
                            .run = run.number,
--- a/libraries/scheduler/scheduler.cc
+++ b/libraries/scheduler/scheduler.cc
@@ -11,16 +11,17 @@
 namespace sumac::scheduler {
 namespace {
 
-// Runs of one leadership are numbered from epoch * 2^20, so that they rise over
-// changes of leader without anything being committed for a start.
+// The runs of one leadership are numbered from epoch * 2^20, so that run
+// numbers increase over changes of leader without a commit for each start.
 constexpr int kRunBitsOfEpoch = 20;
-// Another life at a worker's address is reported by its next announcement; runs
-// that nobody confirms nor denies are stopped after this.
+// How long a run may stay unconfirmed before it is stopped. If another
+// incarnation is at the worker's address, its next announcement shows that.
 constexpr Milliseconds kUnconfirmedTime{1'500};
-// Runs that the line about a life's end tells one by one.
-constexpr std::size_t kRunsOfLifeEnd = 6;
+// The maximum number of runs that the log line about the end of an incarnation
+// lists.
+constexpr std::size_t kMaxLoggedRuns = 6;
 
-// The first epoch of a group is 1 and its runs count from 1.
+// The first epoch of a group is 1, and its runs are numbered from 1.
 RunNumber FirstRunOf(LeaderEpoch epoch) {
   const std::uint64_t earlier = epoch.value() > 0 ? epoch.value() - 1 : 0;
   return RunNumber((earlier << kRunBitsOfEpoch) + 1);
@@ -39,7 +40,7 @@
       waiting(state,
               this->run_times,
               settings.orders_by_slack,
-              settings.full_look_interval),
+              settings.full_scan_interval),
       sharing(state),
       placement(this->health),
       stragglers(
@@ -49,7 +50,7 @@
           this->placement,
           this->health,
           [this](const jobs::Job& job) { return this->AdviceFor(job); },
-          settings.most_moves),
+          settings.max_moves),
       demand(state,
              this->run_times,
              settings.forecast,
@@ -70,76 +71,80 @@
   const jobs::Worker* worker = this->state.FindWorker(id);
   if (worker == nullptr) {
     this->SettleCrashes(id);
-    this->forgotten.erase(id);
-    this->EndLife(id, now);
+    this->pending_removals.erase(id);
+    this->EndObsoleteIncarnation(id, now);
     return;
   }
-  const auto forgetting = this->forgotten.find(id);
-  if (forgetting != this->forgotten.end() &&
-      worker->sequence <= forgetting->second.sequence) {
+  const auto removal = this->pending_removals.find(id);
+  if (removal != this->pending_removals.end() &&
+      worker->sequence <= removal->second.sequence) {
     return;
   }
-  this->forgotten.erase(id);
-  if (this->ended.Has(id)) {
-    this->EndWorker(id, LifeEnd::kReplacedOnInstance, now);
+  this->pending_removals.erase(id);
+  if (this->ended_incarnations.Has(id)) {
+    this->EndIncarnation(id, IncarnationEnd::kReplacedOnInstance, now);
     return;
   }
   const auto [session, is_new] = this->workers.try_emplace(
       id, WorkerSession(*worker, this->settings.lease, now));
   if (!is_new) {
-    this->ForgetLife(session->second.worker());
+    this->RemoveFromInstance(session->second.worker());
   }
   session->second.Update(*worker);
-  this->lives_of[worker->instance].insert(id);
+  this->incarnations_of[worker->instance].insert(id);
   this->MarkCordoned(session->second);
 }
 
-// Takes a worker from the lives of its instance.
-void Scheduler::ForgetLife(const jobs::Worker& worker) {
-  const auto lives = this->lives_of.find(worker.instance);
-  lives->second.erase(worker.id);
-  if (lives->second.empty()) {
-    this->lives_of.erase(lives);
+// Removes a worker from the known incarnations on its instance.
+void Scheduler::RemoveFromInstance(const jobs::Worker& worker) {
+  const auto incarnations = this->incarnations_of.find(worker.instance);
+  incarnations->second.erase(worker.id);
+  if (incarnations->second.empty()) {
+    this->incarnations_of.erase(incarnations);
   }
 }
 
-// Ends a life that is not on record any more, or is no present one.
-void Scheduler::EndLife(const WorkerId& worker, SteadyTime now) {
+// Ends an incarnation whose record has been removed, or that is not the current
+// incarnation of its worker.
+void Scheduler::EndObsoleteIncarnation(const WorkerId& worker, SteadyTime now) {
   const WorkerSession* session = this->FindSession(worker);
   const jobs::Worker* next =
       session == nullptr
           ? nullptr
           : this->state.FindCurrentIncarnation(session->worker().name);
   if (next == nullptr) {
-    this->EndWorker(worker, LifeEnd::kPlanned, now);
+    this->EndIncarnation(worker, IncarnationEnd::kPlanned, now);
     return;
   }
-  this->notes.AddText("worker-restarted", "it started again under its name",
-                      false,
-                      StrCat(worker.value(), " with ", session->runs().size(),
-                             " runs, now ", next->id.value()));
-  this->EndWorker(worker, LifeEnd::kRestarted, now);
-}
-
-// Ends the other lives on the instance of one that has just answered. An
-// announcement may outlive its sender and come after that of the next life, so
-// being heard of last proves nothing. An answer to a call that was sent after
-// another life was heard of does: lives follow each other.
-void Scheduler::EndOtherLives(const WorkerSession& answering, SteadyTime now) {
+  this->collected_events.AddText(
+      "worker-restarted", "it started again under its name", false,
+      StrCat(worker.value(), " with ", session->runs().size(), " runs, now ",
+             next->id.value()));
+  this->EndIncarnation(worker, IncarnationEnd::kRestarted, now);
+}
+
+// Ends the other incarnations on the instance of a worker that has just
+// answered. The order of announcements proves nothing: an announcement may
+// arrive after its sender has ended and after that of the next incarnation. An
+// answer to a call that was sent after another incarnation became known does
+// prove that the other is over, since incarnations on one instance do not
+// overlap.
+void Scheduler::EndOtherIncarnations(const WorkerSession& answering,
+                                     SteadyTime now) {
   const jobs::Worker& worker = answering.worker();
   if (worker.instance.value().empty()) {
     return;
   }
   std::vector<WorkerId> ended;
-  for (const WorkerId& id : this->lives_of.at(worker.instance)) {
+  for (const WorkerId& id : this->incarnations_of.at(worker.instance)) {
     if (id != worker.id &&
         this->workers.at(id).began_at() <= answering.began_at()) {
       ended.push_back(id);
     }
   }
   for (const WorkerId& id : ended) {
-    this->ended.Note(id);
-    this->EndWorker(id, LifeEnd::kReplacedOnInstance, now);
+    this->ended_incarnations.Add(id);
+    this->EndIncarnation(id, IncarnationEnd::kReplacedOnInstance, now);
   }
 }
 
@@ -157,9 +162,9 @@
   return session->NextRenewal(this->epoch, this->workers.size(), now);
 }
 
-EndsToRecord Scheduler::TakeReport(const WorkerId& worker,
-                                   const RenewReport& report,
-                                   SteadyTime now) {
+EndsToRecord Scheduler::HandleReport(const WorkerId& worker,
+                                     const RenewReport& report,
+                                     SteadyTime now) {
   WorkerSession* known = this->FindSession(worker);
   if (known == nullptr) {
     return {};
@@ -169,38 +174,40 @@
     return {};
   }
   const bool is_adopting = !session.is_adopted();
-  session.NoteClock(report.clock, now);
-  session.NoteReport(report.clock, now);
-  // With ends left out nobody knows yet what became of its runs.
+  session.RecordClock(report.clock, now);
+  session.RecordReport(report.clock, now);
+  // While the list of ends is incomplete, the outcome of the worker's runs is
+  // not known yet.
   if (!is_adopting || !report.has_more_ends) {
-    session.NoteAnswer(now);
+    session.RecordAnswer(now);
   }
   if (is_adopting) {
-    this->EndOtherLives(session, now);
+    this->EndOtherIncarnations(session, now);
   }
-  EndsToRecord ends = this->TakeEnds(session, report, now);
-  this->TakeRunning(session, report, is_adopting, now);
+  EndsToRecord ends = this->ApplyEnds(session, report, now);
+  this->ApplyRunningRuns(session, report, is_adopting, now);
   if (!report.has_more_ends) {
-    this->TakeMissing(session, report);
+    this->ReleaseMissingRuns(session, report);
   }
   if (auto reason = this->sharing.ApplyReport(session, now)) {
-    this->NotePace(session, *reason);
+    this->LogPaceChange(session, *reason);
   }
   this->needs_plan = this->needs_plan || is_adopting || ends.up_to > 0;
   return ends;
 }
 
-void Scheduler::NoteRunTime(const Run& run, SteadyTime now) {
+void Scheduler::RecordRunTime(const Run& run, SteadyTime now) {
   const jobs::Job* job = this->state.FindJob(run.task.step.job);
   if (job != nullptr) {
     this->run_times.RecordRunTime(job->queue, now - run.ordered_at);
   }
 }
 
-// Ends come again until they are acknowledged; each is looked at once.
-EndsToRecord Scheduler::TakeEnds(WorkerSession& session,
-                                 const RenewReport& report,
-                                 SteadyTime now) {
+// Applies the ends in a report. A worker repeats its ends until they are
+// acknowledged; each is applied once.
+EndsToRecord Scheduler::ApplyEnds(WorkerSession& session,
+                                  const RenewReport& report,
+                                  SteadyTime now) {
   EndsToRecord result;
   for (const EndReport& end : report.ended) {
     if (end.number <= session.seen_ends) {
@@ -215,13 +222,13 @@
     const bool was_known = known_run != nullptr;
     if (was_known && end.cause == EndCause::kDone &&
         known_run->start_expires > WorkerTime(0)) {
-      this->NoteRunTime(*known_run, now);
+      this->RecordRunTime(*known_run, now);
     }
     const bool is_final =
         end.cause == EndCause::kDone || end.cause == EndCause::kFailed;
     const jobs::StepSpec* step = this->state.FindStep(end.task);
     if (step != nullptr) {
-      TaskMemory& memory = this->tasks.Get(end.task);
+      TaskMemory& memory = this->tasks.GetOrCreate(end.task);
       memory.last_run = std::max(memory.last_run, end.run);
       memory.last_ended_run = std::max(memory.last_ended_run, end.run);
       if (!end.checkpoint.empty()) {
@@ -238,7 +245,7 @@
                                            end.cause == EndCause::kDone
                                                ? jobs::RunOutcome::kDone
                                                : jobs::RunOutcome::kFailed});
-        ++memory.open_ends;
+        ++memory.uncommitted_ends;
         memory.has_done_run =
             memory.has_done_run || end.cause == EndCause::kDone;
       }
@@ -246,24 +253,25 @@
     if (was_known) {
       this->ReleaseRun(session, end.task, end.run, "");
     }
-    this->notes.Add("run-ended", end.task, end.run, session.worker().id,
-                    end.cause == EndCause::kDone      ? "done"
-                    : end.cause == EndCause::kFailed  ? "failed"
-                    : end.cause == EndCause::kStopped ? "stopped"
-                    : end.cause == EndCause::kLapsed  ? "lapsed"
-                    : end.cause == EndCause::kBroken  ? "gang broken"
-                                                      : "gang incomplete");
+    this->collected_events.Add(
+        "run-ended", end.task, end.run, session.worker().id,
+        end.cause == EndCause::kDone           ? "done"
+        : end.cause == EndCause::kFailed       ? "failed"
+        : end.cause == EndCause::kStopped      ? "stopped"
+        : end.cause == EndCause::kLeaseExpired ? "lapsed"
+        : end.cause == EndCause::kGangBroken   ? "gang broken"
+                                               : "gang incomplete");
   }
   if (result.up_to > 0) {
-    session.open_ends.insert(result.after);
+    session.uncommitted_ends.insert(result.after);
   }
   return result;
 }
 
-void Scheduler::TakeRunning(WorkerSession& session,
-                            const RenewReport& report,
-                            bool is_adopting,
-                            SteadyTime now) {
+void Scheduler::ApplyRunningRuns(WorkerSession& session,
+                                 const RenewReport& report,
+                                 bool is_adopting,
+                                 SteadyTime now) {
   for (const RunningReport& running : report.running) {
     Run* run = session.FindRun(running.task, running.run);
     if (run == nullptr) {
@@ -292,11 +300,12 @@
   }
 }
 
-// True if this run of an earlier leader is the one that its task should have.
-// NOTE: A leader that took in a failure started the next run at once, so the
-// end of an earlier run, on record or not, says nothing against a later one.
-bool Scheduler::MayGoOn(const jobs::Job& job,
-                        const RunningReport& running) const {
+// Returns true if this run of an earlier leader is the run that its task should
+// have.
+// NOTE: A leader that handled a failure started the next run immediately, so
+// the end of an earlier run, committed or not, does not rule out a later one.
+bool Scheduler::MayContinue(const jobs::Job& job,
+                            const RunningReport& running) const {
   const jobs::TaskProgress progress = job.ProgressOf(running.task);
   if (progress.is_done || running.run <= progress.last_ended_run) {
     return false;
@@ -306,8 +315,8 @@
                               running.run > known->last_ended_run);
 }
 
-// A run that this leader did not order: one of an earlier leader that goes on,
-// or one that has to go.
+// Handles a run that this leader did not order: a run of an earlier leader
+// either continues or is stopped.
 void Scheduler::AdoptRun(WorkerSession& session,
                          const RunningReport& running,
                          const RenewReport& report,
@@ -316,7 +325,7 @@
   const jobs::Job* job = this->state.FindJob(running.task.step.job);
   const jobs::StepSpec* step = this->state.FindStep(running.task);
   const bool is_wanted = is_adopting && step != nullptr && job->is_active() &&
-                         this->MayGoOn(*job, running);
+                         this->MayContinue(*job, running);
   Run run{
       .task = running.task,
       .number = running.run,
@@ -328,7 +337,7 @@
       .is_budgeted = step != nullptr && step->has_disruption_budget,
       .ordered_at = now,
       .settled_at =
-          now + this->settings.longest_stop + this->settings.lease.margin,
+          now + this->settings.max_stop_time + this->settings.lease.margin,
       .confirmed_clock = report.clock,
       .seen_in_report = session.report_count(),
       .percent = running.percent,
@@ -338,23 +347,25 @@
       .stop_due = now};
   session.AddRun(std::move(run));
   if (step != nullptr) {
-    TaskMemory& memory = this->tasks.Get(running.task);
+    TaskMemory& memory = this->tasks.GetOrCreate(running.task);
     memory.last_run = std::max(memory.last_run, running.run);
     ++memory.known_runs;
   }
   if (is_wanted) {
-    this->tasks.Get(running.task).placed = {session.worker().id, running.run};
-    this->NoteBegun(*job);
+    this->tasks.GetOrCreate(running.task).placed = {session.worker().id,
+                                                    running.run};
+    this->RequestBegunRecord(*job);
   }
   this->needs_plan = true;
-  this->notes.Add(is_wanted ? "run-adopted" : "run-unwanted", running.task,
-                  running.run, session.worker().id,
-                  is_wanted ? "it went on over a change of leader"
-                            : "its task is not wanted there");
+  this->collected_events.Add(is_wanted ? "run-adopted" : "run-unwanted",
+                             running.task, running.run, session.worker().id,
+                             is_wanted ? "it went on over a change of leader"
+                                       : "its task is not wanted there");
 }
 
-// Runs that the worker neither runs nor lists as ended.
-void Scheduler::TakeMissing(WorkerSession& session, const RenewReport& report) {
+// Releases runs that the worker neither reports as running nor lists as ended.
+void Scheduler::ReleaseMissingRuns(WorkerSession& session,
+                                   const RenewReport& report) {
   std::vector<std::pair<jobs::TaskId, RunNumber>> gone;
   for (const auto& [key, run] : session.runs()) {
     if (run.seen_in_report == session.report_count()) {
@@ -376,44 +387,44 @@
   }
 }
 
-void Scheduler::TakeRenewalFailure(const WorkerId& worker,
-                                   OrderResult result,
-                                   SteadyTime now) {
+void Scheduler::HandleRenewalFailure(const WorkerId& worker,
+                                     OrderResult result,
+                                     SteadyTime now) {
   WorkerSession* session = this->FindSession(worker);
-  const bool says_nothing =
+  const bool is_inconclusive =
       result == OrderResult::kNotSent || result == OrderResult::kRelayLost;
-  if (session == nullptr || says_nothing) {
+  if (session == nullptr || is_inconclusive) {
     return;
   }
-  session->NoteFailure(now);
-  if (result == OrderResult::kOtherLife) {
-    this->EndReplacedWorker(worker, now);
+  session->RecordFailure(now);
+  if (result == OrderResult::kOtherIncarnation) {
+    this->EndIncarnationAtAddress(worker, now);
   }
   this->needs_plan = true;
 }
 
-void Scheduler::NoteRecorded(const WorkerId& worker,
-                             const EndsToRecord& recorded) {
+void Scheduler::HandleEndsCommitted(const WorkerId& worker,
+                                    const EndsToRecord& recorded) {
   for (const jobs::RunEnd& end : recorded.ends) {
     if (TaskMemory* memory = this->tasks.Find(end.task)) {
-      --memory->open_ends;
+      --memory->uncommitted_ends;
     }
     this->waiting.Reconsider(end.task.step.job);
   }
   WorkerSession* session = this->FindSession(worker);
   if (session != nullptr && recorded.up_to > 0) {
-    session->NoteRecorded(recorded.after);
+    session->HandleEndsCommitted(recorded.after);
   }
   this->needs_plan = true;
 }
 
-void Scheduler::TakeAnswer(const Order& order,
-                           const OrderAnswer& answer,
-                           SteadyTime now) {
+void Scheduler::HandleOrderAnswer(const Order& order,
+                                  const OrderAnswer& answer,
+                                  SteadyTime now) {
   if (const auto* start = std::get_if<StartOrder>(&order)) {
-    this->TakeStartAnswer(*start, answer, now);
+    this->HandleStartAnswer(*start, answer, now);
   } else if (const auto* stop = std::get_if<StopOrder>(&order)) {
-    this->TakeStopAnswer(*stop, answer, now);
+    this->HandleStopAnswer(*stop, answer, now);
   } else if (const auto* pace = std::get_if<PaceOrder>(&order)) {
     WorkerSession* session = this->FindSession(pace->worker);
     if (session != nullptr) {
@@ -422,23 +433,24 @@
   }
 }
 
-// Each start of a job's tasks asks for the record until it is there.
-void Scheduler::NoteBegun(const jobs::Job& job) {
+// Requests a record that the job has begun, with each start of its tasks until
+// that record is committed.
+void Scheduler::RequestBegunRecord(const jobs::Job& job) {
   if (!job.has_begun && job.is_active()) {
     this->begun.insert(job.id);
   }
 }
 
-void Scheduler::TakeStartAnswer(const StartOrder& order,
-                                const OrderAnswer& answer,
-                                SteadyTime now) {
+void Scheduler::HandleStartAnswer(const StartOrder& order,
+                                  const OrderAnswer& answer,
+                                  SteadyTime now) {
   WorkerSession* known = this->FindSession(order.worker);
   if (known == nullptr) {
     return;
   }
   WorkerSession& session = *known;
   if (answer.clock) {
-    session.NoteClock(*answer.clock, now);
+    session.RecordClock(*answer.clock, now);
   }
   Run* run = session.FindRun(order.task, order.run);
   if (run == nullptr) {
@@ -451,7 +463,7 @@
         run->phase = RunPhase::kRunning;
       }
       if (const jobs::Job* job = this->state.FindJob(order.task.step.job)) {
-        this->NoteBegun(*job);
+        this->RequestBegunRecord(*job);
       }
       break;
     case OrderResult::kNoRoom:
@@ -470,23 +482,26 @@
                        "the worker refused the start");
       break;
     case OrderResult::kFenced:
-      // Another leader gives orders there; this one finds out by its lease.
+      // Another leader controls the worker; this one will notice by the loss of
+      // its own lease.
       this->ReleaseRun(session, order.task, order.run, "fenced off");
       break;
-    case OrderResult::kOtherLife:
-      this->EndReplacedWorker(order.worker, now);
+    case OrderResult::kOtherIncarnation:
+      this->EndIncarnationAtAddress(order.worker, now);
       break;
     case OrderResult::kUnreachable:
-      session.NoteFailure(now);
+      session.RecordFailure(now);
       this->ReleaseRun(session, order.task, order.run, "nobody listens there");
       break;
     case OrderResult::kNotSent:
-      // Nothing is known against the worker, but the way there is crowded.
+      // This is no evidence against the worker, but the path to it is
+      // congested.
       session.full_until = now + this->settings.full_pause;
       this->ReleaseRun(session, order.task, order.run, "the start never left");
       break;
     case OrderResult::kOldRun:
-      // The worker knows this run or a later one: it may have run to its end.
+      // The worker knows this run or a later one, so the run may have started
+      // and ended.
       this->SettleStart(session, *run, "refused as old", now);
       break;
     case OrderResult::kUnknown:
@@ -497,57 +512,58 @@
   this->needs_plan = true;
 }
 
-// A run of which nobody knows whether it has begun, or will, or has ended. A
-// stop and the next report settle it either way, before its task goes
-// elsewhere.
+// Handles a start whose outcome is unknown: the run may have begun, may still
+// begin, or may have ended. A stop and the next report settle this before its
+// task is started elsewhere.
 void Scheduler::SettleStart(WorkerSession& session,
                             Run& run,
                             const std::string& reason,
                             SteadyTime now) {
   if (run.phase != RunPhase::kOrdered) {
-    // A report has shown that it runs, or it is being stopped already.
+    // A report has shown that the run is running, or it is already being
+    // stopped.
     return;
   }
-  this->notes.Add("start-unsettled", run.task, run.number, session.worker().id,
-                  reason);
-  // The run may be at work by the time the stop arrives: three such stops at
-  // once took all tasks of a step away that may miss one.
-  if (run.is_budgeted && !this->MayTakeAway(run.task, now)) {
-    this->report_wanted.insert(session.worker().id);
+  this->collected_events.Add("start-unsettled", run.task, run.number,
+                             session.worker().id, reason);
+  // The run may be running by the time the stop arrives: three such stops at
+  // once have taken down all tasks of a step whose disruption budget was one.
+  if (run.is_budgeted && !this->MayDisrupt(run.task, now)) {
+    this->reports_to_request.insert(session.worker().id);
     return;
   }
   session.BeginStop(run, now);
   this->BreakGang(run.task, run.number);
 }
 
-void Scheduler::TakeStopAnswer(const StopOrder& order,
-                               const OrderAnswer& answer,
-                               SteadyTime now) {
+void Scheduler::HandleStopAnswer(const StopOrder& order,
+                                 const OrderAnswer& answer,
+                                 SteadyTime now) {
   WorkerSession* session = this->FindSession(order.worker);
   if (session == nullptr) {
     return;
   }
-  if (answer.result == OrderResult::kOtherLife) {
-    this->EndReplacedWorker(order.worker, now);
+  if (answer.result == OrderResult::kOtherIncarnation) {
+    this->EndIncarnationAtAddress(order.worker, now);
     return;
   }
   Run* run = session->FindRun(order.task, order.run);
   if (run != nullptr && answer.result == OrderResult::kDone) {
     run->stopped_clock = answer.clock;
-    this->report_wanted.insert(order.worker);
+    this->reports_to_request.insert(order.worker);
     this->needs_plan = true;
   }
 }
 
-void Scheduler::TakeAdvice(const AdviceQuestion& question,
-                           const AdviceAnswer& answer,
-                           SteadyTime now) {
+void Scheduler::HandleAdvice(const AdviceQuestion& question,
+                             const AdviceAnswer& answer,
+                             SteadyTime now) {
   this->advice.ApplyAnswer(question, answer, now);
   this->advice.DropFinished(this->state);
   this->needs_plan = true;
 }
 
-// The placement policy of the job's queue, or nothing.
+// Returns the placement policy of the job's queue, or null.
 const jobs::PlacementPolicy* Scheduler::PolicyOf(const jobs::Job& job) const {
   const jobs::QueueDeclaration* queue =
       this->state.declaration().FindQueue(job.queue);
@@ -559,8 +575,8 @@
   return this->PolicyOf(job) == nullptr ? nullptr : &this->advice;
 }
 
-// Asks about workers that have room for the task, where its queue has a
-// placement policy.
+// Queues a question about the workers that have room for the task, if the
+// task's queue has a placement policy.
 void Scheduler::AskForAdvice(const Candidate& candidate,
                              const jobs::TaskId& task,
                              SteadyTime now) {
@@ -572,36 +588,39 @@
   }
 }
 
-void Scheduler::NotePace(const WorkerSession& session,
-                         const std::string& reason) {
+void Scheduler::LogPaceChange(const WorkerSession& session,
+                              const std::string& reason) {
   this->needs_plan = true;
   for (const auto& [key, run] : session.runs()) {
     if (run.is_filler) {
-      this->notes.Add("filler-paced", run.task, run.number, session.worker().id,
-                      reason);
+      this->collected_events.Add("filler-paced", run.task, run.number,
+                                 session.worker().id, reason);
     }
   }
 }
 
-void Scheduler::EndWorker(const WorkerId& worker, LifeEnd end, SteadyTime now) {
+void Scheduler::EndIncarnation(const WorkerId& worker,
+                               IncarnationEnd end,
+                               SteadyTime now) {
   const auto found = this->workers.find(worker);
   if (found == this->workers.end()) {
     return;
   }
-  this->NoteLifeEnd(found->second, end, now);
+  this->LogIncarnationEnd(found->second, end, now);
   if (this->IsCrash(found->second, end)) {
-    this->TakeCrash(found->second, now);
+    this->RecordCrash(found->second, now);
   }
-  this->ReleaseAll(found->second, std::string(TextOf(end)));
+  this->ReleaseAllRuns(found->second, std::string(TextOf(end)));
   this->health.RemoveRecord(worker);
-  this->ForgetLife(found->second.worker());
+  this->RemoveFromInstance(found->second.worker());
   this->workers.erase(found);
   this->needs_plan = true;
 }
 
-// True if nothing planned explains the end: neither had the worker said that it
-// would leave, nor was an order that ends it on record.
-bool Scheduler::IsCrash(const WorkerSession& session, LifeEnd end) const {
+// Returns true if no planned action explains the end: the worker had not
+// announced that it would leave, and no order that ends it is committed.
+bool Scheduler::IsCrash(const WorkerSession& session,
+                        IncarnationEnd end) const {
   const jobs::Worker& worker = session.worker();
   const auto move = this->state.record().moves.find(worker.instance);
   const bool is_ordered = move != this->state.record().moves.end() &&
@@ -609,9 +628,10 @@
   return IsUnexplained(end) && !worker.is_draining && !is_ordered;
 }
 
-// NOTE: The tasks wait until the crash is on record, so that each start of any
-// leader knows of all crashes before it.
-void Scheduler::TakeCrash(const WorkerSession& session, SteadyTime now) {
+// Records the crash of a worker for the tasks that were running there.
+// NOTE: These tasks are not started until the crash is committed, so that each
+// start by any leader is decided with all earlier crashes known.
+void Scheduler::RecordCrash(const WorkerSession& session, SteadyTime now) {
   std::vector<jobs::CrashedRun> runs = FindCrashedRuns(session, this->state);
   std::erase_if(runs, [this](const jobs::CrashedRun& run) {
     return this->state.IsCrashSettled(run);
@@ -620,32 +640,33 @@
     return;
   }
   for (const jobs::CrashedRun& run : runs) {
-    TaskMemory& memory = this->tasks.Get(run.task);
-    ++memory.open_crashes;
+    TaskMemory& memory = this->tasks.GetOrCreate(run.task);
+    ++memory.uncommitted_crashes;
     memory.crashed_at = now;
-    memory.trial_wanted_at.reset();
-    this->notes.Add("run-crashed", run.task, run.run, session.worker().id,
-                    run.is_only_suspect ? "only suspect"
-                    : run.survived < jobs::TaskCrashes::kSuspectTime
-                        ? "suspect"
-                        : "bystander");
+    memory.trial_waiting_since.reset();
+    this->collected_events.Add(
+        "run-crashed", run.task, run.run, session.worker().id,
+        run.is_only_suspect                              ? "only suspect"
+        : run.survived < jobs::TaskCrashes::kSuspectTime ? "suspect"
+                                                         : "bystander");
   }
-  this->ended.Note(session.worker().id, std::move(runs));
+  this->ended_incarnations.Add(session.worker().id, std::move(runs));
 }
 
 void Scheduler::SettleCrashes(const WorkerId& worker) {
-  for (const jobs::CrashedRun& run : this->ended.Settle(worker, this->state)) {
+  for (const jobs::CrashedRun& run :
+       this->ended_incarnations.Settle(worker, this->state)) {
     if (TaskMemory* memory = this->tasks.Find(run.task)) {
-      --memory->open_crashes;
+      --memory->uncommitted_crashes;
     }
     this->waiting.Reconsider(run.task.step.job);
   }
 }
 
-// Tells which runs a life took with it, those that began last first.
-void Scheduler::NoteLifeEnd(const WorkerSession& session,
-                            LifeEnd end,
-                            SteadyTime now) {
+// Logs which runs ended with an incarnation, the most recently ordered first.
+void Scheduler::LogIncarnationEnd(const WorkerSession& session,
+                                  IncarnationEnd end,
+                                  SteadyTime now) {
   if (session.runs().empty()) {
     return;
   }
@@ -657,7 +678,7 @@
   std::sort(latest.begin(), latest.end(), [](const Run* one, const Run* other) {
     return one->ordered_at > other->ordered_at;
   });
-  latest.resize(std::min(latest.size(), kRunsOfLifeEnd));
+  latest.resize(std::min(latest.size(), kMaxLoggedRuns));
   std::string text =
       StrCat(session.worker().id.value(), " on ",
              session.worker().instance.value(), " with ", session.runs().size(),
@@ -667,14 +688,17 @@
               (ended_at - run->ordered_at).count(), " ms)");
   }
   const bool is_crash = this->IsCrash(session, end);
-  this->notes.AddText(is_crash ? "worker-crashed" : "worker-ended",
-                      std::string(TextOf(end)), is_crash, std::move(text));
+  this->collected_events.AddText(is_crash ? "worker-crashed" : "worker-ended",
+                                 std::string(TextOf(end)), is_crash,
+                                 std::move(text));
 }
 
-// An address goes to another life only once the one before is over.
-void Scheduler::EndReplacedWorker(const WorkerId& worker, SteadyTime now) {
-  this->ended.Note(worker);
-  this->EndWorker(worker, LifeEnd::kReplacedAtAddress, now);
+// Ends an incarnation because another one is at its address. An address is
+// reused only after its previous incarnation is over.
+void Scheduler::EndIncarnationAtAddress(const WorkerId& worker,
+                                        SteadyTime now) {
+  this->ended_incarnations.Add(worker);
+  this->EndIncarnation(worker, IncarnationEnd::kReplacedAtAddress, now);
 }
 
 void Scheduler::ReleaseRun(WorkerSession& session,
@@ -692,14 +716,16 @@
   }
   this->waiting.Reconsider(task.step.job);
   if (!reason.empty()) {
-    this->notes.Add("run-gone", task, run, session.worker().id, reason);
+    this->collected_events.Add("run-gone", task, run, session.worker().id,
+                               reason);
     this->BreakGang(task, run);
   }
   this->needs_plan = true;
 }
 
-// A gang whose member is missing would hold its room until the others give up
-// waiting; they are stopped at once, so that it can start anew.
+// Stops the other members of a gang that has lost a member. Otherwise they
+// would hold their room until they give up waiting; stopping them lets the gang
+// start again immediately.
 void Scheduler::BreakGang(const jobs::TaskId& member, RunNumber run) {
   const jobs::StepSpec* step = this->state.FindStep(member);
   if (step == nullptr || !step->is_gang) {
@@ -719,13 +745,15 @@
   }
 }
 
-// Where the checkpoint of a task is kept: a gang has one for all its members.
+// Returns the entry that holds the checkpoint of a task: the members of a gang
+// share one checkpoint.
 TaskMemory& Scheduler::CheckpointOf(const jobs::TaskId& task,
                                     const jobs::StepSpec& step) {
-  return this->tasks.Get({task.step, step.is_gang ? 0 : task.index});
+  return this->tasks.GetOrCreate({task.step, step.is_gang ? 0 : task.index});
 }
 
-void Scheduler::ReleaseAll(WorkerSession& session, const std::string& reason) {
+void Scheduler::ReleaseAllRuns(WorkerSession& session,
+                               const std::string& reason) {
   std::vector<std::pair<jobs::TaskId, RunNumber>> all;
   for (const auto& [key, run] : session.runs()) {
     all.push_back(key);
@@ -741,9 +769,9 @@
   this->needs_plan = false;
   this->starts_left = allowed;
   SchedulerOutput output;
-  this->LapseSilentWorkers(now);
+  this->ExpireSilentWorkers(now);
   this->placement.BeginPass(this->workers, now);
-  this->ForgetGoneWorkers(now, output);
+  this->RemoveSilentWorkers(now, output);
   this->EvacuateCordoned(now);
   this->GiveUpStragglers(now);
   this->StopUnwanted(now, output);
@@ -760,22 +788,22 @@
         jobs::RecordBegun{{this->begun.begin(), this->begun.end()}});
     this->begun.clear();
   }
-  output.events = this->notes.Take();
+  output.events = this->collected_events.Take();
   return output;
 }
 
 void Scheduler::RequestReports(SteadyTime now, SchedulerOutput& output) {
-  for (const WorkerId& id : std::exchange(this->report_wanted, {})) {
+  for (const WorkerId& id : std::exchange(this->reports_to_request, {})) {
     if (WorkerSession* session = this->FindSession(id)) {
-      session->report_asked_at = now;
+      session->report_requested_at = now;
       output.report_requests.push_back(session->NextReportRequest(this->epoch));
     }
   }
 }
 
-// Asks the workers of a step's tasks for reports where the last one is too old
-// to tell whether a task is at work.
-void Scheduler::AskWhoIsAtWork(const jobs::StepId& step, SteadyTime now) {
+// Requests reports from the workers of a step's tasks whose last report is too
+// old to show whether their task is running.
+void Scheduler::RequestStepReports(const jobs::StepId& step, SteadyTime now) {
   const jobs::TaskId first{step, 0};
   const jobs::StepSpec* spec = this->state.FindStep(first);
   for (std::uint32_t index = 0; spec != nullptr && index < spec->count;
@@ -786,40 +814,41 @@
                                  : this->FindSession(memory->placed->first);
     const bool is_stale =
         session != nullptr && session->is_answering() &&
-        now - session->reported_at() > this->settings.fresh_report / 2 &&
-        now - session->report_asked_at > this->settings.fresh_report / 2;
+        now - session->reported_at() > this->settings.max_report_age / 2 &&
+        now - session->report_requested_at > this->settings.max_report_age / 2;
     if (is_stale) {
-      this->report_wanted.insert(session->worker().id);
+      this->reports_to_request.insert(session->worker().id);
     }
   }
 }
 
-void Scheduler::LapseSilentWorkers(SteadyTime now) {
-  this->uncertain.clear();
+void Scheduler::ExpireSilentWorkers(SteadyTime now) {
+  this->services_with_unseen_runs.clear();
   this->run_count = 0;
   for (auto& [id, session] : this->workers) {
     this->run_count += session.runs().size();
-    this->FollowTrials(session, now);
-    const bool is_lapsed = session.IsLapsed(now);
-    if (is_lapsed && (session.is_adopted() || !session.runs().empty())) {
-      this->ReleaseAll(session, "its lease is over");
+    this->CheckTrials(session, now);
+    const bool is_expired = session.IsExpired(now);
+    if (is_expired && (session.is_adopted() || !session.runs().empty())) {
+      this->ReleaseAllRuns(session, "its lease is over");
       session.Reset();
     }
-    // NOTE: Workers join all the time while pools grow. One that was put on
-    // record under this leader has had no orders from another, and must not
-    // make all older jobs of its service wait.
+    // NOTE: Workers join continuously while pools grow. A worker that was first
+    // recorded under this leader has had no orders from another one, so it must
+    // not make all older jobs of its service wait.
     const bool is_inherited = session.began_at() == this->began_at;
-    if (is_inherited && !is_lapsed && !session.is_adopted()) {
-      this->uncertain.insert(session.worker().service);
+    if (is_inherited && !is_expired && !session.is_adopted()) {
+      this->services_with_unseen_runs.insert(session.worker().service);
     }
   }
 }
 
-// A run that a report shows after some time has not crashed its worker; the
-// report is asked for, since a renewal may take longer.
-void Scheduler::FollowTrials(WorkerSession& session, SteadyTime now) {
+// Requests a report from a worker with a trial that has lasted long enough: a
+// run that is still reported after that time has not crashed its worker.
+// Waiting for the next renewal could take longer.
+void Scheduler::CheckTrials(WorkerSession& session, SteadyTime now) {
   static constexpr Milliseconds kTime = jobs::TaskCrashes::kSuspectTime;
-  if (session.trials() == 0 || now - session.report_asked_at < kTime) {
+  if (session.trials() == 0 || now - session.report_requested_at < kTime) {
     return;
   }
   const bool is_over = std::any_of(
@@ -827,87 +856,90 @@
         return run.second.is_on_trial && now - run.second.ordered_at >= kTime;
       });
   if (is_over) {
-    this->report_wanted.insert(session.worker().id);
+    this->reports_to_request.insert(session.worker().id);
   }
 }
 
-bool Scheduler::NeedsLifeCheck() const {
+bool Scheduler::NeedsInstanceCheck() const {
   return std::any_of(this->workers.begin(), this->workers.end(),
                      [](const auto& worker) {
-                       return worker.second.is_in_doubt() &&
+                       return worker.second.is_possibly_down() &&
                               !worker.second.worker().instance.value().empty();
                      });
 }
 
-std::set<InstanceName> Scheduler::InstancesInDoubt() const {
+std::set<InstanceName> Scheduler::PossiblyDownInstances() const {
   std::set<InstanceName> instances;
   for (const auto& [id, session] : this->workers) {
-    if (session.is_in_doubt() && !session.worker().instance.value().empty()) {
+    if (session.is_possibly_down() &&
+        !session.worker().instance.value().empty()) {
       instances.insert(session.worker().instance);
     }
   }
   return instances;
 }
 
-void Scheduler::TakeInstanceLives(
-    const std::map<InstanceName, InstanceLife>& lives,
+void Scheduler::HandleInstanceStatus(
+    const std::map<InstanceName, InstanceStatus>& statuses,
     SteadyTime asked_at) {
-  if (lives.empty()) {
-    // A platform without any instance has lost its list, not its instances.
+  if (statuses.empty()) {
+    // A platform that lists no instance at all has lost its list, not its
+    // instances.
     return;
   }
   std::vector<WorkerId> dead;
   for (const auto& [id, session] : this->workers) {
     const InstanceName& instance = session.worker().instance;
-    if (instance.value().empty() || !session.is_in_doubt() ||
+    if (instance.value().empty() || !session.is_possibly_down() ||
         session.began_at() >= asked_at) {
       continue;
     }
-    const auto life = lives.find(instance);
-    const bool is_over = life == lives.end() || !life->second.is_up ||
-                         (!life->second.worker.value().empty() &&
-                          life->second.worker != session.worker().name);
+    const auto status = statuses.find(instance);
+    const bool is_over = status == statuses.end() || !status->second.is_up ||
+                         (!status->second.worker.value().empty() &&
+                          status->second.worker != session.worker().name);
     if (is_over) {
       dead.push_back(id);
     }
   }
   for (const WorkerId& id : dead) {
-    this->EndWorker(id, LifeEnd::kListedAsDown, asked_at);
-    this->ended.Note(id);
+    this->EndIncarnation(id, IncarnationEnd::kListedAsDown, asked_at);
+    this->ended_incarnations.Add(id);
   }
 }
 
-void Scheduler::ForgetGoneWorkers(SteadyTime now, SchedulerOutput& output) {
+void Scheduler::RemoveSilentWorkers(SteadyTime now, SchedulerOutput& output) {
   for (jobs::Command& command :
-       this->ended.TakeDue(now, this->settings.forget_retry)) {
+       this->ended_incarnations.TakeDue(now, this->settings.removal_retry)) {
     output.commands.emplace_back(std::move(command));
   }
-  if (now - this->looked_for_gone < this->settings.judge_interval) {
+  if (now - this->last_silent_scan < this->settings.straggler_interval) {
     return;
   }
-  this->looked_for_gone = now;
+  this->last_silent_scan = now;
   std::map<WorkerId, std::uint64_t> gone;
   for (const auto& [id, session] : this->workers) {
     const bool is_gone =
-        session.IsLapsed(now) && !session.is_adopted() &&
-        now - session.last_answer > this->settings.forget_after;
+        session.IsExpired(now) && !session.is_adopted() &&
+        now - session.last_answer > this->settings.removal_delay;
     if (is_gone) {
       gone.emplace(id, session.worker().sequence);
     }
   }
-  // NOTE: From here on the worker gets no orders, also if it answers again
-  // before the command is committed: later leaders would not know of its runs.
+  // NOTE: From here on the worker gets no orders, even if it answers again
+  // before the command is committed: later leaders would not know of runs
+  // started there.
   for (const auto& [id, sequence] : gone) {
-    this->EndWorker(id, LifeEnd::kSilent, now);
-    this->forgotten[id] = {.ask_at = now, .sequence = sequence};
-  }
-  for (auto& [id, forgetting] : this->forgotten) {
-    if (now >= forgetting.ask_at) {
-      // The command may be on its way twice; its sequence keeps the second from
-      // ending what the worker began since.
-      forgetting.ask_at = now + this->settings.forget_after;
+    this->EndIncarnation(id, IncarnationEnd::kSilent, now);
+    this->pending_removals[id] = {.submit_at = now, .sequence = sequence};
+  }
+  for (auto& [id, removal] : this->pending_removals) {
+    if (now >= removal.submit_at) {
+      // The command may be submitted twice; the sequence number keeps the
+      // second one from ending runs that the worker has begun since.
+      removal.submit_at = now + this->settings.removal_delay;
       output.commands.emplace_back(
-          jobs::ForgetWorker{id, false, forgetting.sequence});
+          jobs::ForgetWorker{id, false, removal.sequence});
     }
   }
 }
@@ -923,7 +955,8 @@
   this->needs_plan = true;
 }
 
-bool Scheduler::IsAtWork(const jobs::TaskId& task, SteadyTime now) const {
+bool Scheduler::IsConfirmedRunning(const jobs::TaskId& task,
+                                   SteadyTime now) const {
   constexpr std::uint32_t kWholePercent = 100;
   const TaskMemory* memory = this->tasks.Find(task);
   if (memory == nullptr || !memory->placed) {
@@ -934,10 +967,10 @@
   if (session == this->workers.end() || !session->second.is_answering()) {
     return false;
   }
-  // An answer that is still to come may tell of an end: 0.9 s before an
-  // evacuation leases had ended that its leader took for work by reports 2.3 s
-  // old.
-  if (now - session->second.reported_at() > this->settings.fresh_report) {
+  // The next report may contain an end. In one evacuation the leader counted
+  // tasks as running by reports that were 2.3 s old, although their leases had
+  // ended 0.9 s before.
+  if (now - session->second.reported_at() > this->settings.max_report_age) {
     return false;
   }
   const auto run = session->second.runs().find({task, number});
@@ -947,7 +980,7 @@
          run->second.percent >= kWholePercent;
 }
 
-bool Scheduler::MayTakeAway(const jobs::TaskId& task, SteadyTime now) const {
+bool Scheduler::MayDisrupt(const jobs::TaskId& task, SteadyTime now) const {
   const jobs::StepSpec* step = this->state.FindStep(task);
   if (step == nullptr || !step->has_disruption_budget) {
     return true;
@@ -956,7 +989,7 @@
   for (std::uint32_t index = 0; index < step->count; ++index) {
     const jobs::TaskId other{task.step, index};
     away += static_cast<std::uint32_t>(index != task.index &&
-                                       !this->IsAtWork(other, now));
+                                       !this->IsConfirmedRunning(other, now));
   }
   return away < step->disruption_budget;
 }
@@ -977,7 +1010,7 @@
   return job != nullptr && this->ChooseWorker(*job, task) != nullptr;
 }
 
-// Long-running tasks leave instances that are to be taken away; others end by
+// Moves long-running tasks off cordoned instances; other tasks end by
 // themselves.
 void Scheduler::EvacuateCordoned(SteadyTime now) {
   if (this->cordoned.empty()) {
@@ -994,52 +1027,53 @@
       if (!should_leave) {
         continue;
       }
-      if (!this->MayTakeAway(run.task, now)) {
-        this->AskWhoIsAtWork(run.task.step, now);
+      if (!this->MayDisrupt(run.task, now)) {
+        this->RequestStepReports(run.task.step, now);
       } else if (this->HasPlaceElsewhere(run.task)) {
         session.BeginStop(run, now);
-        this->notes.Add("run-evacuated", run.task, run.number, id,
-                        "its instance is to be taken away");
+        this->collected_events.Add("run-evacuated", run.task, run.number, id,
+                                   "its instance is to be taken away");
       }
     }
   }
 }
 
-// Runs that stand still or crawl are stopped, so that their tasks start again
-// on a worker of which nothing bad is known.
+// Stops runs that are stalled or slow, so that their tasks start again on a
+// worker with no known problem.
 void Scheduler::GiveUpStragglers(SteadyTime now) {
-  if (!this->settings.leaves_bad_workers ||
-      now - this->judged_at <
-          this->ScaledToRuns(this->settings.judge_interval)) {
+  if (!this->settings.avoids_bad_workers ||
+      now - this->last_straggler_scan <
+          this->ScaledToRuns(this->settings.straggler_interval)) {
     return;
   }
-  this->judged_at = now;
+  this->last_straggler_scan = now;
   for (const Straggler& straggler : this->stragglers.Find(this->workers, now)) {
-    // NOTE: A long-running task that was not at work by the last report may be
-    // by the time the stop arrives, so its budget counts all the same.
-    if (this->MayTakeAway(straggler.run->task, now)) {
-      this->GiveUp(straggler, now);
+    // NOTE: A long-running task that was not in operation according to the last
+    // report may be so by the time the stop arrives, so the disruption budget
+    // applies anyway.
+    if (this->MayDisrupt(straggler.run->task, now)) {
+      this->GiveUpRun(straggler, now);
     } else {
-      this->AskWhoIsAtWork(straggler.run->task.step, now);
+      this->RequestStepReports(straggler.run->task.step, now);
     }
   }
 }
 
-void Scheduler::GiveUp(const Straggler& straggler, SteadyTime now) {
+void Scheduler::GiveUpRun(const Straggler& straggler, SteadyTime now) {
   const WorkerId& worker = straggler.session->worker().id;
   Run& run = *straggler.run;
-  TaskMemory& memory = this->tasks.Get(run.task);
+  TaskMemory& memory = this->tasks.GetOrCreate(run.task);
   ++memory.moves;
   memory.failed_on.insert(worker);
   straggler.session->BeginStop(run, now);
-  this->notes.Add(
+  this->collected_events.Add(
       "run-given-up", run.task, run.number, worker,
       straggler.pace == RunPace::kStalled ? "it stands still" : "it is slow");
 }
 
 Milliseconds Scheduler::ScaledToRuns(Milliseconds interval) const {
   const std::size_t parts =
-      this->run_count / this->settings.runs_of_interval + 1;
+      this->run_count / this->settings.runs_per_interval + 1;
   return interval * static_cast<std::int64_t>(parts);
 }
 
@@ -1049,14 +1083,16 @@
          !job->ProgressOf(run.task).is_done;
 }
 
-// Marks runs whose job or task has finished as ones that have to go.
+// Marks runs whose job or task has finished as stopping.
 void Scheduler::FindUnwanted(SteadyTime now) {
-  const bool has_news = this->seen_finish_count != this->state.finish_count();
-  if (!has_news || now - this->looked_for_unwanted <
-                       this->ScaledToRuns(this->settings.unwanted_interval)) {
+  const bool has_newly_finished =
+      this->seen_finish_count != this->state.finish_count();
+  if (!has_newly_finished ||
+      now - this->last_unwanted_scan <
+          this->ScaledToRuns(this->settings.unwanted_scan_interval)) {
     return;
   }
-  this->looked_for_unwanted = now;
+  this->last_unwanted_scan = now;
   this->seen_finish_count = this->state.finish_count();
   for (auto& [id, session] : this->workers) {
     for (auto& [key, run] : session.runs()) {
@@ -1067,9 +1103,10 @@
   }
 }
 
-// NOTE: A stopped run is gone only once a later report shows so. The stop is
-// answered as well when the run had ended as done before, and then the task
-// must not run again.
+// Sends stops to runs that are no longer wanted.
+// NOTE: A stopped run counts as gone only once a later report shows this. A
+// worker also acknowledges the stop of a run that had already ended as done,
+// and then the task must not run again.
 void Scheduler::StopUnwanted(SteadyTime now, SchedulerOutput& output) {
   this->FindUnwanted(now);
   for (auto& [id, session] : this->workers) {
@@ -1079,7 +1116,8 @@
   }
 }
 
-// Stops the runs of one worker that have to go or were not confirmed in time.
+// Stops the runs of one worker that are marked as stopping or were not
+// confirmed in time.
 void Scheduler::StopUnsettled(WorkerSession& session,
                               SteadyTime now,
                               SchedulerOutput& output) {
@@ -1091,10 +1129,10 @@
     const bool is_unconfirmed = run.phase == RunPhase::kOrdered &&
                                 now - run.ordered_at > kUnconfirmedTime;
     if (is_unconfirmed) {
-      if (!run.is_budgeted || this->MayTakeAway(run.task, now)) {
+      if (!run.is_budgeted || this->MayDisrupt(run.task, now)) {
         session.BeginStop(run, now);
       } else {
-        this->AskWhoIsAtWork(run.task.step, now);
+        this->RequestStepReports(run.task.step, now);
       }
     }
     if (run.phase == RunPhase::kStopping && now >= run.stop_due) {
@@ -1136,13 +1174,15 @@
   this->waiting.RemovePlaced(unplaced, wall_now);
 }
 
-// True if this turn has a start left for a job that is as late.
+// Returns true if this planning pass may still order a start for a job of this
+// lateness.
 bool Scheduler::MayStart(Lateness lateness) const {
   return this->starts_left.all > 0 &&
          (lateness == Lateness::kInTime || this->starts_left.late > 0);
 }
 
-// Finds out, now and then, why the most urgent of the steps that wait do so.
+// Determines, at intervals, why the most urgent of the waiting steps have no
+// place.
 void Scheduler::ReviewWaiting(const std::vector<DueOccurrence>& due,
                               const JobNumbers& unplaced,
                               SteadyTime now) {
@@ -1188,16 +1228,17 @@
   const std::string& label = job.spec.steps[step.step].required_label;
   if (news != ReviewFinding::kNone) {
     const bool is_alarm = news == ReviewFinding::kWaitsDespiteRoom;
-    this->notes.AddText(is_alarm ? "feasible-not-placed" : "step-waits",
-                        std::string(NameOf(cause.reason)), is_alarm,
-                        StrCat(step.ToText(), ": ", tasks, " tasks",
-                               label.empty() ? "" : " that require ", label,
-                               "; ", cause.ToText()));
+    this->collected_events.AddText(
+        is_alarm ? "feasible-not-placed" : "step-waits",
+        std::string(NameOf(cause.reason)), is_alarm,
+        StrCat(step.ToText(), ": ", tasks, " tasks",
+               label.empty() ? "" : " that require ", label, "; ",
+               cause.ToText()));
   }
 }
 
-// Starts what can be started of one occurrence of a job. False if something is
-// left that only lacks a place.
+// Starts as many tasks as possible of one occurrence of a job. Returns false if
+// some task lacks only a place.
 bool Scheduler::StartSteps(const DueOccurrence& due,
                            SteadyTime now,
                            SchedulerOutput& output) {
@@ -1217,7 +1258,7 @@
   return is_all_placed;
 }
 
-// True if the task is not done and no run of it may exist.
+// Returns true if the task is not done and no run of it may exist.
 bool Scheduler::NeedsStart(const jobs::Job& job,
                            const jobs::TaskId& task,
                            const TaskMemory* memory) {
@@ -1225,21 +1266,22 @@
   return !is_unsettled && !job.ProgressOf(task).is_done;
 }
 
-// A task of an older job may still run on a worker that has not answered this
-// leader yet, of its queue's service or of one that the queue had before.
+// Returns true if a task of the job may be running on a worker that has not
+// answered this leader yet. This concerns jobs accepted under earlier leaders,
+// and workers of the job's service or of a service that its queue had before.
 bool Scheduler::MayRunUnseen(const jobs::Job& job) const {
   if (job.sequence >= this->first_own_sequence) {
     return false;
   }
-  return this->uncertain.contains(job.service) ||
+  return this->services_with_unseen_runs.contains(job.service) ||
          std::any_of(job.former_services.begin(), job.former_services.end(),
                      [this](const ServiceName& service) {
-                       return this->uncertain.contains(service);
+                       return this->services_with_unseen_runs.contains(service);
                      });
 }
 
-// Starts the tasks of a step that have no run. False if one of them found no
-// place.
+// Starts the tasks of a step that have no run. Returns false if one of them
+// found no place.
 bool Scheduler::StartStep(const Candidate& candidate,
                           SteadyTime now,
                           SchedulerOutput& output) {
@@ -1257,82 +1299,85 @@
     if (!may_have_place || !this->MayStart(candidate.lateness)) {
       return false;
     }
-    const TrialTurn trial = this->JudgeTrial(job, task, now);
-    if (trial == TrialTurn::kLater) {
+    const TrialDecision trial = this->DecideTrial(job, task, now);
+    if (trial == TrialDecision::kLater) {
       is_all_placed = false;
       continue;
     }
     WorkerSession* session =
-        this->ChooseWorker(job, task, trial != TrialTurn::kNone);
+        this->ChooseWorker(job, task, trial != TrialDecision::kNone);
     if (session == nullptr) {
-      // Tasks of one step are alike: if one finds no room, none does.
+      // Tasks of one step have the same needs: if there is no room for one,
+      // there is none for the others.
       this->AskForAdvice(candidate, task, now);
       return false;
     }
-    if (this->WaitsForNear(job, task, session->worker(), now)) {
+    if (this->ShouldWaitForDataLocality(job, task, session->worker(), now)) {
       return false;
     }
     const RunNumber run = this->NextRun(job, task);
-    this->StartOn(*session, candidate, task, run, now, output);
-    if (trial == TrialTurn::kNow) {
+    this->StartRunOn(*session, candidate, task, run, now, output);
+    if (trial == TrialDecision::kNow) {
       session->BeginTrial(*session->FindRun(task, run));
       this->placement.RecordTrial(job.service);
-      this->notes.Add("run-on-trial", task, run, session->worker().id,
-                      "its worker crashed before");
+      this->collected_events.Add("run-on-trial", task, run,
+                                 session->worker().id,
+                                 "its worker crashed before");
     }
   }
   return is_all_placed;
 }
 
-// A task that may crash its worker is tried on one of its own, so that a second
-// crash accuses one task and takes little else with it. Members of a gang can
-// only start together, and are not.
-Scheduler::TrialTurn Scheduler::JudgeTrial(const jobs::Job& job,
-                                           const jobs::TaskId& task,
-                                           SteadyTime now) {
+// Decides whether a task's next start is a trial. A task that may crash its
+// worker is tried on a worker of its own, so that a second crash identifies the
+// task and affects few other runs. Members of a gang can only start together
+// and are not tried.
+Scheduler::TrialDecision Scheduler::DecideTrial(const jobs::Job& job,
+                                                const jobs::TaskId& task,
+                                                SteadyTime now) {
   const jobs::TaskCrashes* crashes = job.FindCrashes(task);
   if (crashes == nullptr || !crashes->IsSuspect()) {
-    return TrialTurn::kNone;
+    return TrialDecision::kNone;
   }
-  TaskMemory& memory = this->tasks.Get(task);
+  TaskMemory& memory = this->tasks.GetOrCreate(task);
   const bool is_repeated = crashes->crashes.size() > 1;
   const bool is_paused = memory.crashed_at &&
                          now - *memory.crashed_at < this->settings.crash_pause;
   if (is_repeated && is_paused) {
-    return TrialTurn::kLater;
+    return TrialDecision::kLater;
   }
-  const SteadyTime wanted_at = memory.trial_wanted_at.value_or(now);
-  memory.trial_wanted_at = wanted_at;
+  const SteadyTime wanted_at = memory.trial_waiting_since.value_or(now);
+  memory.trial_waiting_since = wanted_at;
   const bool has_waited =
-      now - wanted_at >= (is_repeated ? this->settings.longest_repeated_wait
-                                      : this->settings.longest_trial_wait);
+      now - wanted_at >= (is_repeated ? this->settings.max_repeated_trial_wait
+                                      : this->settings.max_trial_wait);
   if (this->placement.HasTrialCapacity(job.service) &&
       (is_repeated || !has_waited)) {
-    return TrialTurn::kNow;
+    return TrialDecision::kNow;
   }
-  return has_waited ? TrialTurn::kApart : TrialTurn::kLater;
+  return has_waited ? TrialDecision::kApart : TrialDecision::kLater;
 }
 
-// True if the task should rather wait for room near its data than start on this
-// worker, the best that has room.
-bool Scheduler::WaitsForNear(const jobs::Job& job,
-                             const jobs::TaskId& task,
-                             const jobs::Worker& worker,
-                             SteadyTime now) {
+// Returns true if the task should wait for room near its data instead of
+// starting on this worker, the best one with room.
+bool Scheduler::ShouldWaitForDataLocality(const jobs::Job& job,
+                                          const jobs::TaskId& task,
+                                          const jobs::Worker& worker,
+                                          SteadyTime now) {
   const jobs::StepSpec& step = job.spec.steps[task.step.step];
-  // What lasts has no run time to lose.
+  // A long-running task has no run time that a far place could extend.
   if (step.is_long_running || Placement::IsNear(step, worker)) {
     return false;
   }
-  // A far run holds its room for a multiple of the time, so that under load
-  // every one of them makes others wait, too.
+  // A run far from its data holds its room several times as long, so under load
+  // each of them delays other tasks, too.
   return this->placement.CanRunNearData({.job = &job, .task = task}) &&
          this->near_wait.ShouldWait(
              task.step, this->run_times.Expect(job.queue, step), now);
 }
 
-// A worker for each member of a gang, of one rack where one is named; fewer if
-// not all find room.
+// Returns a worker for each member of a gang, all in `rack` if it is not empty;
+// fewer if there is not enough room.
 std::vector<WorkerSession*> Scheduler::PlaceGang(const Candidate& candidate,
                                                  const Rack& rack) {
   const jobs::StepSpec& step = candidate.job->spec.steps[candidate.step];
@@ -1349,7 +1394,7 @@
     if (session == nullptr) {
       break;
     }
-    // Holds the room while the others are placed.
+    // Reserves the room while the other members are placed.
     session->AddRun(Run{.task = task, .need = Placement::CountedNeed(step)});
     places.push_back(session);
   }
@@ -1359,8 +1404,8 @@
   return places;
 }
 
-// A gang starts whole or not at all, all members with one run number. False if
-// it found no place.
+// Starts a gang as a whole or not at all, with one run number for all members.
+// Returns false if it found no place.
 bool Scheduler::StartGang(const Candidate& candidate,
                           SteadyTime now,
                           SchedulerOutput& output) {
@@ -1370,7 +1415,7 @@
   RunNumber run;
   for (task.index = 0; task.index < step.count; ++task.index) {
     if (!NeedsStart(job, task, this->tasks.Find(task))) {
-      // It runs, or a member of its last run still has to go.
+      // The gang is running, or a member of its last run has not ended yet.
       return true;
     }
     run = std::max(run, this->NextRun(job, task));
@@ -1396,13 +1441,14 @@
     return false;
   }
   for (task.index = 0; task.index < step.count; ++task.index) {
-    this->StartOn(*places[task.index], candidate, task, run, now, output);
+    this->StartRunOn(*places[task.index], candidate, task, run, now, output);
   }
   return true;
 }
 
-// NOTE: A gang starts whole, and may take more than is left.
-void Scheduler::TakeStart(Lateness lateness) {
+// Subtracts one start from what this planning pass may still order.
+// NOTE: A gang starts as a whole and may use more starts than are left.
+void Scheduler::ConsumeStart(Lateness lateness) {
   const auto take = [](std::size_t& left) {
     left -= std::min<std::size_t>(left, 1);
   };
@@ -1412,13 +1458,13 @@
   }
 }
 
-void Scheduler::StartOn(WorkerSession& session,
-                        const Candidate& candidate,
-                        const jobs::TaskId& task,
-                        RunNumber run,
-                        SteadyTime now,
-                        SchedulerOutput& output) {
-  this->TakeStart(candidate.lateness);
+void Scheduler::StartRunOn(WorkerSession& session,
+                           const Candidate& candidate,
+                           const jobs::TaskId& task,
+                           RunNumber run,
+                           SteadyTime now,
+                           SchedulerOutput& output) {
+  this->ConsumeStart(candidate.lateness);
   this->starts_ordered.Count(candidate.lateness);
   const WorkerTime lease_end = session.GrantLease(now);
   const jobs::StepSpec& step = candidate.job->spec.steps[candidate.step];
@@ -1431,7 +1477,7 @@
                      .ordered_at = now,
                      .start_expires = lease_end,
                      .percent_changed_at = now});
-  TaskMemory& memory = this->tasks.Get(task);
+  TaskMemory& memory = this->tasks.GetOrCreate(task);
   memory.placed = {session.worker().id, run};
   ++memory.known_runs;
   memory.last_run = run;
@@ -1450,7 +1496,7 @@
                  .lease_end = lease_end,
                  .checkpoint = this->CheckpointOf(task, step).checkpoint,
                  .ticket = ticket == nullptr ? std::string() : *ticket});
-  this->notes.Add("run-ordered", task, run, session.worker().id, "");
+  this->collected_events.Add("run-ordered", task, run, session.worker().id, "");
 }
 
 RunNumber Scheduler::NextRun(const jobs::Job& job,
--- a/libraries/scheduler/stragglers.h
+++ b/libraries/scheduler/stragglers.h
@@ -36,7 +36,7 @@
   // has no policy.
   using AdviceFor = std::function<const PlacementAdvice*(const jobs::Job&)>;
 
-  // `most_moves` is the maximum number of times that a run of one task is given
+  // `max_moves` is the maximum number of times that a run of one task is given
   // up.
   Stragglers(const jobs::JobsState& state,
              const RunTimes& run_times,
@@ -44,14 +44,14 @@
              const Placement& placement,
              WorkerHealth& health,
              AdviceFor advice_for,
-             std::uint32_t most_moves)
+             std::uint32_t max_moves)
       : state(state),
         run_times(run_times),
         tasks(tasks),
         placement(placement),
         health(health),
         advice_for(std::move(advice_for)),
-        most_moves(most_moves) {}
+        max_moves(max_moves) {}
 
   // Returns the stragglers according to the last reports.
   std::vector<Straggler> Find(Sessions& sessions, SteadyTime now);
@@ -73,7 +73,7 @@
   const Placement& placement;
   WorkerHealth& health;
   AdviceFor advice_for;
-  std::uint32_t most_moves;
+  std::uint32_t max_moves;
 };
 
 }  // namespace sumac::scheduler
--- a/libraries/scheduler/task_table.cc
+++ b/libraries/scheduler/task_table.cc
@@ -6,7 +6,7 @@
 namespace sumac::scheduler {
 namespace {
 
-// Hash buckets that one call of DropFinished looks at.
+// The number of hash buckets that one call of DropFinished examines.
 constexpr std::size_t kBucketsPerCall = 16;
 
 }  // namespace
@@ -30,7 +30,7 @@
   return task.index < step.size() ? &step[task.index] : nullptr;
 }
 
-TaskMemory& TaskTable::Get(const jobs::TaskId& task) {
+TaskMemory& TaskTable::GetOrCreate(const jobs::TaskId& task) {
   std::vector<Step>& steps =
       this->jobs[task.step.job].occurrences[task.step.occurrence];
   if (steps.size() <= task.step.step) {
@@ -43,12 +43,12 @@
   return step[task.index];
 }
 
-bool TaskTable::JobMemory::has_open_task() const {
+bool TaskTable::JobMemory::has_unsettled_task() const {
   for (const auto& [number, steps] : this->occurrences) {
     for (const Step& step : steps) {
       const bool has_any =
           std::any_of(step.begin(), step.end(), [](const TaskMemory& task) {
-            return task.known_runs > 0 || task.open_ends > 0;
+            return task.known_runs > 0 || task.uncommitted_ends > 0;
           });
       if (has_any) {
         return true;
@@ -66,7 +66,7 @@
          ++item) {
       const jobs::Job* job = state.FindJob(item->first);
       if ((job == nullptr || !job->is_active()) &&
-          !item->second.has_open_task()) {
+          !item->second.has_unsettled_task()) {
         finished.push_back(item->first);
       }
     }
--- a/libraries/scheduler/worker_session.cc
+++ b/libraries/scheduler/worker_session.cc
@@ -18,10 +18,11 @@
       description(worker),
       settings(settings),
       session_began(now) {
-  // Whatever an earlier leader granted ends within one lease from now.
+  // Any lease that an earlier leader granted ends within one lease length from
+  // now.
   const Milliseconds stretched =
       settings.length * kPermille / (kPermille - settings.slow_clock_permille);
-  this->bound = now + stretched + settings.margin;
+  this->lease_bound = now + stretched + settings.margin;
 }
 
 Milliseconds WorkerSession::RenewalWait(std::size_t workers) const {
@@ -34,10 +35,10 @@
                                     : this->settings.renewal_wait;
   constexpr std::int64_t kSecond = 1'000;
   const Milliseconds paced(static_cast<std::int64_t>(workers) * kSecond /
-                           this->settings.most_renewals_a_second);
-  // Leases may be shorter than usual on some platforms.
+                           this->settings.max_renewals_per_second);
+  // Some platforms allow only leases that are shorter than usual.
   const Milliseconds longest =
-      std::min(this->settings.longest_renewal_wait, this->settings.length / 3);
+      std::min(this->settings.max_renewal_wait, this->settings.length / 3);
   return std::max(shortest, std::min(paced, longest));
 }
 
@@ -48,27 +49,30 @@
                    .address = this->description.address,
                    .epoch = epoch,
                    .acknowledged_ends = this->acknowledged_ends};
-  // The first one only raises the fence and learns the clock.
-  // NOTE: While the worker does not answer, its lease is left to end: an
-  // unanswered renewal may arrive all the same, and each would move the time
-  // from which its tasks may run elsewhere.
-  // One whose lease ran out while nobody asked is asked first, so that its
-  // silence shows within one call and not after another lease.
+  // The first renewal carries no lease: it only establishes the fencing token
+  // and reads the worker's clock.
+  // NOTE: While the worker does not answer, its lease is left to run out: an
+  // unanswered renewal may still arrive, and each would postpone the time from
+  // which the worker's tasks may run elsewhere.
+  // A worker whose lease ran out while no call was sent to it is first called
+  // without a lease, so that its silence shows within one call and not after
+  // another lease.
   const bool has_run_out =
-      this->IsLeaseOver(now) && this->last_answer < this->bound;
+      this->IsLeaseOver(now) && this->last_answer < this->lease_bound;
   if (this->clock && this->has_answered && this->failures == 0 &&
       !has_run_out) {
     order.lease_end = this->GrantLease(now);
-    const bool waits_here = workers > this->settings.most_waiting;
+    const bool waits_here = workers > this->settings.max_waiting;
     (waits_here ? order.pause : order.wait) = this->RenewalWait(workers);
   }
   return order;
 }
 
-void WorkerSession::NoteRecorded(std::uint64_t after) {
-  this->open_ends.erase(after);
-  this->acknowledged_ends =
-      this->open_ends.empty() ? this->seen_ends : *this->open_ends.begin();
+void WorkerSession::HandleEndsCommitted(std::uint64_t after) {
+  this->uncommitted_ends.erase(after);
+  this->acknowledged_ends = this->uncommitted_ends.empty()
+                                ? this->seen_ends
+                                : *this->uncommitted_ends.begin();
 }
 
 RenewOrder WorkerSession::NextReportRequest(LeaderEpoch epoch) const {
@@ -90,26 +94,27 @@
   const auto [reading, read_at] = *this->clock;
   const WorkerTime lease_end(this->ClockAt(now).value() +
                              this->settings.length.count());
-  // The worker's clock was at `reading` at `read_at` at the latest, and may run
+  // The worker's clock showed `reading` at `read_at` or before, and may run
   // slow from then on.
   const Milliseconds longest((lease_end.value() - reading.value()) * kPermille /
                              (kPermille - this->settings.slow_clock_permille));
-  this->bound =
-      std::max(this->bound, read_at + longest + this->settings.margin);
+  this->lease_bound =
+      std::max(this->lease_bound, read_at + longest + this->settings.margin);
   return lease_end;
 }
 
-void WorkerSession::NoteClock(WorkerTime reading, SteadyTime now) {
-  // An answer that was read late tells less than the one before.
+void WorkerSession::RecordClock(WorkerTime reading, SteadyTime now) {
+  // An answer that was read late gives a looser bound than the reading before
+  // it.
   if (!this->clock || reading >= this->ClockAt(now)) {
     this->clock = {reading, now};
   }
 }
 
-void WorkerSession::NoteReport(WorkerTime report_clock, SteadyTime now) {
+void WorkerSession::RecordReport(WorkerTime report_clock, SteadyTime now) {
   this->last_report = report_clock;
   ++this->reports;
-  // Slow clocks count less than what has passed.
+  // A slow clock advances by less than the time that has passed.
   const auto [reading, read_at] = *this->clock;
   const Milliseconds since(report_clock.value() - reading.value());
   const Milliseconds longest =
@@ -119,20 +124,20 @@
   this->last_report_made_at = std::min(now, read_at + longest);
 }
 
-void WorkerSession::NoteAnswer(SteadyTime now) {
+void WorkerSession::RecordAnswer(SteadyTime now) {
   this->has_answered = true;
   this->failures = 0;
   this->last_answer = now;
 }
 
 bool WorkerSession::IsLeaseOver(SteadyTime now) const {
-  // NOTE: A refused connection proves nothing: a partition may refuse
-  // connections to a worker that runs on.
-  return now >= this->bound;
+  // NOTE: A refused connection proves nothing: a network partition may refuse
+  // connections to a worker that is still running.
+  return now >= this->lease_bound;
 }
 
-bool WorkerSession::IsLapsed(SteadyTime now) const {
-  return this->IsLeaseOver(now) && this->last_failure >= this->bound;
+bool WorkerSession::IsExpired(SteadyTime now) const {
+  return this->IsLeaseOver(now) && this->last_failure >= this->lease_bound;
 }
 
 bool WorkerSession::IsUsable(SteadyTime now) const {
@@ -212,7 +217,7 @@
   return room;
 }
 
-std::uint32_t WorkerSession::CountOf(const jobs::StepId& step) const {
+std::uint32_t WorkerSession::CountTasksOf(const jobs::StepId& step) const {
   const auto found = this->step_counts.find(step);
   return found == this->step_counts.end() ? 0 : found->second;
 }
--- a/tests/libraries/scheduler/capacity_change_test.cc
+++ b/tests/libraries/scheduler/capacity_change_test.cc
@@ -13,7 +13,7 @@
 constexpr jobs::Resources kWhole{.millicores = 8'000, .memory_mb = 8'000};
 constexpr jobs::Resources kQuarter{.millicores = 2'000, .memory_mb = 2'000};
 
-TEST(CapacityChangeTest, NothingStartsWhereTheRoomShrankBelowWhatRuns) {
+TEST(CapacityChangeTest, NothingStartsWhereCapacityIsBelowTheRunningTasks) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(20'000);
   fleet.PassTime(Milliseconds(100));
@@ -26,12 +26,13 @@
   fleet.Submit("second", {.count = 20});
   fleet.PassTime(Milliseconds(2'000));
   EXPECT_EQ(fleet.problem, "");
-  // What runs goes on, and the other worker takes what it holds.
+  // The running tasks continue, and the other worker takes as many as it has
+  // room for.
   EXPECT_EQ(fleet.CountRunning("first"), 8);
   EXPECT_EQ(fleet.CountRunning("second"), 8);
 }
 
-TEST(CapacityChangeTest, WhatIsBeingStoppedStillTakesItsRoom) {
+TEST(CapacityChangeTest, ARunThatIsBeingStoppedStillUsesItsRoom) {
   FakeFleet fleet(1);
   fleet.work = Milliseconds(20'000);
   fleet.worker("w0").stop_time = Milliseconds(900);
@@ -47,7 +48,7 @@
   EXPECT_EQ(fleet.CountRunning("second"), 8);
 }
 
-TEST(CapacityChangeTest, ARoomThatGrowsIsUsed) {
+TEST(CapacityChangeTest, AddedCapacityIsUsed) {
   FakeFleet fleet(1);
   fleet.work = Milliseconds(20'000);
   fleet.ChangeCapacity(WorkerId("w0"), kQuarter);
@@ -61,8 +62,8 @@
   EXPECT_EQ(fleet.problem, "");
 }
 
-// One random thing that happens to the fleet.
-void Happen(FakeFleet& fleet, int& next_job) {
+// Applies one random event to the fleet.
+void ApplyEvent(FakeFleet& fleet, int& next_job) {
   const std::string worker = StrCat("w", *rc::gen::inRange(0, 3));
   switch (*rc::gen::inRange(0, 8)) {
     case 0:
@@ -79,7 +80,7 @@
     case 5:
       fleet.ChangeCapacity(WorkerId(worker),
                            *rc::gen::arbitrary<bool>() ? kQuarter : kWhole);
-      // No further change until this one counts.
+      // No further change before this one takes effect.
       fleet.PassTime(Milliseconds(*rc::gen::inRange(4'600, 6'000)));
       break;
     case 6:
@@ -105,7 +106,7 @@
   fleet.work = Milliseconds(*rc::gen::inRange(500, 8'000));
   int next_job = 0;
   for (int step = 0; step < kSteps && fleet.problem.empty(); ++step) {
-    Happen(fleet, next_job);
+    ApplyEvent(fleet, next_job);
   }
   if (!fleet.problem.empty()) {
     RC_FAIL(fleet.problem);
--- a/tests/libraries/scheduler/crashing_task_test.cc
+++ b/tests/libraries/scheduler/crashing_task_test.cc
@@ -36,12 +36,12 @@
   jobs::JobState StateOf(const std::string& job) const {
     return this->fleet.job(job).state;
   }
-  // The crashes on record under a task.
+  // Returns the number of committed crashes of a job's first task.
   std::size_t CountRecorded(const std::string& job) const {
     const auto* crashes = this->fleet.job(job).FindCrashes(FirstTaskOf(job));
     return crashes == nullptr ? 0 : crashes->crashes.size();
   }
-  // All that runs on each worker dies with it, once.
+  // Crashes every running worker once, with all of its runs.
   void CrashAll() {
     std::vector<WorkerId> ids;
     for (const auto& [id, worker] : this->fleet.all_workers()) {
@@ -57,14 +57,14 @@
   FakeFleet fleet{8};
 };
 
-TEST_F(CrashingTaskTest, ATaskThatCrashesItsWorkersIsStartedWithoutEnd) {
+TEST_F(CrashingTaskTest, ATaskThatCrashesItsWorkersFailsItsJob) {
   this->fleet.Submit("bad", {.count = 2});
   this->fleet.PassTime(Milliseconds(10'000));
   EXPECT_EQ(this->fleet.problem, "");
   EXPECT_EQ(this->StateOf("bad"), jobs::JobState::kFailed);
 }
 
-TEST_F(CrashingTaskTest, ATaskAloneUnderSuspicionIsGivenUpAfterTwoCrashes) {
+TEST_F(CrashingTaskTest, TheOnlySuspectIsGivenUpAfterTwoCrashes) {
   this->fleet.Submit("good", {.count = 20});
   this->fleet.PassTime(Milliseconds(300));
   this->fleet.Submit("bad", {.count = 3});
@@ -76,7 +76,7 @@
             std::string::npos);
 }
 
-TEST_F(CrashingTaskTest, NeighboursMeetTheSameTaskUntilTheyFailToo) {
+TEST_F(CrashingTaskTest, NeighboursOfACrashingTaskDoNotFail) {
   for (const bool lists_instances : {false, true}) {
     FakeFleet small(6);
     small.crashes = CrashesItsWorker;
@@ -94,7 +94,7 @@
   }
 }
 
-TEST_F(CrashingTaskTest, ATaskWhoseStartsGetNoAnswerIsStartedWithoutEnd) {
+TEST_F(CrashingTaskTest, ACrashingTaskWithUnansweredStartsFailsItsJob) {
   this->fleet.loses_answers_of_crashes = true;
   this->fleet.Submit("bad", {.count = 1});
   this->fleet.PassTime(Milliseconds(20'000));
@@ -103,19 +103,19 @@
   EXPECT_EQ(this->StateOf("bad"), jobs::JobState::kFailed);
 }
 
-TEST_F(CrashingTaskTest, CrashesAreCountedOnOverAChangeOfLeader) {
+TEST_F(CrashingTaskTest, CrashesAreCountedAcrossAChangeOfLeader) {
   this->fleet.commit_time = Milliseconds(200);
   this->fleet.Submit("bad", {.count = 1});
   this->fleet.PassTime(Milliseconds(250));
   EXPECT_EQ(this->CountRecorded("bad"), 1);
-  // The start that is under way crashes its worker unseen.
+  // The start in progress crashes its worker unnoticed.
   this->fleet.ChangeLeader();
   this->fleet.PassTime(Milliseconds(20'000));
   EXPECT_EQ(this->fleet.CountCrashes(FirstTaskOf("bad")), 3);
   EXPECT_EQ(this->StateOf("bad"), jobs::JobState::kFailed);
 }
 
-TEST_F(CrashingTaskTest, NothingStartsAgainBeforeItsCrashIsOnRecord) {
+TEST_F(CrashingTaskTest, NothingStartsAgainBeforeItsCrashIsCommitted) {
   this->fleet.commit_time = Milliseconds(3'000);
   this->fleet.Submit("bad", {.count = 1});
   this->fleet.PassTime(Milliseconds(2'500));
@@ -140,14 +140,14 @@
   const std::vector<std::string> second = this->fleet.WorkersOf("second");
   EXPECT_EQ(second.size(), 40);
   EXPECT_EQ(std::count(second.begin(), second.end(), trial.front()), 0);
-  // Once it is seen at work its worker takes other tasks.
+  // Once a report shows it running, its worker takes other tasks.
   this->fleet.Submit("third", {.count = 10});
   this->fleet.PassTime(Milliseconds(1'000));
   const std::vector<std::string> third = this->fleet.WorkersOf("third");
   EXPECT_GT(std::count(third.begin(), third.end(), trial.front()), 0);
 }
 
-TEST_F(CrashingTaskTest, ACrashOfAWholePoolHoldsNobodyUp) {
+TEST_F(CrashingTaskTest, TasksRestartPromptlyAfterACrashOfAWholePool) {
   this->fleet.work = Milliseconds(3'000);
   this->fleet.restart_time = Milliseconds(500);
   this->fleet.Submit("good", {.count = 60});
@@ -160,7 +160,7 @@
 }
 
 TEST_F(CrashingTaskTest, ALongRunningTaskOutlivesItsWorkers) {
-  this->fleet.lasting_work = Milliseconds(1'000'000);
+  this->fleet.long_running_work = Milliseconds(1'000'000);
   this->fleet.Submit("lasting", {.count = 4, .is_long_running = true});
   this->fleet.PassTime(Milliseconds(7'000));
   for (int round = 0; round < 5; ++round) {
@@ -172,7 +172,7 @@
 }
 
 TEST_F(CrashingTaskTest, ALongRunningTaskThatCrashesItsWorkersIsGivenUp) {
-  this->fleet.lasting_work = Milliseconds(1'000'000);
+  this->fleet.long_running_work = Milliseconds(1'000'000);
   this->fleet.Submit("bad", {.count = 4, .is_long_running = true});
   this->fleet.PassTime(Milliseconds(20'000));
   EXPECT_EQ(this->StateOf("bad"), jobs::JobState::kFailed);
@@ -217,7 +217,8 @@
   const InstanceName instance =
       this->fleet.worker(worker.value()).description.instance;
   this->fleet.Commit(jobs::RecordMoves{{instance}, {{instance, worker}}});
-  // The platform lists it as down before the answer to the order is read.
+  // The platform lists the instance as down before the answer to the order is
+  // read.
   this->fleet.worker(worker.value()).Crash();
   this->fleet.PassTime(Milliseconds(1'000));
   EXPECT_EQ(this->fleet.CountRunning("good"), 1);
@@ -248,8 +249,8 @@
   EXPECT_EQ(this->fleet.starts, 2);
 }
 
-// One random thing that happens to the fleet.
-void Happen(FakeFleet& fleet, int& next_job) {
+// Applies one random event to the fleet.
+void ApplyEvent(FakeFleet& fleet, int& next_job) {
   const int number = *rc::gen::inRange(0, 6);
   const WorkerId worker(StrCat("w", number));
   switch (*rc::gen::inRange(0, 9)) {
@@ -294,7 +295,7 @@
   fleet.crashes = CrashesItsWorker;
   int next_job = 0;
   for (int step = 0; step < kSteps && fleet.problem.empty(); ++step) {
-    Happen(fleet, next_job);
+    ApplyEvent(fleet, next_job);
   }
   fleet.late_permille = 0;
   fleet.commit_time = Milliseconds(0);
--- a/tests/libraries/scheduler/fake_fleet.cc
+++ b/tests/libraries/scheduler/fake_fleet.cc
@@ -14,16 +14,18 @@
 constexpr Milliseconds kOrderLimit{600};
 constexpr Milliseconds kRenewalPause{150};
 constexpr Milliseconds kLatestReport{400};
-// Workers announce themselves this often, and a capacity that has shrunk counts
-// so long after the change: the time to be in touch again and one announcement.
-constexpr Milliseconds kBeat{1'500};
-// A leader is in touch so long after it took over from one that was killed.
+// The interval between announcements of a worker. A reduced capacity is
+// enforced kShrinkSlack after the change: the time until the worker is in
+// contact again plus one announcement.
+constexpr Milliseconds kAnnouncementInterval{1'500};
+// The time after which a leader that took over from a killed one is in contact
+// with the workers.
 constexpr Milliseconds kContactTime{3'000};
 constexpr Milliseconds kShrinkSlack{4'500};
 constexpr const char* kService = "previews";
 constexpr const char* kOtherService = "thumbs";
 
-// The document names the service of the queue of clips.
+// Parses a declaration whose document names the service of the queue of clips.
 jobs::JobsDeclaration Declared(std::string_view document) {
   jobs::QueueDeclaration clips{.name = QueueName("clips"),
                                .host = "h",
@@ -88,7 +90,7 @@
   return added;
 }
 
-FakeWorker& FakeFleet::StartAgain(const std::string& id) {
+FakeWorker& FakeFleet::RestartUnderName(const std::string& id) {
   FakeWorker& before = this->worker(id);
   before.Crash();
   jobs::Worker next = before.description;
@@ -100,7 +102,7 @@
   next.id = WorkerId(StrCat(name, "#", next.born.time_since_epoch().count()));
   next.sequence = 1;
   next.is_draining = false;
-  // Its clock starts anew.
+  // The clock of the new process starts at zero.
   const Milliseconds offset = -this->now.time_since_epoch();
   FakeWorker& added =
       this->workers.emplace(next.id, FakeWorker(next, offset, 0)).first->second;
@@ -121,9 +123,9 @@
 
 void FakeFleet::ChangeLeader() {
   if (this->keeps_open_commits) {
-    this->PutOnRecord(this->open_lot);
+    this->ApplyCommittedEnds(this->committing_ends);
   }
-  this->open_lot.clear();
+  this->committing_ends.clear();
   this->waiting_ends.clear();
   ++this->generation;
   this->led_since = this->now;
@@ -146,8 +148,8 @@
   this->Commit(jobs::SubmitJob{JobId(id), QueueName(queue), spec});
 }
 
-void FakeFleet::At(SteadyTime at, std::function<void()> happen) {
-  this->events.push_back(Event{at, std::move(happen)});
+void FakeFleet::At(SteadyTime at, std::function<void()> action) {
+  this->events.push_back(Event{at, std::move(action)});
 }
 
 void FakeFleet::PassTime(Milliseconds time) {
@@ -168,7 +170,7 @@
   }
   this->events = std::move(later);
   for (const Event& event : due) {
-    event.happen();
+    event.action();
   }
   if (this->carrier) {
     this->carrier->step();
@@ -178,26 +180,26 @@
     if (this->renews) {
       this->SendRenewals();
     }
-    this->CheckLives();
+    this->CheckInstances();
     this->Plan();
   }
   this->CheckRunning();
 }
 
-// The platform tells of each instance whether it is up, and which worker it
-// runs.
-void FakeFleet::CheckLives() {
-  if (!this->lists_instances || !this->scheduler->NeedsLifeCheck()) {
+// Reports for each instance whether it is up, and which worker it runs, as the
+// platform does.
+void FakeFleet::CheckInstances() {
+  if (!this->lists_instances || !this->scheduler->NeedsInstanceCheck()) {
     return;
   }
-  std::map<InstanceName, InstanceLife> lives;
+  std::map<InstanceName, InstanceStatus> lives;
   for (const auto& [id, worker] : this->workers) {
-    InstanceLife& life = lives[worker.description.instance];
+    InstanceStatus& life = lives[worker.description.instance];
     if (worker.is_up) {
-      life = InstanceLife{true, worker.description.name};
+      life = InstanceStatus{true, worker.description.name};
     }
   }
-  this->scheduler->TakeInstanceLives(lives, this->now);
+  this->scheduler->HandleInstanceStatus(lives, this->now);
 }
 
 bool FakeFleet::Reaches(const WorkerId& id) const {
@@ -238,7 +240,7 @@
                                                                 sent_in,
                                                                 is_refused] {
       if (sent_in == this->generation) {
-        this->scheduler->TakeRenewalFailure(
+        this->scheduler->HandleRenewalFailure(
             id, is_refused ? OrderResult::kUnreachable : OrderResult::kUnknown,
             this->now);
       }
@@ -251,8 +253,8 @@
   if (draw(this->random) < this->lost_report_permille) {
     this->At(this->now + kOrderLimit, [this, id, sent_in] {
       if (sent_in == this->generation) {
-        this->scheduler->TakeRenewalFailure(id, OrderResult::kUnknown,
-                                            this->now);
+        this->scheduler->HandleRenewalFailure(id, OrderResult::kUnknown,
+                                              this->now);
       }
     });
     finish(kRenewalPause + kOrderLimit);
@@ -268,7 +270,7 @@
   finish(Milliseconds(20) + delay);
 }
 
-// The next renewal leaves after this.
+// Ends a renewal after `pause`, so that the next one can be sent.
 void FakeFleet::EndRenewalLater(const WorkerId& id, Milliseconds pause) {
   this->At(this->now + pause, [this, id, sent_in = this->generation] {
     if (sent_in == this->generation) {
@@ -282,7 +284,7 @@
   const WorkerId& id = order.worker;
   const auto fail = [this, id, sent_in](OrderResult result) {
     if (sent_in == this->generation) {
-      this->scheduler->TakeRenewalFailure(id, result, this->now);
+      this->scheduler->HandleRenewalFailure(id, result, this->now);
       this->EndRenewalLater(id, kRenewalPause);
     }
   };
@@ -349,20 +351,20 @@
 }
 
 void FakeFleet::TakeReport(const WorkerId& id, const RenewReport& report) {
-  EndsToRecord ends = this->scheduler->TakeReport(id, report, this->now);
+  EndsToRecord ends = this->scheduler->HandleReport(id, report, this->now);
   if (ends.up_to > 0) {
     this->RecordEnds(id, std::move(ends));
   }
 }
 
-// Ends that come while a commit is under way share the next one.
+// Ends that arrive while a commit is in progress share the next commit.
 void FakeFleet::RecordEnds(const WorkerId& id, EndsToRecord ends) {
   if (ends.ends.empty()) {
-    this->scheduler->NoteRecorded(id, ends);
+    this->scheduler->HandleEndsCommitted(id, ends);
     return;
   }
   this->waiting_ends.push_back(WaitingEnds{id, std::move(ends)});
-  if (this->open_lot.empty()) {
+  if (this->committing_ends.empty()) {
     this->CommitWaitingEnds();
   }
 }
@@ -370,22 +372,22 @@
 void FakeFleet::CommitWaitingEnds() {
   const std::vector<WaitingEnds> lot = std::exchange(this->waiting_ends, {});
   const auto finish = [this, lot] {
-    this->PutOnRecord(lot);
+    this->ApplyCommittedEnds(lot);
     for (const WaitingEnds& waiting : lot) {
-      this->scheduler->NoteRecorded(waiting.worker, waiting.ends);
+      this->scheduler->HandleEndsCommitted(waiting.worker, waiting.ends);
     }
   };
   if (this->commit_time == Milliseconds(0)) {
     finish();
     return;
   }
-  this->open_lot = lot;
+  this->committing_ends = lot;
   this->At(this->now + this->commit_time,
            [this, finish, sent_in = this->generation] {
              if (sent_in != this->generation) {
                return;
              }
-             this->open_lot.clear();
+             this->committing_ends.clear();
              finish();
              if (!this->waiting_ends.empty()) {
                this->CommitWaitingEnds();
@@ -393,10 +395,10 @@
            });
 }
 
-void FakeFleet::PutOnRecord(const std::vector<WaitingEnds>& lot) {
+void FakeFleet::ApplyCommittedEnds(const std::vector<WaitingEnds>& lot) {
   for (const WaitingEnds& waiting : lot) {
     this->Commit(jobs::RecordEnds{waiting.ends.ends});
-    this->NoteEnds(waiting.ends.ends);
+    this->RecordCommittedEnds(waiting.ends.ends);
   }
 }
 
@@ -495,7 +497,7 @@
   const Generation sent_in = this->generation;
   this->At(this->now + question.expected, [this, question, answer, sent_in] {
     if (sent_in == this->generation) {
-      this->scheduler->TakeAdvice(question, answer, this->now);
+      this->scheduler->HandleAdvice(question, answer, this->now);
     }
   });
 }
@@ -542,8 +544,8 @@
            [this, order, sent_in] { this->Execute(order, false, sent_in); });
   this->At(this->now + kOrderLimit, [this, order, sent_in] {
     if (sent_in == this->generation) {
-      this->scheduler->TakeAnswer(order, {.result = OrderResult::kUnknown},
-                                  this->now);
+      this->scheduler->HandleOrderAnswer(
+          order, {.result = OrderResult::kUnknown}, this->now);
     }
   });
 }
@@ -564,7 +566,7 @@
 
 void FakeFleet::DeliverAnswer(const Order& order, const OrderAnswer& answer) {
   if (this->answer_delay == Milliseconds(0)) {
-    this->scheduler->TakeAnswer(order, answer, this->now);
+    this->scheduler->HandleOrderAnswer(order, answer, this->now);
     return;
   }
   std::uniform_int_distribution<std::int64_t> delay(0,
@@ -572,7 +574,7 @@
   this->At(this->now + Milliseconds(delay(this->random)),
            [this, order, answer, sent_in = this->generation] {
              if (sent_in == this->generation) {
-               this->scheduler->TakeAnswer(order, answer, this->now);
+               this->scheduler->HandleOrderAnswer(order, answer, this->now);
              }
            });
 }
@@ -585,15 +587,15 @@
   if (!answer) {
     this->At(this->now + kOrderLimit, [this, order, sent_in] {
       if (sent_in == this->generation) {
-        this->scheduler->TakeAnswer(order, {.result = OrderResult::kUnknown},
-                                    this->now);
+        this->scheduler->HandleOrderAnswer(
+            order, {.result = OrderResult::kUnknown}, this->now);
       }
     });
     return;
   }
-  if (is_second && !this->believes_second_copies &&
+  if (is_second && !this->trusts_second_copies &&
       answer->result != OrderResult::kDone &&
-      answer->result != OrderResult::kOtherLife) {
+      answer->result != OrderResult::kOtherIncarnation) {
     answer->result = OrderResult::kUnknown;
   }
   if (is_answered && sent_in == this->generation) {
@@ -617,9 +619,9 @@
     const jobs::StepSpec step = job == nullptr
                                     ? jobs::StepSpec()
                                     : job->spec.steps[start->task.step.step];
-    const Milliseconds length = step.is_long_running
-                                    ? this->lasting_work.value_or(this->work)
-                                    : this->work;
+    const Milliseconds length =
+        step.is_long_running ? this->long_running_work.value_or(this->work)
+                             : this->work;
     answer = found->second.Start(*start, length, this->fails(*start), step,
                                  this->now);
     if (found->second.running().size() > before) {
@@ -637,8 +639,8 @@
   return answer;
 }
 
-// A gang's members share their runs and ends.
-void FakeFleet::NoteEnds(const std::vector<jobs::RunEnd>& ends) {
+// Records committed ends. The members of a gang share their runs and ends.
+void FakeFleet::RecordCommittedEnds(const std::vector<jobs::RunEnd>& ends) {
   for (const jobs::RunEnd& end : ends) {
     const jobs::StepSpec& step = *this->state.FindStep(end.task);
     for (std::uint32_t index = 0; index < step.count; ++index) {
@@ -675,10 +677,10 @@
   }
   worker.Crash();
   this->At(this->now + this->restart_time,
-           [this, name = id.value()] { this->StartAgain(name); });
+           [this, name = id.value()] { this->RestartUnderName(name); });
 }
 
-// The task's worker dies if it is the kind that does so.
+// Schedules a crash of the worker if the task is one that crashes its worker.
 void FakeFleet::CrashLater(const StartOrder& order) {
   if (!this->crashes(order)) {
     return;
@@ -700,15 +702,16 @@
   this->shrunk_from[id] = {description.capacity, this->now};
   description.capacity = capacity;
   description.sequence += 1;
-  std::uniform_int_distribution<std::int64_t> until_beat(0, kBeat.count());
+  std::uniform_int_distribution<std::int64_t> until_beat(
+      0, kAnnouncementInterval.count());
   this->At(this->now + Milliseconds(until_beat(this->random)),
            [this, announced = description] {
              this->Commit(jobs::RecordWorker{announced});
            });
 }
 
-// What runs on a worker, also what is being stopped, fits into its capacity;
-// one that has just shrunk counts some time later.
+// Checks that the runs on a worker, including those being stopped, fit into its
+// capacity. A reduced capacity is enforced some time later.
 void FakeFleet::CheckRoom(const WorkerId& id) {
   const FakeWorker& worker = this->workers.at(id);
   jobs::Resources room = worker.description.capacity;
@@ -734,12 +737,12 @@
   this->CheckRoom(order.worker);
   ++this->starts;
   constexpr std::uint32_t kMostCrashes = 3;
-  constexpr std::uint32_t kMostStartsAfter = 2;
-  const bool is_in_touch = this->now - this->led_since >= kContactTime;
-  if (is_in_touch && this->CountCrashes(order.task) >= kMostCrashes &&
-      ++this->starts_after_limit[order.task] > kMostStartsAfter) {
+  constexpr std::uint32_t kMaxStartsAfterLimit = 2;
+  const bool is_in_contact = this->now - this->led_since >= kContactTime;
+  if (is_in_contact && this->CountCrashes(order.task) >= kMostCrashes &&
+      ++this->starts_after_limit[order.task] > kMaxStartsAfterLimit) {
     this->problem = StrCat(order.task.ToText(),
-                           " was started again and again under crashes");
+                           " was started repeatedly after three crashes");
   }
   const jobs::Job* job = this->state.FindJob(order.task.step.job);
   if (job == nullptr) {
--- a/tests/libraries/scheduler/fake_relays.cc
+++ b/tests/libraries/scheduler/fake_relays.cc
@@ -33,8 +33,8 @@
   this->routes.Add(number, DataCentre());
 }
 
-// What is open of the leader's calls is lost to it; what lies in the relay may
-// still leave in time.
+// The leader's open calls are lost to it. Calls held in the relay may still be
+// sent in time.
 void FakeRelays::Close(std::size_t number, SteadyTime now) {
   Relay& relay = this->relays.at(number);
   relay.is_open = false;
@@ -103,7 +103,7 @@
   }
   std::erase_if(relay.calls, [](const Call& call) {
     const bool is_over =
-        call.stage == Stage::kForgotten || call.stage == Stage::kAnswered;
+        call.stage == Stage::kAbandoned || call.stage == Stage::kAnswered;
     return is_over && !call.answer && call.arrives_at == SteadyTime::max();
   });
 }
@@ -141,7 +141,7 @@
 
 void FakeRelays::Answer(std::size_t number, Call& call, SteadyTime now) {
   if (call.stage == Stage::kSent && now >= call.unanswered_at) {
-    call.stage = Stage::kForgotten;
+    call.stage = Stage::kAbandoned;
     if (call.is_open) {
       this->routes.RecordFailure(call.worker, number, now);
     }
@@ -155,7 +155,7 @@
   }
 }
 
-// What has left by then includes calls that leave in the last moment.
+// The calls sent by then include calls that are sent at the last moment.
 void FakeRelays::Lose(std::size_t number, SteadyTime now) {
   Relay& relay = this->relays.at(number);
   this->Close(number, now);
@@ -166,7 +166,7 @@
     if (is_under_way || may_leave) {
       this->Delay(call, now);
     }
-    call.stage = Stage::kForgotten;
+    call.stage = Stage::kAbandoned;
     call.answer = nullptr;
   }
   relay.is_paused = false;
--- a/tests/libraries/scheduler/scheduler_test.cc
+++ b/tests/libraries/scheduler/scheduler_test.cc
@@ -14,7 +14,7 @@
 
 using jobs::JobState;
 
-TEST(SchedulerTest, AJobOfTasksIsRunAndDone) {
+TEST(SchedulerTest, AllTasksOfAJobRunOnce) {
   FakeFleet fleet(2);
   fleet.Submit("job", {.count = 5});
   fleet.PassTime(Milliseconds(300));
@@ -25,7 +25,7 @@
   EXPECT_EQ(fleet.problem, "");
 }
 
-TEST(SchedulerTest, AStepWaitsForThoseBeforeIt) {
+TEST(SchedulerTest, AStepWaitsForItsPredecessors) {
   FakeFleet fleet(2);
   jobs::JobSpec spec{
       .text = "t",
@@ -54,8 +54,8 @@
   EXPECT_EQ(fleet.starts, 4U);
 }
 
-// A start got no answer and was carried out seconds later, after the job had
-// been cancelled and while no stop came through.
+// A start order gets no answer and is carried out seconds later. Its job has
+// been cancelled by then, and the stops sent meanwhile were lost.
 TEST(SchedulerTest, AStartThatIsCarriedOutAfterItsJobWasCancelledIsStopped) {
   constexpr Milliseconds kLate{2'000};
   FakeFleet fleet(1);
@@ -69,7 +69,7 @@
   fleet.worker("w0").is_cut = true;
   fleet.Commit(jobs::CancelJob{JobId("job")});
   while (fleet.starts == 0 && fleet.now < SteadyTime(Milliseconds(9'000))) {
-    // It comes through again just before the start does.
+    // Orders get through again just before the start does.
     fleet.worker("w0").is_cut =
         fleet.now < SteadyTime(Milliseconds(1'100)) + kLate;
     fleet.PassTime(Milliseconds(10));
@@ -82,9 +82,9 @@
   EXPECT_EQ(fleet.problem, "");
 }
 
-// The leader that had ordered it was replaced meanwhile, and the next one does
-// not know of the order: the first report shows it the run, of a job that is
-// cancelled, or of one of which nothing is on record any more.
+// A start order of an earlier leader is carried out late, and the present
+// leader does not know of the order. The first report shows the run, whose job
+// is cancelled or is not in the jobs state any more.
 TEST(SchedulerTest, ALateStartOfAnEarlierLeaderIsStoppedFromTheFirstReportOn) {
   constexpr Milliseconds kLate{2'000};
   for (const bool is_job_dropped : {false, true}) {
@@ -124,8 +124,9 @@
   }
 }
 
-// What arrives after the next leader was heard is not carried out at all.
-TEST(SchedulerTest, ALateStartOfAnEarlierLeaderIsFencedOffOnceTheNextWasHeard) {
+// Orders of an earlier leader are rejected once the worker has received one
+// from the next leader.
+TEST(SchedulerTest, ALateStartOfAnEarlierLeaderIsRejectedByItsFencingToken) {
   FakeFleet fleet(1);
   fleet.work = Milliseconds(60'000);
   fleet.PassTime(Milliseconds(100));
@@ -140,7 +141,7 @@
   EXPECT_EQ(fleet.starts, 0U);
 }
 
-TEST(SchedulerTest, AnotherLeaderTakesOverWhatRuns) {
+TEST(SchedulerTest, ANewLeaderAdoptsRunningTasks) {
   FakeFleet fleet(3);
   fleet.work = Milliseconds(3'000);
   fleet.Submit("job", {.count = 6});
@@ -152,9 +153,9 @@
   EXPECT_EQ(fleet.problem, "");
 }
 
-// What runs on a worker that is cut off while leadership changes is started
-// elsewhere only once its lease is over.
-TEST(SchedulerTest, ATaskOnASilentWorkerWaitsForTheLease) {
+// A task on a worker that is cut off during a change of leader is started
+// elsewhere only after the worker's lease is over.
+TEST(SchedulerTest, ATaskOnASilentWorkerRestartsOnlyAfterTheLease) {
   FakeFleet fleet(1);
   fleet.work = Milliseconds(60'000);
   fleet.Submit("job", {.count = 1});
@@ -183,8 +184,8 @@
   EXPECT_EQ(fleet.problem, "");
 }
 
-// A partition may refuse connections to a worker that runs on.
-TEST(SchedulerTest, ARefusedConnectionDoesNotProveThatNothingRuns) {
+// A network partition may refuse connections to a worker that is still running.
+TEST(SchedulerTest, ARefusedConnectionDoesNotEndRuns) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(60'000);
   fleet.Submit("job", {.count = 2, .most_per_worker = 1});
@@ -201,7 +202,7 @@
   EXPECT_EQ(fleet.starts, 3U);
 }
 
-TEST(SchedulerTest, ADarkInstanceThatIsListedAsDownIsNotWaitedFor) {
+TEST(SchedulerTest, TasksOnAnInstanceListedAsDownRestartAtOnce) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(60'000);
   fleet.Submit("job", {.count = 1});
@@ -214,7 +215,7 @@
   EXPECT_EQ(fleet.state.FindWorker(WorkerId("w0")), nullptr);
 }
 
-TEST(SchedulerTest, ACrashIsWaitedOutWhileThePlatformSaysNothing) {
+TEST(SchedulerTest, ACrashCostsALeaseWithoutAPlatformList) {
   FakeFleet fleet(2);
   fleet.lists_instances = false;
   fleet.work = Milliseconds(60'000);
@@ -227,16 +228,15 @@
   EXPECT_EQ(fleet.starts, 2U);
 }
 
-// Long-running tasks stayed away for up to 16 s on a large fleet in a rush. One
-// of them, stopped at 18.2 s, was ordered again at 34.0 s: by the log its step
-// waits, and at 27 and 31 s, twenty seconds after the leader began, the reason
-// for its neighbours is "may-run-unseen". Instances joined the pool all the
-// time, and with each one that had not answered yet the jobs of the leader
-// before waited, while new ones took the room that came free. A worker that was
-// put on record under this leader had no orders from an earlier one.
-TEST(SchedulerTest, AJobOfTheLeaderBeforeDoesNotWaitForWorkersThatJoin) {
+// Guards against long outages of long-running tasks while a pool grows: each
+// new worker that had not answered yet was counted as possibly running the
+// tasks of jobs of the previous leader. These waited, with the reason
+// "may-run-unseen", for up to 16 s, and tasks of newer jobs took the free room.
+// A worker that was first recorded under this leader has had no orders from an
+// earlier one.
+TEST(SchedulerTest, JobsOfEarlierLeadersDoNotWaitForNewWorkers) {
   FakeFleet fleet(1);
-  fleet.lasting_work = Milliseconds(3'600'000);
+  fleet.long_running_work = Milliseconds(3'600'000);
   fleet.PassTime(Milliseconds(300));
   fleet.Submit("lasting", {.count = 1, .is_long_running = true});
   fleet.PassTime(Milliseconds(300));
@@ -251,9 +251,9 @@
   EXPECT_EQ(fleet.CountRunning("lasting"), 1U);
 }
 
-// A list that was asked for before a worker was heard of says nothing about
-// it.
-TEST(SchedulerTest, AnOlderListDoesNotEndANewLife) {
+// A platform list that was requested before a worker became known is no
+// evidence about that worker.
+TEST(SchedulerTest, AnOlderPlatformListEndsNoNewIncarnation) {
   FakeFleet fleet(1);
   fleet.lists_instances = false;
   fleet.PassTime(Milliseconds(300));
@@ -263,17 +263,17 @@
   fleet.PassTime(Milliseconds(300));
   fleet.worker("w9").is_cut = true;
   fleet.PassTime(Milliseconds(1'000));
-  ASSERT_TRUE(fleet.scheduler->NeedsLifeCheck());
-  fleet.scheduler->TakeInstanceLives(
+  ASSERT_TRUE(fleet.scheduler->NeedsInstanceCheck());
+  fleet.scheduler->HandleInstanceStatus(
       {{InstanceName("m0"), {true, WorkerName("w0")}},
        {InstanceName("m9"), {false, WorkerName()}}},
       asked_at);
   EXPECT_TRUE(fleet.scheduler->sessions().contains(WorkerId("w9")));
 }
 
-TEST(SchedulerTest, ARunThatStandsStillIsGivenUpAndStartedElsewhere) {
+TEST(SchedulerTest, AStalledRunIsGivenUpAndStartedElsewhere) {
   FakeFleet fleet(2);
-  fleet.worker("w0").stands_still = true;
+  fleet.worker("w0").stalls_runs = true;
   fleet.Submit("job", {.count = 1, .estimate = Milliseconds(800)});
   fleet.PassTime(Milliseconds(1'000));
   EXPECT_EQ(fleet.WorkersOf("job"), std::vector<std::string>{"w0"});
@@ -281,7 +281,7 @@
   EXPECT_EQ(fleet.job("job").state, JobState::kDone);
   EXPECT_EQ(fleet.starts, 2U);
   EXPECT_EQ(fleet.problem, "");
-  // The worker gets nothing for a while.
+  // The worker gets no tasks for a while.
   fleet.Submit("next", {.count = 2, .estimate = Milliseconds(800)});
   fleet.PassTime(Milliseconds(300));
   EXPECT_EQ(fleet.WorkersOf("next"), (std::vector<std::string>{"w1", "w1"}));
@@ -302,12 +302,12 @@
   EXPECT_EQ(fleet.problem, "");
 }
 
-// By the time the stop arrives it may be at work.
+// A run that looks stalled may be in operation by the time the stop arrives.
 TEST(SchedulerTest, ALongRunningTaskIsGivenUpOnlyWithinItsBudget) {
   for (const std::uint32_t budget : {0U, 1U}) {
     FakeFleet fleet(2);
     fleet.work = Milliseconds(60'000);
-    fleet.worker("w0").stands_still = true;
+    fleet.worker("w0").stalls_runs = true;
     fleet.Submit("job", {.count = 1,
                          .is_long_running = true,
                          .has_disruption_budget = true,
@@ -317,8 +317,8 @@
   }
 }
 
-// Tasks of one queue differ; one that is three times as long as the others is
-// no sign of a slow worker.
+// Tasks of one queue differ in length. A run that takes three times as long as
+// the others is no sign of a slow worker.
 TEST(SchedulerTest, ALongTaskIsNotGivenUp) {
   FakeFleet fleet(2);
   for (int number = 0; number < 3; ++number) {
@@ -346,12 +346,12 @@
   for (int number = 0; number < 6; ++number) {
     EXPECT_EQ(fleet.job("job" + std::to_string(number)).state, JobState::kDone);
   }
-  // Two jobs and perhaps one more after the first quarantine failed there; each
-  // was started again on the other worker.
+  // The tasks of two jobs, and perhaps of one more after the first quarantine,
+  // failed there; each was started again on the other worker.
   EXPECT_LE(fleet.starts, 9U);
 }
 
-TEST(SchedulerTest, AJobThatFailsEverywhereSpeaksAgainstNoWorker) {
+TEST(SchedulerTest, AJobThatFailsEverywhereQuarantinesNoWorker) {
   FakeFleet fleet(2);
   fleet.fails = [](const StartOrder& order) {
     return order.task.step.job.value().starts_with("bad");
@@ -367,7 +367,7 @@
   EXPECT_EQ(std::count(workers.begin(), workers.end(), "w1"), 2);
 }
 
-TEST(SchedulerTest, ANewLifeOnAnInstanceEndsTheOneBefore) {
+TEST(SchedulerTest, ANewIncarnationOnAnInstanceEndsThePreviousOne) {
   FakeFleet fleet(1);
   fleet.work = Milliseconds(5'000);
   fleet.Submit("job", {.count = 1});
@@ -380,11 +380,12 @@
   EXPECT_EQ(fleet.state.FindWorker(WorkerId("w0")), nullptr);
 }
 
-// Whatever the lives are called, whatever is committed before the old one is
-// forgotten, and whether a leader that hears both takes over at once or once
-// the new one has answered. Its announcement alone proves nothing; its first
-// answer comes within milliseconds.
-TEST(SchedulerTest, TheOldLifeOnAnInstanceNeverReplacesTheNewOne) {
+// Holds for any order of the names, for any commit before the record of the old
+// incarnation is removed, and whether a leader that knows both takes over
+// immediately or after the new incarnation has answered. The announcement of
+// the new incarnation alone proves nothing; its first answer arrives within
+// milliseconds.
+TEST(SchedulerTest, AnOldIncarnationNeverReplacesTheNewOne) {
   for (const char* next : {"a-life", "z-life"}) {
     for (const Milliseconds heard : {Milliseconds(0), Milliseconds(40)}) {
       FakeFleet fleet(1);
@@ -405,11 +406,11 @@
   }
 }
 
-// A first announcement was held up by a cut. When it came, its sender had
-// crashed and the next life on the instance was at work. It was heard of last
-// and so was taken for the present life: what ran there was started a second
-// time elsewhere.
-TEST(SchedulerTest, AnAnnouncementThatOutlivesItsSenderEndsNoOtherLife) {
+// A first announcement arrives late, when its sender has crashed and the next
+// incarnation on the instance is running. It must not be treated as the present
+// incarnation just because it arrived last: then the tasks running there were
+// started a second time elsewhere.
+TEST(SchedulerTest, ALateAnnouncementOfAnEndedWorkerEndsNoOtherIncarnation) {
   for (const char* late : {"a-late", "z-late"}) {
     for (const bool is_silent : {false, true}) {
       FakeFleet fleet(2);
@@ -433,15 +434,16 @@
   }
 }
 
-// A worker was silent for so long that it was forgotten, and its instance went
-// to the next life. Its last announcement came after that; it was recorded
-// anew, with the highest number of all, and took the next life's place.
-TEST(SchedulerTest, AForgottenLifeThatIsHeardOfAgainEndsNoOtherLife) {
+// The record of a silent worker was removed, and its instance was given to the
+// next incarnation. Then the old worker's last announcement arrives, is
+// recorded with the highest sequence number of all, and must not replace the
+// next incarnation.
+TEST(SchedulerTest, ALateAnnouncementOfARemovedWorkerEndsNoOtherIncarnation) {
   FakeFleet fleet(2);
   fleet.lists_instances = false;
   jobs::Worker forgotten = fleet.worker("w0").description;
   fleet.worker("w0").is_cut = true;
-  fleet.PassTime(fleet.settings.lease.length + fleet.settings.forget_after +
+  fleet.PassTime(fleet.settings.lease.length + fleet.settings.removal_delay +
                  Milliseconds(2'000));
   ASSERT_EQ(fleet.state.FindWorker(WorkerId("w0")), nullptr);
   fleet.worker("w0").Crash();
@@ -460,10 +462,10 @@
   EXPECT_EQ(fleet.problem, "");
 }
 
-// An address went to a worker of another service, and an announcement of the
-// life before came after that: orders for that life are answered there by
-// another one.
-TEST(SchedulerTest, AnAddressThatWentToAnotherWorkerEndsOnlyTheLifeBefore) {
+// An address was given to a worker of another service, and an announcement of
+// the previous incarnation arrives later. Orders to the previous incarnation
+// are answered there by the other worker.
+TEST(SchedulerTest, AReusedAddressEndsOnlyThePreviousIncarnation) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(20'000);
   fleet.Submit("job", {.count = 1});
@@ -476,8 +478,8 @@
                             .capacity = {.millicores = 8'000},
                             .sequence = 3};
   fleet.Commit(jobs::RecordWorker{before});
-  fleet.scheduler->TakeRenewalFailure(before.id, OrderResult::kOtherLife,
-                                      fleet.now);
+  fleet.scheduler->HandleRenewalFailure(
+      before.id, OrderResult::kOtherIncarnation, fleet.now);
   fleet.PassTime(Milliseconds(500));
   EXPECT_EQ(fleet.state.FindWorker(before.id), nullptr);
   fleet.Commit(jobs::RecordWorker{before});
@@ -552,13 +554,14 @@
   EXPECT_EQ(fleet.CountRunning("gang"), 16U);
   const std::vector<std::string> workers = fleet.WorkersOf("gang");
   EXPECT_EQ(std::count(workers.begin(), workers.end(), "w0"), 0);
-  // More than the rack holds: it is spread.
+  // The gang needs more than the rack has, so it is spread over racks.
   fleet.Submit("wide", {.count = 16, .is_gang = true, .wants_same_rack = true});
   fleet.PassTime(Milliseconds(400));
   EXPECT_EQ(fleet.CountRunning("wide"), 16U);
 }
 
-// Members that wait for one that was refused would hold their room in vain.
+// Members that wait for a member whose start was refused would hold their room
+// in vain.
 TEST(SchedulerTest, AGangWithoutOneMemberIsStoppedAndStartsAnew) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(2'000);
@@ -583,8 +586,9 @@
   EXPECT_EQ(fleet.problem, "");
 }
 
-// Any member's checkpoint is good for the gang, and all must bring the same.
-TEST(SchedulerTest, AGangGoesOnFromOneCheckpoint) {
+// The checkpoint of any member is valid for the gang, and all members must
+// start from the same one.
+TEST(SchedulerTest, AGangContinuesFromOneCheckpoint) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(60'000);
   std::vector<std::string> brought;
@@ -605,7 +609,7 @@
   EXPECT_EQ(brought[2], brought[3]);
 }
 
-TEST(SchedulerTest, ACordonedInstanceIsLeftWithinTheBudget) {
+TEST(SchedulerTest, ACordonedInstanceIsEvacuatedWithinTheBudget) {
   FakeFleet fleet(4);
   fleet.work = Milliseconds(60'000);
   fleet.Submit("job", {.count = 2,
@@ -616,7 +620,7 @@
   fleet.PassTime(Milliseconds(400));
   const std::vector<std::string> before = fleet.WorkersOf("job");
   ASSERT_EQ(before.size(), 2U);
-  // Both would have to go at once; the budget lets one.
+  // Both tasks have to leave at the same time; the budget allows one.
   std::set<InstanceName> instances;
   for (const std::string& worker : before) {
     instances.insert(fleet.worker(worker).description.instance);
@@ -628,13 +632,13 @@
   EXPECT_EQ(fleet.CountRunning("job"), 2U);
 }
 
-// A stop takes its time, and until it is over the run is listed as running. A
-// leader that takes over meanwhile can't tell it from one that goes on, and
-// must not take another task of the step away beside it.
-TEST(SchedulerTest, TheBudgetCountsStopsOfTheLeaderBefore) {
+// Until a stop takes effect, its run is reported as running. A leader that
+// takes over meanwhile can't tell such a run from one that continues, and must
+// not stop another task of the step at the same time.
+TEST(SchedulerTest, TheBudgetCountsStopsOfThePreviousLeader) {
   FakeFleet fleet(4);
   fleet.work = Milliseconds(60'000);
-  fleet.settings.longest_stop = Milliseconds(900);
+  fleet.settings.max_stop_time = Milliseconds(900);
   fleet.Submit("job", {.count = 2,
                        .most_per_worker = 1,
                        .is_long_running = true,
@@ -666,7 +670,7 @@
     fleet.PassTime(Milliseconds(10));
     ASSERT_TRUE(runs_on(before[1]) || !is_first_leaving()) << step;
   }
-  // Once the first task is at work again, the second leaves its instance.
+  // Once the first task is in operation again, the second leaves its instance.
   EXPECT_EQ(fleet.CountRunning("job"), 2U);
   EXPECT_FALSE(runs_on(before[1]));
   EXPECT_EQ(fleet.problem, "");
@@ -692,7 +696,7 @@
                        .has_disruption_budget = true,
                        .disruption_budget = 0});
   fleet.PassTime(Milliseconds(400));
-  EXPECT_FALSE(fleet.scheduler->MayTakeAway(
+  EXPECT_FALSE(fleet.scheduler->MayDisrupt(
       jobs::TaskId{{JobId("job"), 0, 0}, 0}, fleet.now));
 }
 
@@ -705,8 +709,8 @@
   EXPECT_EQ(fleet.scheduler->CountPending(QueueName("clips")), 1U);
 }
 
-// The stop of a run that has ended is answered like any other; only a report
-// tells that the run was done.
+// The stop of a run that has ended is acknowledged like any other; only a
+// report shows that the run ended as done.
 TEST(SchedulerTest, AStoppedRunIsNotStartedAgainBeforeAReportShowsItsEnd) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(400);
@@ -734,16 +738,17 @@
   fleet.PassTime(Milliseconds(600));
   EXPECT_EQ(fleet.WorkersOf("job"),
             (std::vector<std::string>{"w1", "w1", "w1"}));
-  // What the policy said does not change: nobody is asked about twice.
+  // The policy's answers do not change, so no worker is asked about twice.
   EXPECT_EQ(fleet.questions, 1U);
   EXPECT_EQ(fleet.problem, "");
 }
 
-TEST(SchedulerTest, ATicketThatEndedIsAskedForAgain) {
+TEST(SchedulerTest, AnExpiredTicketIsRequestedAgain) {
   FakeFleet fleet(1);
   fleet.work = Milliseconds(3'000);
   fleet.admitted = {{WorkerId("w0"), "ticket"}};
-  // More than fits at once: the second half starts after the ticket's end.
+  // There is not enough room for all tasks at once: the second half starts
+  // after the ticket has expired.
   fleet.Submit("job", {.count = 16}, "advised");
   fleet.PassTime(Milliseconds(600));
   EXPECT_EQ(fleet.CountRunning("job"), 8U);
@@ -753,7 +758,7 @@
   EXPECT_GE(fleet.questions, 2U);
 }
 
-TEST(SchedulerTest, ATicketHoldsAsDeclaredWhereTheAnswerDoesNotSay) {
+TEST(SchedulerTest, ATicketHasTheDeclaredValidityByDefault) {
   FakeFleet fleet(1);
   fleet.work = Milliseconds(5'000);
   fleet.admitted = {{WorkerId("w0"), "ticket"}};
@@ -764,7 +769,7 @@
   EXPECT_EQ(fleet.questions, 1U);
 }
 
-TEST(SchedulerTest, ARefusedTicketIsDroppedAndAskedForAgain) {
+TEST(SchedulerTest, ARefusedTicketIsDroppedAndRequestedAgain) {
   FakeFleet fleet(1);
   fleet.work = Milliseconds(5'000);
   fleet.admitted = {{WorkerId("w0"), "stale"}};
@@ -777,7 +782,7 @@
   EXPECT_EQ(fleet.CountRunning("job"), 1U);
 }
 
-TEST(SchedulerTest, ASilentPolicyIsAskedAgainAndOthersGoOn) {
+TEST(SchedulerTest, ASilentPolicyIsAskedAgainAndOtherQueuesContinue) {
   FakeFleet fleet(1);
   fleet.admitted = {{WorkerId("w0"), "ticket"}};
   fleet.is_policy_silent = true;
@@ -791,9 +796,10 @@
   EXPECT_EQ(fleet.job("job").state, JobState::kDone);
 }
 
-// Starts a filler beside a run that serves with a tail of 60 ms, of 100 that it
-// may have; the filler adds `tail_per_filler` at full speed.
-void FillBesideWhatServes(FakeFleet& fleet, std::int64_t tail_per_filler) {
+// Starts a filler next to a run that serves users with a tail latency of 60 ms
+// and a target of 100 ms. At full speed the filler adds `tail_per_filler`.
+void StartFillerNextToServingRun(FakeFleet& fleet,
+                                 std::int64_t tail_per_filler) {
   fleet.work = Milliseconds(600'000);
   fleet.worker("w0").tail = 60;
   fleet.worker("w0").tail_per_filler = tail_per_filler;
@@ -804,28 +810,28 @@
   fleet.Submit("fills", {.count = 1, .image = "batch", .is_filler = true});
 }
 
-TEST(SchedulerTest, AFillerIsPacedUntilWhatServesKeepsItsTarget) {
+TEST(SchedulerTest, AFillerIsPacedUntilTheServingRunMeetsItsTarget) {
   FakeFleet fleet(1);
-  FillBesideWhatServes(fleet, 100);
+  StartFillerNextToServingRun(fleet, 100);
   fleet.PassTime(Milliseconds(400));
   ASSERT_EQ(fleet.worker("w0").running().size(), 2U);
   const jobs::TaskId filler{{JobId("fills"), 0, 0}, 0};
-  // Over its target for less than 4 s.
+  // The serving run exceeds its target for less than 4 s.
   fleet.PassTime(Milliseconds(3'000));
   EXPECT_LE(fleet.worker("w0").running().at(filler).pace, 40U);
   for (int second = 0; second < 60; ++second) {
     fleet.PassTime(Milliseconds(1'000));
     EXPECT_LE(fleet.worker("w0").running().at(filler).pace, 40U);
   }
-  // Alone it may use all again.
+  // Alone on the worker, the filler may use everything again.
   fleet.Commit(jobs::CancelJob{JobId("serves")});
   fleet.PassTime(Milliseconds(1'000));
   EXPECT_EQ(fleet.worker("w0").running().at(filler).pace, 100U);
 }
 
-TEST(SchedulerTest, AnAdoptedFillerIsToldItsPaceAnew) {
+TEST(SchedulerTest, AnAdoptedFillerGetsItsPaceAgain) {
   FakeFleet fleet(1);
-  FillBesideWhatServes(fleet, 300);
+  StartFillerNextToServingRun(fleet, 300);
   fleet.PassTime(Milliseconds(3'000));
   const jobs::TaskId filler{{JobId("fills"), 0, 0}, 0};
   ASSERT_EQ(fleet.worker("w0").running().at(filler).pace, 0U);
@@ -835,9 +841,9 @@
   EXPECT_EQ(fleet.worker("w0").running().at(filler).pace, 100U);
 }
 
-// Two reports may be on their way to the record at once; a worker may forget an
-// end only when all before it are on record.
-TEST(SchedulerTest, EndsAreAcknowledgedInTheirOrder) {
+// The ends of two reports may be being committed at the same time. A worker may
+// drop an end only when it and all earlier ends are committed.
+TEST(SchedulerTest, EndsAreAcknowledgedInOrder) {
   FakeFleet fleet(1);
   fleet.PassTime(Milliseconds(100));
   const WorkerId worker("w0");
@@ -851,36 +857,37 @@
   };
   constexpr std::int64_t kLater = 100'000'000;
   const EndsToRecord first =
-      fleet.scheduler->TakeReport(worker, report(kLater, 1), fleet.now);
+      fleet.scheduler->HandleReport(worker, report(kLater, 1), fleet.now);
   const EndsToRecord second =
-      fleet.scheduler->TakeReport(worker, report(kLater + 1, 3), fleet.now);
+      fleet.scheduler->HandleReport(worker, report(kLater + 1, 3), fleet.now);
   EXPECT_EQ(second.after, 1U);
-  fleet.scheduler->NoteRecorded(worker, second);
+  fleet.scheduler->HandleEndsCommitted(worker, second);
   EXPECT_EQ(fleet.scheduler->NextRenewal(worker, fleet.now)->acknowledged_ends,
             0U);
-  fleet.scheduler->NoteRecorded(worker, first);
+  fleet.scheduler->HandleEndsCommitted(worker, first);
   EXPECT_EQ(fleet.scheduler->NextRenewal(worker, fleet.now)->acknowledged_ends,
             3U);
 }
 
-// A worker was silent for so long that the leader asked for the record that it
-// is forgotten. The group was slow, and the record came only after the worker
-// had answered again and had been given tasks: run-ordered at 37.4292 s,
-// run-gone "its life is over" at 37.6291 s, and run-ordered elsewhere at
-// 37.6292 s while the first run went on until 38.842 s.
-TEST(SchedulerTest, AWorkerThatIsBackKeepsItsTasksWhenARecordToForgetItIsLate) {
+// The leader submits the removal of a silent worker's record, and the commit is
+// slow. If the worker answers before it and gets tasks, the commit must not end
+// its session: the tasks would be started elsewhere while they are still
+// running there.
+TEST(SchedulerTest,
+     AReturningWorkerKeepsItsTasksWhenItsRemovalIsCommittedLate) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(6'000);
   fleet.commit_time = Milliseconds(3'000);
   fleet.announce_interval = Milliseconds(500);
   fleet.PassTime(Milliseconds(500));
   fleet.worker("w0").is_cut = true;
-  // Beyond the lease and the time after which a silent worker is forgotten.
-  fleet.PassTime(fleet.settings.forget_after + Milliseconds(1'000));
+  // Longer than the lease and the time after which a silent worker's record is
+  // removed.
+  fleet.PassTime(fleet.settings.removal_delay + Milliseconds(1'000));
   ASSERT_NE(fleet.state.FindWorker(WorkerId("w0")), nullptr);
   fleet.worker("w0").is_cut = false;
-  // A worker that is being forgotten gets no orders until that is on record and
-  // it has announced itself anew.
+  // A worker whose record is being removed gets no orders until the removal is
+  // committed and the worker has announced itself again.
   EXPECT_FALSE(fleet.scheduler->NextRenewal(WorkerId("w0"), fleet.now));
   fleet.Submit("job", {.count = 16});
   fleet.PassTime(Milliseconds(500));
@@ -894,13 +901,13 @@
   EXPECT_EQ(fleet.job("job").state, JobState::kDone);
 }
 
-TEST(SchedulerTest, AReportThatWasOvertakenChangesNothing) {
+TEST(SchedulerTest, AnOvertakenReportChangesNothing) {
   FakeFleet fleet(1);
   fleet.work = Milliseconds(5'000);
   fleet.Submit("job", {.count = 1});
   fleet.PassTime(Milliseconds(300));
   const RenewReport old{.clock = WorkerTime(1)};
-  fleet.scheduler->TakeReport(WorkerId("w0"), old, fleet.now);
+  fleet.scheduler->HandleReport(WorkerId("w0"), old, fleet.now);
   fleet.PassTime(Milliseconds(300));
   EXPECT_EQ(fleet.starts, 1U);
   EXPECT_EQ(fleet.CountRunning("job"), 1U);
@@ -920,10 +927,10 @@
   }
 }
 
-// A leader stands still for longer than a lease, and then one worker's answer
-// comes in before another's: what ended meanwhile is listed in an answer that
-// is still to come.
-TEST(SchedulerTest, ALeaderThatStoodStillAsksBeforeItBelievesALapse) {
+// A leader is stalled for longer than a lease, and then one worker's answer
+// arrives before another's. Runs that ended meanwhile are listed in an answer
+// that is still outstanding.
+TEST(SchedulerTest, AStalledLeaderCallsWorkersBeforeItReleasesTheirRuns) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     FakeFleet fleet(3, seed);
     fleet.work = Milliseconds(800);
@@ -941,10 +948,9 @@
   }
 }
 
-// Starts of a step with a disruption budget were carried out and their answers
-// lost: 0.66 s after the start of such a run its leader stopped it, 0.8 s later
-// it was at work and its end was one too many. A stop that only settles a start
-// asks the budget like any other.
+// Starts of a step with a disruption budget are carried out and their answers
+// are lost. The stop of such a run arrives when its task is in operation, so a
+// stop that only settles a start must respect the budget like any other.
 TEST(SchedulerTest, UnansweredStartsAreNotStoppedBeyondTheBudget) {
   FakeFleet fleet(3);
   fleet.work = Milliseconds(60'000);
@@ -967,10 +973,9 @@
   EXPECT_EQ(fleet.CountRunning("job"), 3U);
 }
 
-// A leader evacuated a lasting task at 16.37 s and counted the others of its
-// step as at work by reports of 14.09 s; their leases had ended from 15.43 s
-// on.
-TEST(SchedulerTest, AnOldReportDoesNotShowThatATaskIsAtWork) {
+// An evacuation must not count tasks as running by old reports: in one case the
+// reports were 2.3 s old, and the leases of the workers had ended 0.9 s before.
+TEST(SchedulerTest, AnOldReportDoesNotConfirmThatATaskIsRunning) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(60'000);
   fleet.Submit("job", {.count = 2,
@@ -980,18 +985,18 @@
                        .disruption_budget = 1});
   fleet.PassTime(Milliseconds(3'000));
   const jobs::TaskId task{{JobId("job"), 0, 0}, 0};
-  ASSERT_TRUE(fleet.scheduler->MayTakeAway(task, fleet.now));
+  ASSERT_TRUE(fleet.scheduler->MayDisrupt(task, fleet.now));
   fleet.renews = false;
   fleet.PassTime(Milliseconds(2'000));
-  EXPECT_FALSE(fleet.scheduler->MayTakeAway(task, fleet.now));
+  EXPECT_FALSE(fleet.scheduler->MayDisrupt(task, fleet.now));
   fleet.renews = true;
   fleet.PassTime(Milliseconds(500));
-  EXPECT_TRUE(fleet.scheduler->MayTakeAway(task, fleet.now));
+  EXPECT_TRUE(fleet.scheduler->MayDisrupt(task, fleet.now));
 }
 
-// A report waited for its relay, or for its leader's loop, and told of a time
-// before another task's stop.
-TEST(SchedulerTest, AReportReadLateDoesNotShowThatATaskIsAtWork) {
+// A report that waited in its relay or for the leader's event loop may describe
+// the state before another task's stop.
+TEST(SchedulerTest, AReportReadLateDoesNotConfirmThatATaskIsRunning) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(60'000);
   fleet.Submit("job", {.count = 2,
@@ -1001,7 +1006,7 @@
                        .disruption_budget = 1});
   fleet.PassTime(Milliseconds(3'000));
   const jobs::TaskId task{{JobId("job"), 0, 0}, 0};
-  ASSERT_TRUE(fleet.scheduler->MayTakeAway(task, fleet.now));
+  ASSERT_TRUE(fleet.scheduler->MayDisrupt(task, fleet.now));
   fleet.renews = false;
   std::map<WorkerId, RenewReport> reports;
   for (const auto& [id, session] : fleet.scheduler->sessions()) {
@@ -1013,14 +1018,14 @@
   }
   fleet.PassTime(Milliseconds(2'000));
   for (const auto& [id, report] : reports) {
-    fleet.scheduler->TakeReport(id, report, fleet.now);
+    fleet.scheduler->HandleReport(id, report, fleet.now);
   }
-  EXPECT_FALSE(fleet.scheduler->MayTakeAway(task, fleet.now));
+  EXPECT_FALSE(fleet.scheduler->MayDisrupt(task, fleet.now));
 }
 
-// A leader changed while the worker of a job's only tasks was silent. Whether
-// the job had begun was in the memory of the leader before, so callers who had
-// been shown "running" were shown "queued" for as long.
+// The leader changes while the worker of a job's only tasks is silent. Whether
+// the job has begun must be committed: otherwise callers that have been shown
+// "running" are shown "queued" until the worker answers.
 TEST(SchedulerTest, AJobThatWasShownAsRunningIsNeverQueuedAgain) {
   FakeFleet fleet(1);
   fleet.work = Milliseconds(60'000);
@@ -1035,29 +1040,29 @@
   EXPECT_TRUE(fleet.scheduler->HasBegun(fleet.job("job")));
 }
 
-// A leader read an answer 3 s late and took the worker's clock for what it had
-// been then, so the next lease of 6 s was over after 3.
+// A leader that reads an answer 3 s late must not use the worker's clock in it
+// as the present one: then the next lease of 6 s was over after 3 s.
 TEST(SchedulerTest, AnAnswerThatIsReadLateShortensNoLease) {
   constexpr WorkerTime kReading{100'000};
   constexpr Milliseconds kLate{3'000};
   const LeaseSettings lease;
   SteadyTime now{Milliseconds(50'000)};
   WorkerSession session(jobs::Worker{.id = WorkerId("w")}, lease, now);
-  session.NoteClock(kReading, now);
-  // It answered 10 ms later, and that is read 3 s later.
+  session.RecordClock(kReading, now);
+  // The worker answered 10 ms later, and the answer is read 3 s later.
   now += kLate;
-  session.NoteClock(WorkerTime(kReading.value() + 10), now);
+  session.RecordClock(WorkerTime(kReading.value() + 10), now);
   const std::int64_t there = kReading.value() + kLate.count();
   const WorkerTime granted = session.GrantLease(now);
   EXPECT_GE(granted.value() - there, lease.length.count() * 98 / 100);
   EXPECT_LE(granted.value() - there, lease.length.count());
 }
 
-// "its lease is over" was said of 1,590 runs by a leader that had not heard of
-// their workers because it was late itself. The clock says that a run must have
-// ended, not how; only a worker that is asked after that and keeps silent has
-// nothing to tell.
-TEST(SchedulerTest, ALapseIsBelievedOnlyAfterAQuestionInVain) {
+// A leader that was late itself, and therefore has received nothing from a
+// worker, must not release the worker's runs once their lease is over (1,590
+// runs in one case). The clock shows that a run must have ended, but not how;
+// the worker may still report that, unless it fails to answer a later call.
+TEST(SchedulerTest, RunsAreReleasedOnlyAfterAnUnansweredCall) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(60'000);
   fleet.Submit("job", {.count = 1});
@@ -1075,8 +1080,9 @@
   EXPECT_EQ(fleet.problem, "");
 }
 
-// A relay that is gone is no silence of its workers, however often it goes.
-TEST(SchedulerTest, ARenewalLostWithItsRelaySaysNothingAgainstTheWorker) {
+// The loss of a relay, however often it happens, does not count as silence of
+// its workers.
+TEST(SchedulerTest, ARenewalLostWithItsRelayIsNotCountedAsSilence) {
   FakeFleet fleet(2);
   fleet.work = Milliseconds(60'000);
   fleet.Submit("job", {.count = 1});
@@ -1087,21 +1093,22 @@
   fleet.renews = false;
   fleet.PassTime(fleet.settings.lease.length + Milliseconds(2'000));
   for (int lost = 0; lost < 3; ++lost) {
-    fleet.scheduler->TakeRenewalFailure(worker, OrderResult::kRelayLost,
-                                        fleet.now);
+    fleet.scheduler->HandleRenewalFailure(worker, OrderResult::kRelayLost,
+                                          fleet.now);
     fleet.PassTime(Milliseconds(500));
   }
   EXPECT_TRUE(session.is_answering());
-  EXPECT_FALSE(session.is_in_doubt());
-  EXPECT_FALSE(session.IsLapsed(fleet.now));
+  EXPECT_FALSE(session.is_possibly_down());
+  EXPECT_FALSE(session.IsExpired(fleet.now));
   EXPECT_EQ(session.runs().size(), 1U);
   EXPECT_EQ(fleet.starts, 1U);
-  fleet.scheduler->TakeRenewalFailure(worker, OrderResult::kUnknown, fleet.now);
+  fleet.scheduler->HandleRenewalFailure(worker, OrderResult::kUnknown,
+                                        fleet.now);
   EXPECT_FALSE(session.is_answering());
 }
 
-// The start may have left the relay before it went, and may still be carried
-// out.
+// The relay may have sent the start before it was lost, so the start may still
+// be carried out.
 TEST(SchedulerTest, AStartLostWithItsRelayIsStoppedBeforeItsTaskGoesElsewhere) {
   FakeFleet fleet(2);
   fleet.PassTime(Milliseconds(500));
@@ -1114,8 +1121,8 @@
   ASSERT_EQ(first.orders.size(), 1U);
   const auto* start = std::get_if<StartOrder>(&first.orders[0]);
   ASSERT_NE(start, nullptr);
-  fleet.scheduler->TakeAnswer(first.orders[0],
-                              {.result = OrderResult::kRelayLost}, fleet.now);
+  fleet.scheduler->HandleOrderAnswer(
+      first.orders[0], {.result = OrderResult::kRelayLost}, fleet.now);
   const SchedulerOutput next = plan();
   ASSERT_EQ(next.orders.size(), 1U);
   const auto* stop = std::get_if<StopOrder>(&next.orders[0]);
