--- a/tests/stand_ins/task_worker.h
+++ b/tests/stand_ins/task_worker.h
@@ -86,7 +86,9 @@
   // As it is known on the wire; a worker that tells its start keeps its name
   // over its lives.
   const std::string& Name() const;
-  bool tells_start() const { return this->settings.description.tells_start(); }
+  bool tells_start() const {
+    return this->settings.description.has_start_time();
+  }
   std::int64_t Born() const;
 
   kj::Network& network;
