--- a/libraries/relay/relay_codec.cc
+++ b/libraries/relay/relay_codec.cc
@@ -220,7 +220,7 @@
 }
 
 std::optional<EndCause> ReadCause(std::uint16_t number) {
-  return number <= static_cast<std::uint16_t>(EndCause::kAlone)
+  return number <= static_cast<std::uint16_t>(EndCause::kGangIncomplete)
              ? std::optional(static_cast<EndCause>(number))
              : std::nullopt;
 }
