--- a/libraries/storage/data_folder.h
+++ b/libraries/storage/data_folder.h
@@ -27,20 +27,20 @@
 
 namespace sumac::storage {
 
-// Sizes of the data folder.
+// Settings of a data folder.
 struct StorageSettings {
-  // A segment that has grown past this is closed and a new one begun.
+  // The size above which a segment is closed and a new one started, in bytes.
   std::uint64_t segment_bytes = 4U << 20;
 };
 
-// What a data folder was found to hold, for operators.
+// The content that was found when a data folder was opened, for operators.
 struct FolderReport {
   std::uint64_t segments = 0;
   std::uint64_t log_bytes = 0;
   std::uint64_t entries_after_snapshot = 0;
   LogIndex snapshot_index;
   LogIndex last_index;
-  // Bytes of an unfinished write that were cut off.
+  // The size of the torn tail of an unfinished write, in bytes.
   std::uint64_t torn_bytes = 0;
 
   template <typename Self, typename Visitor>
@@ -54,12 +54,13 @@
   }
 };
 
-// The durable state of one replica: identity.json, log segments and the last
-// snapshot, in one folder. docs/operate/storage.md describes the files.
+// The durable state of one replica: identity.json, the log segments and the
+// last snapshot, in one folder. docs/operate/storage.md describes the files.
 template <Disk DiskType>
 class DataFolder {
  public:
-  // Makes a new folder for `identity`; an error if it already holds one.
+  // Creates a folder for `identity`. Fails if the folder already has an
+  // identity.
   static absl::Status Format(DiskType& disk,
                              const std::string& path,
                              const Identity& identity) {
@@ -74,13 +75,14 @@
                       ToJson(identity).dump(2));
   }
 
-  // True if the folder was made by Format.
+  // Returns true if the folder was created by Format.
   static bool HasIdentity(DiskType& disk, const std::string& path) {
     return disk.Read(StrCat(path, "/", kIdentityFile)).ok();
   }
 
-  // Opens a folder and reads it whole. With `repair` a torn tail is cut off;
-  // without it nothing is written, for a check from outside.
+  // Opens a folder and reads all of it. If `repair` is true, a torn tail is cut
+  // off; otherwise nothing is written, so that a folder can be checked without
+  // changing it.
   static absl::StatusOr<DataFolder> Open(DiskType& disk,
                                          const std::string& path,
                                          StorageSettings settings,
@@ -88,7 +90,7 @@
     DataFolder folder(disk, path, settings);
     TRY(folder.LoadIdentity());
     if (repair) {
-      // A rename that the process before did not live to sync.
+      // The previous process may have ended between a rename and its sync.
       TRY(disk.SyncFolder(path));
     }
     const std::vector<std::string> names = TRY(disk.List(path));
@@ -100,14 +102,15 @@
     return folder;
   }
 
-  // What the replica starts from. May be called once.
+  // Returns the state from which the replica starts. May be called once.
   replication::StartState TakeStartState() { return std::move(this->start); }
 
   const FolderReport& report() const { return this->found; }
   const Identity& identity() const { return this->owner; }
 
-  // Makes one output of the replica last. On kDiskFull nothing of it counts and
-  // the call may be made again; any other error is final for this process.
+  // Makes one output of the replica durable. After kDiskFull none of it is in
+  // effect and the call may be repeated; any other error is final for this
+  // process.
   absl::Status Write(const replication::Output& output) {
     TRY(this->DropUnfinished());
     if (output.snapshot_to_install) {
@@ -140,7 +143,7 @@
     return absl::OkStatus();
   }
 
-  // Stores a snapshot and removes what it makes needless.
+  // Stores a snapshot and removes the segments and snapshots that it covers.
   absl::Status SaveSnapshot(const replication::Snapshot& snapshot) {
     TRY(WriteWhole(*this->disk, this->path, SnapshotName(snapshot.meta.index),
                    EncodeSnapshot(snapshot)));
@@ -158,7 +161,7 @@
     return StrCat(this->path, "/", name);
   }
 
-  // Writes a file so that it is there whole or not at all.
+  // Writes a file atomically: after a crash it is complete or doesn't exist.
   static absl::Status WriteWhole(DiskType& disk,
                                  const std::string& folder,
                                  const std::string& name,
@@ -170,8 +173,8 @@
     }
     const absl::Status written = WriteAndRename(disk, temporary, target, bytes);
     if (!written.ok()) {
-      // Its beginning would take room that the log needs. Should it stay, the
-      // next try removes it.
+      // The partial file would take up space that the log needs. If the removal
+      // fails, the next attempt removes the file.
       disk.Remove(temporary).IgnoreError();
       return written;
     }
@@ -270,16 +273,16 @@
     return absl::OkStatus();
   }
 
-  // Makes what was read of a file last. A process that was killed between a
-  // write and its sync leaves bytes that can be read and may still be lost;
-  // what this process does from here on rests on them.
+  // Makes the content that was read from a file durable. A process that was
+  // killed between a write and its sync leaves bytes that can be read but may
+  // still be lost, and this process relies on them from here on.
   absl::Status SyncRead(const std::string& file_path) {
     auto file = TRY(this->disk->OpenForAppend(file_path));
     return file.Sync();
   }
 
-  // Begins a new segment. It starts with the hard state, so that older ones can
-  // go.
+  // Starts a new segment. It begins with the hard state, so that older segments
+  // can be removed.
   absl::Status StartSegment() {
     const std::uint64_t sequence = this->next_sequence;
     const std::string file_path = this->PathOf(SegmentName(sequence));
@@ -292,8 +295,9 @@
     bytes += EncodeRecord(this->hard_state);
     const absl::Status begun = this->FillSegment(file, bytes);
     if (!begun.ok()) {
-      // Nothing of the log is in it yet, so it can go and the next try begins
-      // afresh; a second beginning behind the first would be damage.
+      // The file has no log entries yet, so it is removed and the next attempt
+      // creates it again. A second header behind the first would count as
+      // damage.
       this->has_unfinished_segment = !this->disk->Remove(file_path).ok();
       return begun;
     }
@@ -307,7 +311,7 @@
     return absl::OkStatus();
   }
 
-  // Makes the first bytes of a segment and its name last.
+  // Makes the first bytes of a segment and its name durable.
   absl::Status FillSegment(typename DiskType::File& file,
                            const std::string& bytes) {
     TRY(file.Append(bytes));
@@ -315,7 +319,7 @@
     return this->disk->SyncFolder(this->path);
   }
 
-  // Cuts off what a write that met a full disk left behind.
+  // Cuts off the bytes of a write that failed on a full disk.
   absl::Status DropUnfinished() {
     if (!this->has_unfinished_write) {
       return absl::OkStatus();
@@ -327,8 +331,8 @@
   }
 
   absl::Status AppendAndSync(const std::string& bytes) {
-    // A disk may find out that it has no room only at the sync. The bytes are
-    // in the file then all the same, and the same ones come again.
+    // A disk may report that it is full only at the sync. The bytes are in the
+    // file even so, and must be cut off before they are written again.
     this->has_unfinished_write = true;
     TRY(this->segment.Append(bytes));
     TRY(this->segment.Sync());
@@ -369,9 +373,10 @@
   std::uint64_t segment_length = 0;
   std::uint64_t next_sequence = 1;
   bool has_unfinished_write = false;
-  // The file of the next segment holds the beginning of one that failed.
+  // True if the file of the next segment exists from a failed attempt to start
+  // it.
   bool has_unfinished_segment = false;
-  // The last entry's position by the sequence number of each closed segment.
+  // The index of the last entry, by the sequence number of each closed segment.
   std::map<std::uint64_t, LogIndex> closed_segments;
 };
 
--- a/libraries/storage/disk.h
+++ b/libraries/storage/disk.h
@@ -16,32 +16,32 @@
 // A file open for appending.
 template <typename T>
 concept AppendFile = requires(T& file, std::string_view bytes) {
-  // Adds bytes at the end; kDiskFull or kStorageFailed on an error.
+  // Appends bytes; returns kDiskFull or kStorageFailed on an error.
   { file.Append(bytes) } -> std::same_as<absl::Status>;
-  // Makes all appended bytes last.
+  // Makes all appended bytes durable.
   { file.Sync() } -> std::same_as<absl::Status>;
 };
 
-// The operations that storage needs of a disk. PosixDisk is the real one; tests
-// pass a disk that forgets unsynced bytes, tears writes, fills up or fails a
-// sync.
+// The disk operations that storage uses. PosixDisk is the implementation for
+// production; tests use a disk that loses unsynced bytes, tears writes, fills
+// up or fails a sync.
 template <typename T>
 concept Disk = requires(T& disk,
                         const std::string& path,
                         std::string_view bytes) {
   requires AppendFile<typename T::File>;
   { disk.MakeFolder(path) } -> std::same_as<absl::Status>;
-  // The names in a folder, sorted.
+  // Returns the names of the files in a folder, sorted.
   { disk.List(path) } -> std::same_as<absl::StatusOr<std::vector<std::string>>>;
   { disk.Read(path) } -> std::same_as<absl::StatusOr<std::string>>;
   {
     disk.OpenForAppend(path)
     } -> std::same_as<absl::StatusOr<typename T::File>>;
-  // Cuts a file to a length and syncs it.
+  // Truncates a file to a length and syncs it.
   { disk.Truncate(path, std::uint64_t{}) } -> std::same_as<absl::Status>;
   { disk.Rename(path, path) } -> std::same_as<absl::Status>;
   { disk.Remove(path) } -> std::same_as<absl::Status>;
-  // Makes creations, renames and removals in a folder last.
+  // Makes creations, renames and removals in a folder durable.
   { disk.SyncFolder(path) } -> std::same_as<absl::Status>;
 };
 
--- a/libraries/storage/folder_layout.cc
+++ b/libraries/storage/folder_layout.cc
@@ -67,8 +67,8 @@
   const bool is_next = !this->entries.empty() &&
                        this->entries.back().index.Next() == entry.index;
   if (!is_next) {
-    // A gap is whole only where the snapshot covers it. The first segment kept
-    // may begin anywhere before that.
+    // A gap is allowed only where the snapshot covers it. The first segment
+    // that was kept may begin at any index up to the one after the snapshot.
     if (entry.index > this->snapshot.index.Next()) {
       return MakeError(ResultCode::kStorageDamaged,
                        StrCat(path, ": entry ", entry.index.value(),
--- a/libraries/storage/folder_layout.h
+++ b/libraries/storage/folder_layout.h
@@ -17,34 +17,39 @@
 inline constexpr std::string_view kIdentityFile = "identity.json";
 inline constexpr std::string_view kTemporarySuffix = ".tmp";
 
-// The file name of the segment with this sequence number; names sort by number.
+// Returns the file name of the segment with this sequence number. Names sort by
+// number.
 std::string SegmentName(std::uint64_t sequence);
 
-// The file name of the snapshot at `index`; names sort by position.
+// Returns the file name of the snapshot at `index`. Names sort by index.
 std::string SnapshotName(LogIndex index);
 
-// The sequence number in a segment's name, if it is one.
+// Returns the sequence number in the file name of a segment; nullopt for the
+// name of another file.
 std::optional<std::uint64_t> ParseSegmentName(std::string_view name);
 
-// The position in a snapshot's name, if it is one.
+// Returns the log index in the file name of a snapshot; nullopt for the name of
+// another file.
 std::optional<LogIndex> ParseSnapshotName(std::string_view name);
 
-// The log as its records leave it, one after the other.
+// Rebuilds the log from its records, applied in the order of writing.
 class LoadedLog {
  public:
   explicit LoadedLog(replication::SnapshotMeta snapshot);
 
-  // Takes in the next record; an entry that leaves a gap is kStorageDamaged.
+  // Applies the next record, read from the file at `path`. Returns
+  // kStorageDamaged for an entry that leaves a gap.
   absl::Status Take(const LogRecord& record, const std::string& path);
 
-  // The position of the last entry seen, for the segment's place in the log.
+  // Returns the highest index of an entry so far, which tells when a segment is
+  // covered by a snapshot.
   LogIndex last_index() const { return this->last_seen; }
   const replication::HardState& hard_state() const {
     return this->latest_hard_state;
   }
 
-  // The entries after the snapshot. Entries of another history than the
-  // snapshot's are left out.
+  // Returns the entries after the snapshot, or none if the log's entry at the
+  // snapshot's index has another term: the log is of another history then.
   std::vector<replication::Entry> TakeEntries();
 
  private:
--- a/libraries/storage/identity.h
+++ b/libraries/storage/identity.h
@@ -10,16 +10,16 @@
 
 namespace sumac::storage {
 
-// Whose data a folder holds; the file identity.json. It is written once, when
-// the folder is made.
+// The identity of the replica whose data a folder holds, stored in
+// identity.json. It is written once, when the folder is created.
 struct Identity {
-  // Version of the folder's layout. A program refuses a newer one and upgrades
-  // an older one.
+  // The version of the folder's layout. A program refuses a newer version and
+  // upgrades an older one.
   std::uint32_t format_version = 1;
-  // The replica, with the incarnation of this disk.
+  // The id of the replica; it includes the incarnation of this disk.
   replication::NodeId node;
-  // The voters of a new group, the same in all its folders; empty for a replica
-  // that joins later.
+  // The initial voters of a new replication group, the same in the folders of
+  // all its replicas; empty for a replica that joins later.
   std::set<replication::NodeId> first_voters;
 
   template <typename Self, typename Visitor>
--- a/libraries/storage/log_segment.cc
+++ b/libraries/storage/log_segment.cc
@@ -18,7 +18,7 @@
 
 constexpr std::size_t kFrameBytes = 8;
 constexpr std::size_t kNumberBytes = 4;
-// No record is larger; a larger length is damage.
+// The maximum size of a record, in bytes; a larger length counts as damage.
 constexpr std::uint32_t kLargestRecord = 64U << 20;
 
 struct RecordWriter {
@@ -64,12 +64,11 @@
     return MakeError(ResultCode::kStorageDamaged,
                      exception.getDescription().cStr());
   }
-  return MakeError(ResultCode::kStorageVersion,
-                   "a kind of record that this program doesn't know");
+  return MakeError(ResultCode::kStorageVersion, "unknown kind of record");
 }
 
-// The body of the record at the start of `bytes`, or nothing when it is cut
-// short or fails its check.
+// Returns the body of the record at the start of `bytes`, or nullopt if the
+// record is cut short or fails its checksum.
 std::optional<std::string_view> FindBody(std::string_view bytes) {
   if (bytes.size() < kFrameBytes) {
     return std::nullopt;
@@ -89,8 +88,9 @@
   return body;
 }
 
-// True if a whole record starts anywhere in `bytes`; then what is before it is
-// damage and no torn tail, for a torn tail is the last thing that was written.
+// Returns true if a whole record starts anywhere after the first byte of
+// `bytes`. The bytes before it are damaged then, and not a torn tail: nothing
+// is written behind a torn tail.
 bool HasWholeRecord(std::string_view bytes) {
   for (std::size_t offset = 1; offset + kFrameBytes < bytes.size(); ++offset) {
     if (FindBody(bytes.substr(offset))) {
@@ -168,7 +168,7 @@
     const auto body = FindBody(bytes.substr(offset));
     if (!body) {
       if (!may_be_torn || HasWholeRecord(bytes.substr(offset))) {
-        return Damaged(path, offset, "a record fails its check");
+        return Damaged(path, offset, "a record fails its checksum");
       }
       content.has_torn_tail = true;
       break;
--- a/libraries/storage/posix_disk.h
+++ b/libraries/storage/posix_disk.h
@@ -15,9 +15,9 @@
 
 namespace sumac::storage {
 
-// The machine's file system. A failed write or sync is final for the file:
-// nobody knows what is on the disk then (see "Can Applications Recover from
-// fsync Failures?", Rebello et al. 2020).
+// The machine's file system. A file is not used again after a failed write or
+// sync, since the content on the disk is undefined then (see "Can Applications
+// Recover from fsync Failures?", Rebello et al. 2020).
 class PosixDisk {
  public:
   // A file open for appending.
--- a/libraries/storage/snapshot_file.cc
+++ b/libraries/storage/snapshot_file.cc
@@ -49,9 +49,9 @@
   const std::uint32_t check = ReadNumber(bytes.substr(kSnapshotHeader.size()));
   const std::string_view body = bytes.substr(body_offset);
   if (ChecksumOf(body) != check) {
-    return MakeError(
-        ResultCode::kStorageDamaged,
-        StrCat(path, ": offset ", body_offset, ": the body fails its check"));
+    return MakeError(ResultCode::kStorageDamaged,
+                     StrCat(path, ": offset ", body_offset,
+                            ": the body fails its checksum"));
   }
   try {
     kj::Array<capnp::word> words =
--- a/libraries/storage/snapshot_file.h
+++ b/libraries/storage/snapshot_file.h
@@ -10,14 +10,15 @@
 
 namespace sumac::storage {
 
-// The format of a snapshot, version 1: "SUMACSN" and the version byte, the
+// The format of a snapshot file, version 1: "SUMACSN" and the version byte, the
 // CRC-32 of the body in four little-endian bytes, then the body: a Cap'n Proto
 // SnapshotFile.
 
-// The bytes of a snapshot file.
+// Returns the bytes of the snapshot file for `snapshot`.
 std::string EncodeSnapshot(const replication::Snapshot& snapshot);
 
-// Reads a snapshot file; any damage is kStorageDamaged and names the file.
+// Decodes a snapshot file. Returns kStorageDamaged with the file's path for any
+// damage, kStorageVersion for another format version.
 absl::StatusOr<replication::Snapshot> DecodeSnapshot(std::string_view bytes,
                                                      const std::string& path);
 
--- a/tests/libraries/storage/data_folder_test.cc
+++ b/tests/libraries/storage/data_folder_test.cc
@@ -22,7 +22,8 @@
 constexpr const char* kFolder = "data";
 using Folder = DataFolder<FakeDisk>;
 
-// Each operation alone, and all of them.
+// Sets of operations that a full disk refuses: each operation alone, some
+// combinations, and all of them.
 const std::vector<std::set<DiskOperation>> kRefusals{
     {DiskOperation::kAppend},
     {DiskOperation::kSync},
@@ -67,7 +68,7 @@
     return *std::move(folder);
   }
 
-  // The path of the newest segment that holds entries.
+  // Returns the path of the largest segment, which is the one with entries.
   std::string SegmentWithEntries() const {
     std::string largest;
     for (const auto& [path, content] : this->disk.files) {
@@ -210,9 +211,9 @@
   EXPECT_EQ(this->Open().TakeStartState().entries.size(), 3U);
 }
 
-// A disk may take the bytes and refuse them for want of room only when they are
-// synced, or refuse a file that begins. What the refused try had left behind
-// stayed in the log, and the next start took it for damage.
+// A full disk may accept the bytes and fail only at the sync, or refuse a new
+// file. Guards against the remains of a failed write staying in the log, where
+// the next start would take them for damage.
 TEST_F(DataFolderTest, WhateverAFullDiskRefusesTheSameWriteGoesThroughLater) {
   const FakeDisk formatted = this->disk;
   for (const std::set<DiskOperation>& refused : kRefusals) {
@@ -239,8 +240,8 @@
   }
 }
 
-// The same, with the power lost while the disk is full: what was written before
-// is there.
+// As the test above, with a power loss while the disk is full: the entries that
+// were written before are kept.
 TEST_F(DataFolderTest, ALossOfPowerWhileTheDiskIsFullLosesNothing) {
   const FakeDisk formatted = this->disk;
   for (const std::set<DiskOperation>& refused : kRefusals) {
@@ -267,8 +268,8 @@
   }
 }
 
-// A snapshot that found no room left its beginning behind, which took room for
-// as long as no other was made.
+// Guards against a snapshot that failed on a full disk leaving a partial file,
+// which would take up space until the next snapshot.
 TEST_F(DataFolderTest, ASnapshotWithoutRoomLeavesNothingBehind) {
   Folder folder = this->Open();
   ASSERT_TRUE(folder.Write(MakeOutput({MakeEntry(1, 1, "a")})).ok());
--- a/tests/libraries/storage/fake_disk.h
+++ b/tests/libraries/storage/fake_disk.h
@@ -17,7 +17,7 @@
 
 namespace sumac::storage {
 
-// What a disk that is full may refuse.
+// The operations that a full disk may refuse.
 enum class DiskOperation {
   kAppend,
   kSync,
@@ -28,8 +28,7 @@
   kSyncFolder,
 };
 
-// A disk in memory that forgets at a crash what was not synced, and fails when
-// told to.
+// A disk in memory that loses unsynced data in a crash and fails on request.
 class FakeDisk {
  public:
   struct Content {
@@ -137,7 +136,7 @@
     if (this->IsPowerGone()) {
       return MakeError(ResultCode::kStorageFailed, "power lost");
     }
-    // What is in the folder now, by name, survives a crash.
+    // The names that the folder has now survive a crash.
     this->lasting_names.clear();
     for (const auto& [file, content] : this->files) {
       this->lasting_names.insert(file);
@@ -145,8 +144,8 @@
     return absl::OkStatus();
   }
 
-  // The power goes: unsynced bytes and names are lost; `torn` bytes of them
-  // stay per file.
+  // Simulates a power loss: unsynced bytes and names are lost, except for the
+  // first `torn` unsynced bytes of each file.
   void Crash(std::size_t torn = 0) {
     this->operations_left.reset();
     std::erase_if(this->files, [this](const auto& item) {
@@ -161,9 +160,10 @@
   std::map<std::string, Content> files;
   std::size_t room = std::size_t{1} << 40;
   bool fails_sync = false;
-  // What it refuses for want of room.
+  // The operations that fail with kDiskFull.
   std::set<DiskOperation> refused;
-  // Operations that still succeed before the power goes; nothing for no end.
+  // The number of operations that still succeed before the power is lost;
+  // nullopt for no power loss.
   std::optional<std::uint64_t> operations_left;
 
  private:
--- a/tests/libraries/storage/switched_disk.h
+++ b/tests/libraries/storage/switched_disk.h
@@ -16,8 +16,8 @@
 
 namespace sumac::storage {
 
-// A disk in memory that another thread than the one which uses it fills up and
-// empties.
+// A disk in memory that a thread other than its user can switch to full and
+// back.
 class SwitchedDisk {
  public:
   class File {
@@ -74,11 +74,13 @@
     return this->inner.SyncFolder(path);
   }
 
-  // While it is full it refuses everything that writes.
+  // True while the disk is full; every operation that writes fails then.
   std::atomic<bool> is_full = false;
-  // While the process has no descriptor to spare, no file can be opened.
+  // True while the process has no free file descriptor; no file can be opened
+  // then.
   std::atomic<bool> is_short = false;
-  // Only for the thread that uses the disk, or once that has ended.
+  // The disk itself; to be used only by the thread that uses the disk, or after
+  // that thread has ended.
   FakeDisk inner;
 
  private:
