--- a/libraries/base/descriptor_shares.cc
+++ b/libraries/base/descriptor_shares.cc
@@ -11,21 +11,22 @@
 namespace sumac {
 namespace {
 
-// Beyond this a process has more connections than it has time for; it keeps the
-// sums small where the operating system names no limit.
+// The limit where the operating system sets none or a higher one. A process has
+// no processor time for more connections than this.
 constexpr std::size_t kMostDescriptors = 1U << 20;
-// Below this there is no room for a group of five, a dozen callers and a few
+// The minimum for a group of five controllers, a dozen callers and a few
 // workers.
 constexpr std::size_t kFewestDescriptors = 128;
-// Libraries, locales and name look-ups open some dozens for a moment; a
-// platform may keep up to 200 for them.
+// Libraries, locales and name look-ups open some dozens of files for a short
+// time; a platform may keep up to 200 open for them.
 constexpr std::size_t kMostForProcess = 224;
-// Two log segments, two snapshots, their folder, and as many while they are
-// replaced.
+// Two log segments, two snapshots and their folder, and the same number again
+// while they are replaced.
 constexpr std::size_t kMostForDisk = 32;
-// Of what is left after these, in eighths. Peers are our own processes, one
-// connection each way; callers and workers that announce themselves keep one
-// each; a worker that is given orders takes up to five.
+// The shares of the remaining descriptors, in eighths. Peers are processes of
+// this system, with one connection in each direction; callers and workers that
+// announce themselves keep one connection each; a worker that receives orders
+// takes up to five.
 constexpr std::size_t kEighths = 8;
 constexpr std::size_t kPeerEighths = 1;
 constexpr std::size_t kDoorEighths = 2;
--- a/libraries/base/descriptor_shares.h
+++ b/libraries/base/descriptor_shares.h
@@ -8,34 +8,38 @@
 
 namespace sumac {
 
-// How the file descriptors that a process may hold are shared between the
-// parts that open them. The disk and the peers come first: a controller that
-// can't write its log or hear its peers is lost to its group, while a caller
-// who is refused comes back.
+// The maximum numbers of file descriptors that the parts of a process may open,
+// which together stay within the limit of the process. The shares of the disk
+// and of the peers are kept free for them: a controller that can't write its
+// log or reach its peers is lost to its group, while a caller that is refused
+// retries.
 struct DescriptorShares {
-  // Log, standard streams, the event loop, and files that libraries open.
+  // The log, the standard streams, the event loop and files that libraries
+  // open.
   std::size_t process = 0;
   // Data files and snapshots.
   std::size_t disk = 0;
-  // Connections between our processes, both ways.
+  // Connections between the processes of this system, in both directions.
   std::size_t peers = 0;
-  // Connections that others open to us.
+  // Incoming connections to the listeners of this process.
   std::size_t doors = 0;
-  // Connections that we open to workers and to the platform.
+  // Outgoing connections to workers and to the platform.
   std::size_t outgoing = 0;
 };
 
-// Shares out `limit` descriptors; fails with kSettingsInvalid if they are too
-// few for the process to do its work.
+// Divides `limit` descriptors into shares. Fails with kSettingsInvalid if they
+// are too few for the process to work.
 absl::StatusOr<DescriptorShares> ShareDescriptors(std::size_t limit);
 
-// What the process may hold: `wanted` if it is not 0, else what the operating
-// system allows. Fails with kSettingsInvalid, and both figures, if more is
-// wanted than is allowed.
+// Returns the maximum number of descriptors of this process: `wanted` if it is
+// not 0, otherwise `allowed`, the limit of the operating system. If `wanted` is
+// larger than `allowed`, fails with kSettingsInvalid and a message that gives
+// both numbers.
 absl::StatusOr<std::size_t> DescriptorLimit(std::size_t wanted,
                                             std::size_t allowed);
 
-// What the operating system allows this process now (RLIMIT_NOFILE).
+// Returns the number of descriptors that the operating system allows this
+// process now (RLIMIT_NOFILE).
 std::size_t AllowedDescriptors();
 
 }  // namespace sumac
--- a/libraries/base/error.h
+++ b/libraries/base/error.h
@@ -9,12 +9,12 @@
 
 namespace sumac {
 
-// An absl::Status that carries the numbered `code` beside the message. `code`
-// is never kOk.
+// Returns an absl::Status that carries the numbered `code` beside the message.
+// `code` must not be kOk.
 absl::Status MakeError(ResultCode code, std::string_view message);
 
-// The numbered code of `status`: kOk for success, kInternal for an error made
-// without MakeError.
+// Returns the numbered code of `status`: kOk for success, kInternal for an
+// error made without MakeError.
 ResultCode CodeOf(const absl::Status& status);
 
 }  // namespace sumac
--- a/libraries/base/kj_keep_alive.h
+++ b/libraries/base/kj_keep_alive.h
@@ -12,19 +12,19 @@
 
 namespace sumac {
 
-// When the kernel gives up a connection on whose other side nobody is left:
-// idle for so long, then so many probes without an answer; or bytes of ours
-// unacknowledged for so long. Calls have shorter limits of their own. These are
-// for connections on which none is open, above all those that others opened,
-// which would be kept for good.
+// TCP settings by which the kernel closes a connection whose peer is gone:
+// after the idle time and a number of unanswered probes, or when sent bytes
+// stay unacknowledged for too long. Calls have shorter limits of their own.
+// These settings are for connections without an open call, above all the
+// incoming ones, which would otherwise be kept forever.
 struct KeepAlive {
   static constexpr std::chrono::seconds kIdleTime{5};
   static constexpr std::chrono::seconds kProbeInterval{1};
   static constexpr int kProbes = 3;
   static constexpr Milliseconds kUnacknowledgedTime{8'000};
 
-  // Sets it up for one connection; the error if it can't be. Such a connection
-  // serves all the same.
+  // Applies the settings to one connection. Returns the error if that fails;
+  // the connection can be used even then.
   static kj::Maybe<kj::Exception> TryApply(kj::AsyncIoStream& stream) {
     return kj::runCatchingExceptions([&stream] { Apply(stream); });
   }
--- a/libraries/base/kj_time.h
+++ b/libraries/base/kj_time.h
@@ -8,7 +8,7 @@
 
 namespace sumac {
 
-// Kj's form of a duration.
+// Converts a duration to kj's type.
 inline kj::Duration ToKj(Milliseconds time) {
   return time.count() * kj::MILLISECONDS;
 }
--- a/libraries/base/kj_timeout.h
+++ b/libraries/base/kj_timeout.h
@@ -16,7 +16,7 @@
 
 namespace sumac {
 
-// Waits until an answer counts as missing; see ResponseLimit.
+// Resolves when an answer counts as missing; see ResponseLimit.
 inline kj::Promise<void> AwaitLimit(kj::Timer& timer,
                                     ResponseLimit limit,
                                     Milliseconds wait) {
@@ -31,8 +31,9 @@
       });
 }
 
-// The promise, or a failure of the type OVERLOADED once no answer has come
-// within `limit`; a loop that is late itself reads what has come first.
+// Returns the promise with a timeout: it fails with the type OVERLOADED if it
+// isn't resolved within `limit`. An event loop that is late itself first reads
+// the bytes that have arrived.
 template <typename T>
 kj::Promise<T> TimeoutAfter(kj::Timer& timer,
                             Milliseconds limit,
--- a/libraries/base/names.h
+++ b/libraries/base/names.h
@@ -17,9 +17,9 @@
 using DataCentre = StrongType<std::string, struct DataCentreTag>;
 using Rack = StrongType<std::string, struct RackTag>;
 using QueueName = StrongType<std::string, struct QueueNameTag>;
-// How the platform names a worker's process. One that starts again may keep it.
+// The platform's name for a worker's process. A restarted process may keep it.
 using WorkerName = StrongType<std::string, struct WorkerNameTag>;
-// One life of a worker's process on an instance; never used again.
+// One incarnation of a worker's process on an instance; never reused.
 using WorkerId = StrongType<std::string, struct WorkerIdTag>;
 using WaveId = StrongType<std::string, struct WaveIdTag>;
 using JobId = StrongType<std::string, struct JobIdTag>;
@@ -32,13 +32,14 @@
 
 // The number of a declaration; the first accepted one is 1.
 using Revision = StrongType<std::uint64_t, struct RevisionTag>;
-// Counts the starts of one task; rises, also over changes of leader.
+// Counts the starts of one task; it keeps growing over changes of leader.
 using RunNumber = StrongType<std::uint64_t, struct RunNumberTag>;
-// Counts leaderships; the fencing token of all orders of one leadership.
+// Counts the leaderships; the fencing token of all orders of one leadership.
 using LeaderEpoch = StrongType<std::uint64_t, struct LeaderEpochTag>;
-// Grows with every placement of a job; a worker refuses a lower one.
+// Grows with every placement of a job; a worker refuses a lower token.
 using FencingToken = StrongType<std::uint64_t, struct FencingTokenTag>;
-// Grows with every start of a target; an older one's reports are ignored.
+// Grows with every start of a target; reports of an older incarnation are
+// ignored.
 using Incarnation = StrongType<std::uint64_t, struct IncarnationTag>;
 
 // Replication: a leader's term and a position in the log (the first is 1).
--- a/libraries/base/read_lateness.h
+++ b/libraries/base/read_lateness.h
@@ -6,9 +6,9 @@
 
 namespace sumac {
 
-// How long what comes to this thread's event loop waits in its socket until the
-// loop reads it, as last measured; 0 where nobody measures it. Of a loop with
-// too much to do the timers may be punctual all the same, since it looks at
+// The time that received bytes wait in their socket until this thread's event
+// loop reads them, as last measured; 0 on threads that don't measure it. The
+// timers of an overloaded loop may be punctual even so, since the loop checks
 // them between any two sockets.
 inline Milliseconds& ReadLateness() {
   thread_local Milliseconds lateness{0};
--- a/libraries/base/response_limit.h
+++ b/libraries/base/response_limit.h
@@ -9,20 +9,19 @@
 
 namespace sumac {
 
-// Decides when an answer that has not come counts as missing, on an event loop
-// that may be late itself. A timer that fires late says as much about this
-// process as about the other side: the answer may lie in the socket, unread. So
-// the loop gets one more round after its timer, as long as it was late, to read
-// what has come. Without that a leader short of processor time took up to
-// a sixth of its workers' answers for lost and gave twice the orders, which
-// made it later still. Pure.
+// Decides when an outstanding answer counts as missing, on an event loop that
+// may be late itself. If the timer fires late, the answer may be in the socket,
+// still unread. So the loop gets one more round after the timer, as long as its
+// lateness, to read what has arrived. Without that, a leader that was short of
+// processor time counted up to a sixth of its workers' answers as lost and sent
+// twice the orders, which made it even later. Reads no clock.
 class ResponseLimit {
  public:
   ResponseLimit(Milliseconds limit, SteadyTime now) : due(now + limit) {}
 
-  // Asked whenever a timer has fired: how long to wait on, or nothing if the
-  // answer is missing. `read_lateness` is how long what has come waits until
-  // the loop reads it.
+  // Returns how much longer to wait, or nullopt if the answer counts as
+  // missing. To be called each time the timer has fired. `read_lateness` is the
+  // time that received bytes wait until the loop reads them.
   std::optional<Milliseconds> WaitMore(
       SteadyTime now,
       Milliseconds read_lateness = Milliseconds(0)) {
@@ -30,8 +29,8 @@
       return this->due - now;
     }
     const Milliseconds late = std::max(now - this->due, read_lateness);
-    // NOTE: The first timer says nothing, however punctual: a loop that stood
-    // still may come back right at the limit.
+    // NOTE: The first timer is not enough, even if it is punctual: a stalled
+    // loop may resume right at the limit, without having read its sockets.
     const bool had_round = this->rounds > 0 && late < kPunctual;
     if (had_round || this->rounds == kMostRounds) {
       return std::nullopt;
@@ -43,11 +42,11 @@
   }
 
  private:
-  // A loop that is not short of time fires its timers within this.
+  // The maximum lateness of the timers of a loop that is not overloaded.
   static constexpr Milliseconds kPunctual{15};
-  // These bound how long a silent peer can go unnoticed beyond its limit. A
-  // call takes three rounds of the loop: to connect or write, to read the head
-  // and to read the body.
+  // These two bound how far beyond the limit a silent peer goes undetected. A
+  // call takes three rounds of the loop: to connect or write, to read the
+  // headers and to read the body.
   static constexpr Milliseconds kLongestRound{250};
   static constexpr int kMostRounds = 4;
 
--- a/libraries/base/result_code.h
+++ b/libraries/base/result_code.h
@@ -8,12 +8,12 @@
 
 namespace sumac {
 
-// What a result says about the caller's request: it ran, it did not run, or
-// nobody can tell. kNotRun is a promise: no byte of the request reached a
-// minion, or the minion itself declined.
+// Whether the caller's request was run, according to its result: it ran, it did
+// not run, or that is unknown. kNotRun guarantees that no byte of the request
+// reached a minion, or that the minion itself declined it.
 enum class RunEffect { kRan, kNotRun, kUnknown, kNotARequest };
 
-// Every numbered result that leaves the system through any door. Numbers are
+// Every numbered result that the system returns to the outside. Numbers are
 // never reused. 1xxx callers, 2xxx operators, 3xxx settings, 4xxx storage, 5xxx
 // processes.
 enum class ResultCode : std::uint16_t {
@@ -79,22 +79,22 @@
   ResultCode code;
   // The name used in logs and in docs/RESULTS.md.
   std::string_view name;
-  // The HTTP status that carries this result at the caller's door.
+  // The HTTP status with which a caller receives this result.
   int http_status;
   RunEffect effect;
-  // One sentence for an operator.
+  // An explanation in one sentence, for operators.
   std::string_view meaning;
 };
 
-// The whole table in ascending order of number; docs/RESULTS.md is checked
-// against it by a test.
+// Returns the whole table in ascending order of number. A test checks that
+// docs/RESULTS.md matches it.
 std::span<const ResultInfo> ResultTable();
 
-// The row for `code`. Every enumerator has a row.
+// Returns the row for `code`. Every enumerator has a row.
 const ResultInfo& InfoFor(ResultCode code);
 
-// The word for a run effect as it stands in answers and docs: ran, not-run,
-// unknown or none.
+// Returns the name of a run effect in answers and docs: ran, not-run, unknown
+// or none.
 std::string_view NameOf(RunEffect effect);
 
 }  // namespace sumac
--- a/libraries/base/scope_guard.h
+++ b/libraries/base/scope_guard.h
@@ -8,7 +8,7 @@
 
 namespace sumac {
 
-// Runs `cleanup` when the scope ends, unless released before.
+// Runs `cleanup` at the end of the scope unless Release was called.
 template <typename Cleanup>
 class ScopeGuard {
  public:
@@ -21,7 +21,7 @@
     }
   }
 
-  // Leaves the scope without the clean-up.
+  // Cancels the clean-up.
   void Release() { this->is_armed = false; }
 
  private:
@@ -46,7 +46,7 @@
     }
   }
 
-  // The number the kernel knows it by, or -1.
+  // Returns the descriptor's number, or -1 if none is owned.
   int get() const { return this->descriptor; }
 
   // True while a descriptor is owned.
--- a/libraries/base/strong_type.h
+++ b/libraries/base/strong_type.h
@@ -10,7 +10,7 @@
 namespace sumac {
 
 // A value of type `Value` that can't be mixed up with one of another `Tag`. It
-// compares and hashes like the value and converts only when asked.
+// compares and hashes like the value and converts only explicitly.
 template <typename Value, typename Tag>
 class StrongType {
  public:
@@ -23,7 +23,7 @@
 
   constexpr auto operator<=>(const StrongType&) const = default;
 
-  // The next value in order, for counters such as terms and log positions.
+  // Returns the next value, for counters such as terms and log indices.
   constexpr StrongType Next() const requires std::integral<Value> {
     return StrongType(this->inner + 1);
   }
--- a/libraries/base/text.h
+++ b/libraries/base/text.h
@@ -12,8 +12,9 @@
 
 namespace sumac {
 
-// NOTE: Debian builds Abseil for C++14, where absl::string_view is a type of
-// its own. These few functions let the rest of the code use std::string_view.
+// NOTE: Debian builds Abseil for C++14, where absl::string_view is not
+// std::string_view. The functions in this file let the rest of the code use
+// std::string_view.
 
 inline absl::string_view ToAbsl(std::string_view text) {
   return absl::string_view(text.data(), text.size());
@@ -48,7 +49,7 @@
   absl::StrAppend(text, internal::ToPiece(pieces)...);
 }
 
-// Reads a whole decimal number; false for anything else.
+// Parses a decimal integer; returns false for any other text.
 template <std::integral Number>
 bool ParseNumber(std::string_view text, Number* number) {
   return absl::SimpleAtoi(ToAbsl(text), number);
--- a/libraries/base/time.h
+++ b/libraries/base/time.h
@@ -14,14 +14,13 @@
 // stored or sent.
 using WallTime = std::chrono::sys_time<Milliseconds>;
 
-// Time of one process since some start; for timeouts and leases that one
-// process measures alone. It goes on while the machine is suspended, as the
-// other machines' time does.
+// Monotonic time of one process since an arbitrary start, for timeouts and
+// leases that this process alone measures. It advances while the machine is
+// suspended, as the time of the other machines does.
 using SteadyTime =
     std::chrono::time_point<std::chrono::steady_clock, Milliseconds>;
 
-// A source of both times. The real one is SystemClock; tests pass a
-// ManualClock.
+// A source of both times: SystemClock in production, ManualClock in tests.
 template <typename T>
 concept Clock = requires(const T& clock) {
   { clock.Now() } -> std::same_as<WallTime>;
@@ -38,8 +37,8 @@
   }
 
   // The steady time.
-  // NOTE: Not std::chrono::steady_clock, which stands still while the machine
-  // is suspended: a leader that wakes would believe in leases that have ended.
+  // NOTE: Not from std::chrono::steady_clock, which stops while the machine is
+  // suspended: a leader would count expired leases as valid after the resume.
   SteadyTime SteadyNow() const {
     std::timespec reading{};
     clock_gettime(CLOCK_BOOTTIME, &reading);
@@ -49,7 +48,7 @@
   }
 };
 
-// A clock that moves only when told to; for tests and benchmarks.
+// A clock that advances only on request; for tests and benchmarks.
 class ManualClock {
  public:
   // The wall-clock time, which starts in 2026.
@@ -60,7 +59,7 @@
   // The steady time, which starts at zero.
   SteadyTime SteadyNow() const { return SteadyTime(this->elapsed); }
 
-  // Moves both times on by `step`.
+  // Advances both times by `step`.
   void Advance(Milliseconds step) { this->elapsed += step; }
 
  private:
--- a/libraries/base/try.h
+++ b/libraries/base/try.h
@@ -28,8 +28,8 @@
 }  // namespace sumac::internal
 
 // Evaluates an expression of type absl::Status or absl::StatusOr<T>. On an
-// error the enclosing function returns that error, else the value of the whole
-// is the T (or nothing for a Status).
+// error the enclosing function returns that error; otherwise the value of the
+// TRY expression is the T (void for a Status).
 #define TRY(...)                                       \
   ({                                                   \
     auto try_result = (__VA_ARGS__);                   \
--- a/libraries/base/verify.h
+++ b/libraries/base/verify.h
@@ -7,7 +7,7 @@
 
 namespace sumac::internal {
 
-// Prints the broken invariant and stops the process; it never returns.
+// Prints the broken invariant and aborts the process.
 [[noreturn]] inline void FailVerification(const char* condition,
                                           const char* file,
                                           int line) {
@@ -17,9 +17,9 @@
 
 }  // namespace sumac::internal
 
-// Stops the process when an invariant of the program itself is broken. It is
-// kept in release builds: state that breaks an invariant must not be replicated
-// or acted on.
+// Aborts the process when an invariant of the program itself is broken, in
+// release builds too: state that breaks an invariant must not be replicated or
+// acted on.
 #define VERIFY(condition)                                                  \
   do {                                                                     \
     if (!(condition)) [[unlikely]] {                                       \
--- a/libraries/base/version.h
+++ b/libraries/base/version.h
@@ -6,7 +6,7 @@
 
 namespace sumac {
 
-// The version of both programs; the same as in the root CMakeLists.txt.
+// The version of both programs, equal to the one in the root CMakeLists.txt.
 inline constexpr std::string_view kVersion = "0.1.0";
 
 }  // namespace sumac
--- a/tests/libraries/base/descriptor_shares_test.cc
+++ b/tests/libraries/base/descriptor_shares_test.cc
@@ -11,9 +11,9 @@
 namespace sumac {
 namespace {
 
-// A controller of 1,100 workers ended by itself: "snapshot ...: open: Too many
-// open files", with some 4,100 of 4,324 descriptors on connections to workers.
-// Nothing had kept any back for its disk.
+// Guards against connections to workers using up the descriptors that the disk
+// needs. A controller with 1,100 workers had some 4,100 of 4,324 descriptors on
+// such connections and ended with "snapshot ...: open: Too many open files".
 TEST(DescriptorSharesTest, TheSharesNeverExceedTheLimitAndDiskAndPeersAreKept) {
   for (const std::size_t limit : {128U, 256U, 1'024U, 4'324U, 20'000U}) {
     const auto shares = ShareDescriptors(limit);
@@ -25,9 +25,9 @@
     EXPECT_GE(shares->peers, 12U) << limit;
     EXPECT_GE(shares->doors, 24U) << limit;
   }
-  // Of which a platform keeps 200 for files outside the disk folder.
+  // A platform keeps up to 200 of these for files outside the data folder.
   EXPECT_GE(ShareDescriptors(4'324)->process, 200U);
-  // Room for a renewal's connection and an order's to each of 1,100 workers.
+  // One connection for renewals and one for orders to each of 1,100 workers.
   EXPECT_GE(ShareDescriptors(4'324)->outgoing, 2'200U);
 }
 
--- a/tests/libraries/base/response_limit_test.cc
+++ b/tests/libraries/base/response_limit_test.cc
@@ -10,10 +10,10 @@
 constexpr Milliseconds kLimit{400};
 constexpr Milliseconds kLastRound{15};
 
-// A loop that stood still may come back right at the limit: that its timer is
-// punctual does not say that it has read. With an answer in the socket and the
-// loop back 3, 7 or 11 ms after the limit the answer was given up, 5 of 5 times
-// each.
+// A stalled loop may resume right at the limit, so that its timer is punctual
+// although its sockets were not read. Guards against giving up an answer that
+// is in the socket: that happened in 5 of 5 trials each with a loop that
+// resumed 3, 7 or 11 ms after the limit.
 TEST(ResponseLimitTest, APunctualTimerGivesTheLoopOneRoundToRead) {
   for (const Milliseconds late : {Milliseconds(0), Milliseconds(5)}) {
     ResponseLimit limit(kLimit, kBegin);
@@ -23,7 +23,8 @@
   }
 }
 
-// A loop's timers count from its last round, so they may fire early.
+// A loop's timers count from the start of its last round, so they may fire
+// early.
 TEST(ResponseLimitTest, AnEarlyTimerWaitsForTheRest) {
   ResponseLimit limit(kLimit, kBegin);
   EXPECT_EQ(limit.WaitMore(kBegin + Milliseconds(350)), Milliseconds(50));
@@ -31,8 +32,8 @@
   EXPECT_FALSE(limit.WaitMore(kBegin + kLimit + kLastRound));
 }
 
-// The loop stood still for 120 ms: it must read what came meanwhile before it
-// gives the answer up.
+// After a stall of 120 ms the loop must read the bytes that arrived meanwhile
+// before it gives the answer up.
 TEST(ResponseLimitTest, ALateTimerGivesTheLoopOneMoreRound) {
   ResponseLimit limit(kLimit, kBegin);
   const SteadyTime fired = kBegin + kLimit + Milliseconds(120);
@@ -40,9 +41,10 @@
   EXPECT_FALSE(limit.WaitMore(fired + Milliseconds(121)));
 }
 
-// The timers of a busy loop were punctual to 30 ms while what had come lay in
-// its sockets for 420 ms: it looks at its timers between any two sockets. A
-// renewal's answer may be 400 ms late, so sound workers counted as silent.
+// The timers of a busy loop may be punctual to 30 ms while received bytes wait
+// in its sockets for 420 ms, since it checks its timers between any two
+// sockets. The answer to a renewal may be 400 ms late, so healthy workers
+// counted as silent.
 TEST(ResponseLimitTest, ALoopThatReadsLateGetsMoreRoundsForAPunctualTimer) {
   ResponseLimit limit(kLimit, kBegin);
   SteadyTime fired = kBegin + kLimit;
@@ -52,8 +54,8 @@
   EXPECT_FALSE(limit.WaitMore(fired + Milliseconds(200), Milliseconds(2)));
 }
 
-// A process that was stopped for long does not wait for as long again, and one
-// that is always late gives up at last.
+// A process that was stopped for a long time must not wait as long again, and
+// one that is always late must give up eventually.
 TEST(ResponseLimitTest, TheRoundsAreBounded) {
   ResponseLimit limit(kLimit, kBegin);
   SteadyTime fired = kBegin + kLimit + Milliseconds(9'000);
--- a/tests/libraries/base/suspended_machine_test.cc
+++ b/tests/libraries/base/suspended_machine_test.cc
@@ -17,7 +17,7 @@
 constexpr Milliseconds kLongestWait{1'000};
 constexpr const char* kAddress = "127.0.7.38:18738";
 
-// A connection to a door that leaves the path /hang unanswered.
+// A connection to a listener that leaves requests to the path /hang unanswered.
 struct Parts {
   Parts()
       : io(kj::setupAsyncIo()),
@@ -70,7 +70,7 @@
   EXPECT_EQ(parts->arrived, 1);
 }
 
-// The order's turn has come, and its connection is being opened.
+// The machine is suspended while the connection for the order is being opened.
 TEST(SuspendedMachineTest, AnOrderIsNotSentOverAConnectionOpenedMeanwhile) {
   auto parts = std::make_unique<Parts>();
   auto order = parts->connection.Call(
