--- a/libraries/log/bounded_writer.cc
+++ b/libraries/log/bounded_writer.cc
@@ -11,7 +11,7 @@
 
 namespace sumac {
 
-// NOTE: A pipe that poll(2) calls writable takes PIPE_BUF bytes without
+// NOTE: A pipe that poll(2) reports as writable accepts PIPE_BUF bytes without
 // blocking (POSIX, write). Making the descriptor non-blocking instead would
 // change it for every process that shares it.
 bool BoundedWriter::IsWritable() const {
@@ -45,8 +45,8 @@
       continue;
     }
     if (written <= 0) {
-      // The reader is gone or the disk is full: the lines have no place to go,
-      // and a log line about that has none either.
+      // The reader is gone or the disk is full: the lines can't be written, and
+      // neither can a log line about that.
       this->dropped += this->lines.size();
       this->lines.clear();
       this->first_offset = 0;
--- a/libraries/log/bounded_writer.h
+++ b/libraries/log/bounded_writer.h
@@ -9,23 +9,23 @@
 
 namespace sumac {
 
-// Writes lines to a file descriptor without ever waiting for whoever reads it:
-// lines that can't go out at once are kept up to a bound, later ones are
-// dropped and counted. Not safe to use from several threads at once.
+// Writes lines to a file descriptor without blocking on a slow reader: lines
+// that can't be written at once are buffered up to a maximum size, and further
+// lines are dropped and counted. Not thread-safe.
 class BoundedWriter {
  public:
-  // The descriptor must outlive the writer. At most `most_bytes` are kept.
+  // The descriptor must outlive the writer. At most `most_bytes` are buffered.
   BoundedWriter(int descriptor, std::size_t most_bytes)
       : descriptor(descriptor), most_bytes(most_bytes) {}
 
-  // Takes a line without its end, and writes what can be written now. False if
-  // the line was dropped.
+  // Adds a line, given without its line end, and writes what can be written
+  // now. Returns false if the line was dropped.
   bool WriteLine(const std::string& line);
 
-  // Writes what can be written now.
+  // Writes as much of the buffer as can be written without blocking.
   void Flush();
 
-  // Lines dropped since the last call.
+  // Returns the number of lines dropped since the last call.
   std::uint64_t TakeDropCount();
 
   std::size_t waiting_bytes() const { return this->kept_bytes; }
@@ -36,7 +36,7 @@
   int descriptor;
   std::size_t most_bytes;
   std::deque<std::string> lines;
-  // What of the first line has gone out.
+  // The number of bytes of the first line that have been written.
   std::size_t first_offset = 0;
   std::size_t kept_bytes = 0;
   std::uint64_t dropped = 0;
--- a/libraries/log/event_rate.h
+++ b/libraries/log/event_rate.h
@@ -12,8 +12,8 @@
 
 namespace sumac {
 
-// Bounds how many lines of each kind are written in a second, and counts those
-// that were left out. Pure.
+// Limits the number of lines of each kind per second and counts the lines that
+// were left out. Reads no clock.
 class EventRate {
  public:
   using Counts = std::map<std::string, std::uint64_t, std::less<>>;
@@ -21,11 +21,11 @@
   explicit EventRate(std::uint64_t most_per_second)
       : most_per_second(most_per_second) {}
 
-  // True if a line of this kind may be written now.
+  // Returns true if a line of this kind may be written now.
   bool Admit(std::string_view event, SteadyTime now);
 
-  // The lines left out by kind, once the second in which that happened is
-  // over; else nothing.
+  // Returns the number of lines left out by kind once the second in which they
+  // were left out is over, and resets it. Returns an empty map before that.
   Counts TakeLeftOut(SteadyTime now);
 
  private:
--- a/libraries/log/json_log.cc
+++ b/libraries/log/json_log.cc
@@ -20,10 +20,12 @@
 namespace sumac {
 namespace {
 
-// Bytes of lines that may wait for a slow reader: some seconds of a busy
-// leader's lines, and little beside the memory of a process.
+// The maximum size of the lines that are buffered for a slow reader, in bytes:
+// some seconds of a busy leader's lines, and small beside the memory of a
+// process.
 constexpr std::size_t kMostWaitingBytes = 1U << 20;
-// Lines of one kind in a second. A busy leader writes some tens.
+// The maximum number of lines of one kind per second. A busy leader writes some
+// tens.
 constexpr std::uint64_t kMostLinesPerSecond = 200;
 constexpr const char* kDropEvent = "log-lines-dropped";
 
@@ -55,7 +57,7 @@
   return "info";
 }
 
-// Hands whole lines to a BoundedWriter.
+// A log4cxx appender that writes whole lines to a BoundedWriter.
 class BoundedAppender : public log4cxx::AppenderSkeleton {
  public:
   explicit BoundedAppender(int descriptor)
@@ -83,7 +85,7 @@
   BoundedWriter writer;
 };
 
-// What all log lines of the process share.
+// The state of the log, one for the whole process.
 struct LogState {
   std::string process;
   std::shared_ptr<BoundedAppender> appender;
@@ -91,14 +93,16 @@
   EventRate rate{kMostLinesPerSecond};
 };
 
-// NOTE: Never destroyed: log4cxx takes its memory pools down when the process
-// ends, and an appender that outlives them crashes in its destructor.
+// NOTE: The state is never destroyed: log4cxx destroys its memory pools when
+// the process ends, and the destructor of an appender that outlives them
+// crashes.
 LogState& State() {
   static LogState& state = *new LogState;
   return state;
 }
 
-// The descriptor of the file at `path`, or of standard output for none.
+// Opens the log file at `path`. Returns the descriptor of standard output if
+// `path` is empty or can't be opened.
 int OpenLog(const std::string& path) {
   constexpr mode_t kReadableByAll = 0644;
   if (path.empty()) {
@@ -106,7 +110,7 @@
   }
   const int opened = ::open(
       path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, kReadableByAll);
-  // NOTE: It stays open until the process ends.
+  // NOTE: The descriptor stays open until the process ends.
   return opened < 0 ? STDOUT_FILENO : opened;
 }
 
@@ -122,7 +126,7 @@
       fields.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
 }
 
-// Says how many lines were left out since the last time.
+// Logs the number of lines left out since the last report.
 void ReportDrops(SteadyTime now) {
   LogState& state = State();
   EventRate::Counts left_out;
--- a/libraries/log/json_log.h
+++ b/libraries/log/json_log.h
@@ -15,21 +15,21 @@
 // Parses debug, info, warning or error; anything else is kInfo.
 LogLevel ParseLogLevel(std::string_view name);
 
-// Sends log lines to `path`, or to standard output when it is empty. Each line
-// is one JSON object with the fields at (RFC 3339, UTC), level, process and
-// event beside those given.
+// Starts to write log lines to the file at `path`, or to standard output if
+// `path` is empty. Each line is one JSON object with the fields at (RFC 3339,
+// UTC), level, process and event beside those of the call.
 void StartLogging(const ProcessName& process,
                   const std::string& path,
                   LogLevel lowest);
 
 // Writes one line. `event` names what happened in kebab-case; `fields` is a
-// JSON object. Safe to call from any thread; never waits for a reader. Lines
-// below the lowest level are left out, and so are those beyond the bounds on
-// lines a second of one kind and on bytes that wait to be written; a line
-// log-lines-dropped counts the latter two.
+// JSON object. Thread-safe; never blocks on a slow reader. Lines below the
+// lowest level are left out. Lines above the maximum of one kind per second, or
+// above the maximum of buffered bytes, are left out too, and a line
+// log-lines-dropped reports their number.
 void LogEvent(LogLevel level, std::string_view event, nlohmann::json fields);
 
-// Writes what waits and can be written now.
+// Writes as much of the buffered lines as can be written without blocking.
 void FlushLog();
 
 }  // namespace sumac
--- a/tests/libraries/log/bounded_writer_test.cc
+++ b/tests/libraries/log/bounded_writer_test.cc
@@ -13,7 +13,7 @@
 namespace sumac {
 namespace {
 
-// A pipe whose reader reads when told to.
+// A pipe whose reader reads only on request.
 class Pipe {
  public:
   Pipe() {
@@ -51,8 +51,8 @@
   EXPECT_EQ(writer.waiting_bytes(), 0U);
 }
 
-// Writing to a pipe that nobody reads would block for good; this test would
-// hang.
+// A blocking write to a pipe that nobody reads would never return, and this
+// test would hang.
 TEST(BoundedWriterTest, ASilentReaderIsNotWaitedFor) {
   constexpr std::size_t kBound = 10'000;
   Pipe pipe;
