--- a/libraries/statechart/chart.cc
+++ b/libraries/statechart/chart.cc
@@ -16,7 +16,7 @@
 constexpr ReaderCodes kChartCodes{ResultCode::kChartInvalid,
                                   ResultCode::kChartInvalid};
 
-// The file as it stands.
+// The content of a chart file.
 struct ChartFile {
   std::string chart;
   std::string initial;
--- a/libraries/statechart/chart.h
+++ b/libraries/statechart/chart.h
@@ -14,14 +14,14 @@
 
 namespace sumac {
 
-// One state as the chart file describes it.
+// One state of the chart file.
 struct ChartState {
-  // What this state counts as, e.g. "available"; the code asks by tag and not
-  // by state.
+  // The properties of this state, e.g. "available"; the code checks tags rather
+  // than states.
   std::set<std::string> tags;
-  // The next state by event.
+  // The next state, by event.
   std::map<std::string, std::string> on;
-  // True where the thing described needs no way out.
+  // True for a state that has no outgoing transitions.
   bool is_final = false;
 
   template <typename Self, typename Visitor>
@@ -32,13 +32,13 @@
   }
 };
 
-// A state chart read from a file in charts/. The file holds states, events and
-// what follows what; the code holds what is done on the way.
+// A state chart read from a file in charts/. The file defines the states,
+// events and transitions; the code defines the actions of the transitions.
 class Chart {
  public:
-  // Reads and validates a chart: the initial state exists, each target exists,
-  // each state can be reached, each listed event is used and no other is, each
-  // state but a final one has a way out.
+  // Parses and validates a chart: the initial state and the target of each
+  // transition exist, each state is reachable, exactly the listed events are
+  // used, and exactly the final states have no outgoing transitions.
   static absl::StatusOr<Chart> Create(const nlohmann::json& json,
                                       std::string_view source);
 
@@ -48,23 +48,23 @@
   // The chart's name.
   const std::string& name() const { return this->chart_name; }
 
-  // The state in which everything starts.
+  // The initial state.
   const std::string& initial() const { return this->initial_state; }
 
-  // The state after `event` in `state`. An unknown state or event, or an event
-  // that the state doesn't take, is the error kWrongState, which names the
-  // events that it does take.
+  // Returns the state after `event` in `state`. Fails with kWrongState for an
+  // unknown state, and for an event that is unknown or has no transition from
+  // `state`; the message then lists the events that have one.
   absl::StatusOr<std::string> Next(std::string_view state,
                                    std::string_view event) const;
 
-  // True if `state` carries `tag`.
+  // Returns true if `state` has the tag `tag`.
   bool HasTag(std::string_view state, std::string_view tag) const;
 
-  // Checks that the chart's states are just those in `names`, the states that
-  // the code knows.
+  // Checks that the chart's states are exactly those in `names`, the states
+  // that the code defines.
   absl::Status CheckStates(const std::set<std::string>& names) const;
 
-  // The chart as a Mermaid state diagram, for the docs.
+  // Returns the chart as a Mermaid state diagram, for the docs.
   std::string ToMermaid() const;
 
  private:
--- a/libraries/wire/replication_codec.cc
+++ b/libraries/wire/replication_codec.cc
@@ -47,7 +47,7 @@
   }
 }
 
-// Writes each kind of body into its group of the message.
+// Writes a body into the group for its type in the message.
 struct BodyWriter {
   ReplicaMessage::Builder builder;
 
@@ -156,7 +156,8 @@
     case ReplicaMessage::TIMEOUT_NOW:
       return TimeoutNow{};
   }
-  // A newer program's message: harmless as an answer that grants nothing.
+  // A message of an unknown type, from a newer program. It is read as an answer
+  // that grants no vote, which has no effect.
   return VoteAnswer{};
 }
 
--- a/libraries/wire/replication_codec.h
+++ b/libraries/wire/replication_codec.h
@@ -7,8 +7,8 @@
 
 namespace sumac::wire {
 
-// Conversions between the replication types and their Cap'n Proto form. Reading
-// never fails for a well-formed message; Cap'n Proto itself throws
+// Conversions between the replication types and their Cap'n Proto structs.
+// Reading never fails for a well-formed message; Cap'n Proto itself throws
 // kj::Exception for a malformed one.
 
 void WriteMembership(const replication::Membership& membership,
@@ -26,16 +26,16 @@
                   ReplicaMessage::Builder builder);
 replication::Message ReadMessage(ReplicaMessage::Reader reader);
 
-// A message as packed bytes and back; reading throws kj::Exception for
-// malformed bytes.
+// Converts a message to packed bytes and back. UnpackMessage throws
+// kj::Exception for malformed bytes.
 std::string PackMessage(const replication::Message& message);
 replication::Message UnpackMessage(capnp::Data::Reader bytes);
 
-// The text of a Cap'n Proto Text or the bytes of a Data field.
+// Returns the text of a Cap'n Proto Text field or the bytes of a Data field.
 std::string ToString(capnp::Text::Reader text);
 std::string ToString(capnp::Data::Reader data);
 
-// The bytes of a string as Cap'n Proto Data.
+// Returns the bytes of a string as Cap'n Proto Data, without copying them.
 capnp::Data::Reader ToData(const std::string& bytes);
 
 }  // namespace sumac::wire
--- a/tests/libraries/statechart/chart_test.cc
+++ b/tests/libraries/statechart/chart_test.cc
@@ -26,7 +26,7 @@
   return std::string(chart.status().message());
 }
 
-// The good chart with one text replaced.
+// Returns the valid chart with the first occurrence of `from` replaced.
 std::string With(const std::string& from, const std::string& to) {
   std::string text = kGood;
   const std::size_t place = text.find(from);
