--- a/libraries/base/descriptor_shares.cc
+++ b/libraries/base/descriptor_shares.cc
@@ -11,8 +11,9 @@
 namespace sumac {
 namespace {
 
-// The limit where the operating system sets none or a higher one. A process has
-// no processor time for more connections than this.
+// The limit where the operating system sets none or a higher one. It keeps the
+// sums of shares small, and a process has no processor time for more
+// connections than this.
 constexpr std::size_t kMostDescriptors = 1U << 20;
 // The minimum for a group of five controllers, a dozen callers and a few
 // workers.
--- a/libraries/codec/cbor_cursor.cc
+++ b/libraries/codec/cbor_cursor.cc
@@ -10,7 +10,8 @@
 constexpr unsigned kLargestInHead = 23;
 constexpr unsigned kLargestSizeCode = 27;
 constexpr int kBitsOfByte = 8;
-// A simple value in a byte of its own, which no writer here uses.
+// The code of a simple value in a separate byte, an encoding that CborWriter
+// doesn't use.
 constexpr unsigned kSimpleInByte = 24;
 
 bool IsKnown(unsigned type) {
@@ -65,8 +66,9 @@
   return text;
 }
 
-// NOTE: Counts items in place of recursion, so that no bytes can use up the
-// stack. Each item takes a byte at least, which bounds what is counted.
+// NOTE: Counts the remaining items rather than recursing, so that no input can
+// overflow the stack. Each item takes at least one byte, so the number of bytes
+// bounds the count.
 bool CborCursor::Skip() {
   std::uint64_t items = 1;
   while (items > 0) {
--- a/libraries/codec/cbor_cursor.h
+++ b/libraries/codec/cbor_cursor.h
@@ -11,31 +11,31 @@
 
 namespace sumac::internal {
 
-// The first bytes of an item.
+// The head of an item (RFC 8949, section 3).
 struct CborHead {
   CborType type = CborType::kUnsigned;
-  // Its number or size; of a simple value, which one it is, or the bits of a
-  // floating-point number.
+  // The value of a number, the size of a text, array or map, the code of a
+  // simple value, or the bits of a floating-point number.
   std::uint64_t number = 0;
 };
 
-// Reads items one after the other from bytes that outlive it. Knows the forms
-// that our own writer uses; anything else reads as nothing, and the caller
-// turns to a parser that knows them all.
+// Reads items one after the other from bytes that must outlive the cursor. It
+// supports only the encodings that CborWriter uses and returns nullopt for any
+// other; the caller then falls back on a complete parser.
 class CborCursor {
  public:
   explicit CborCursor(std::string_view bytes) : rest(bytes) {}
 
   bool is_at_end() const { return this->rest.empty(); }
-  // What has not been read.
+  // The bytes that have not been read.
   std::string_view remaining() const { return this->rest; }
 
-  // Takes the head of the next item.
+  // Reads the head of the next item.
   std::optional<CborHead> ReadHead();
-  // The next item, which must be a text.
+  // Reads the next item, which must be a text.
   std::optional<std::string_view> ReadText();
-  // Passes over the next item with all that is in it; false if it can't be
-  // read.
+  // Skips the next item with everything nested in it. Returns false if it can't
+  // be read.
   bool Skip();
 
  private:
--- a/libraries/codec/cbor_reader.cc
+++ b/libraries/codec/cbor_reader.cc
@@ -21,7 +21,8 @@
   return true;
 }
 
-// NOTE: Of fields with one name the last counts, as in a tree.
+// NOTE: If several fields have the same name, the last one counts, as in a JSON
+// tree.
 std::optional<std::string_view> CborFields::Find(std::string_view name) const {
   for (std::size_t place = this->count; place > 0; --place) {
     if (this->fields[place - 1].first == name) {
--- a/libraries/codec/cbor_reader.h
+++ b/libraries/codec/cbor_reader.h
@@ -22,19 +22,20 @@
 
 namespace sumac::internal {
 
-// Reads the next item. False if it is not as expected; the cursor and the value
-// are of no use then.
+// Reads the next item into `value`. Returns false if the item doesn't have the
+// expected type or encoding; the cursor and the value must not be used then.
 template <typename T>
 bool ReadCborValue(CborCursor& cursor, T& value, Limits limits);
 
-// Where the fields of one record are.
+// The names of the fields of one encoded record and the bytes of their values.
 class CborFields {
  public:
-  // Reads a whole map; false if it can't, or if the map has more fields than
-  // any record of ours.
+  // Reads a whole map. Returns false if it can't be read or has more than
+  // kMostFields fields; no record of this system has more.
   bool Read(CborCursor& cursor);
 
-  // The bytes of a field's value; nothing if the record lacks it.
+  // Returns the bytes of a field's value, or nullopt if the record doesn't have
+  // the field.
   std::optional<std::string_view> Find(std::string_view name) const;
 
  private:
@@ -44,7 +45,7 @@
   std::size_t count = 0;
 };
 
-// Reads each described field.
+// A visitor for Describe functions that reads each field of a record.
 class CborReader {
  public:
   explicit CborReader(const CborFields& fields) : fields(fields) {}
@@ -216,7 +217,7 @@
   } else if constexpr (std::is_same_v<T, nlohmann::json>) {
     return ReadCborTree(cursor, value);
   } else {
-    // Rare enough for a tree.
+    // Other types are rare; FromCbor reads them by way of a JSON tree.
     return false;
   }
 }
@@ -225,9 +226,10 @@
 
 namespace sumac {
 
-// Reads a T from CBOR that one of our own processes wrote, without a tree. What
-// is not as our writer writes it is read once more by way of one, which knows
-// all forms and says what is wrong.
+// Reads a T from CBOR that another process of this system wrote, without
+// building a JSON tree. Bytes that differ from the output of CborWriter are
+// read again by way of a JSON tree, which supports all encodings and gives
+// exact error messages.
 template <typename T>
 absl::StatusOr<T> FromCbor(std::string_view bytes, std::string_view source) {
   {
--- a/libraries/codec/cbor_writer.h
+++ b/libraries/codec/cbor_writer.h
@@ -31,8 +31,8 @@
 inline constexpr char kCborTrue = '\xf5';
 inline constexpr char kCborNull = '\xf6';
 
-// Adds the first bytes of an item: its type and its number, in the shortest
-// form.
+// Appends the head of an item, its type and its number, in the shortest
+// encoding.
 void WriteCborHead(CborType type, std::uint64_t number, std::string& bytes);
 
 inline void WriteCborText(std::string_view text, std::string& bytes) {
@@ -43,7 +43,7 @@
 template <typename T>
 void WriteCborValue(const T& value, std::string& bytes);
 
-// True for a field that is left out since it has no value.
+// Returns true for a field that is left out because it has no value.
 template <typename T>
 bool IsLeftOut(const T& value) {
   if constexpr (kIsOptional<T>) {
@@ -53,7 +53,7 @@
   }
 }
 
-// Counts the fields that CborWriter would write.
+// A visitor that counts the fields that CborWriter writes.
 class CborFieldCounter {
  public:
   template <typename T>
@@ -73,7 +73,7 @@
   std::uint64_t fields = 0;
 };
 
-// Writes each described field.
+// A visitor for Describe functions that writes each field of a record.
 class CborWriter {
  public:
   explicit CborWriter(std::string& bytes) : bytes(bytes) {}
@@ -94,8 +94,7 @@
   std::string& bytes;
 };
 
-// Writes a record, with the name of its type as one more field unless it is
-// empty.
+// Writes a record, with an additional field "type" unless `type_name` is empty.
 template <typename T>
 void WriteCborRecord(const T& record,
                      std::string_view type_name,
@@ -175,8 +174,9 @@
 
 namespace sumac {
 
-// The compact binary form (CBOR, RFC 8949) of `value`, for the log, snapshots
-// and messages. Holds the same as ToJson, and is written without a tree.
+// Returns `value` encoded in CBOR (RFC 8949), a compact binary format, for the
+// log, snapshots and messages. The content is the same as that of ToJson, but
+// no JSON tree is built.
 template <typename T>
 std::string ToCbor(const T& value) {
   std::string bytes;
--- a/libraries/codec/describe.h
+++ b/libraries/codec/describe.h
@@ -21,8 +21,9 @@
 
 namespace sumac {
 
-// A record says once which fields it has, and settings, declarations, log
-// entries, snapshots and JSON output all follow from it:
+// A record lists its fields once, in a function Describe, from which the
+// formats of settings, declarations, log entries, snapshots and JSON output all
+// follow:
 //
 //   template <typename Self, typename Visitor>
 //   static void Describe(Self& self, Visitor& visitor) {
@@ -30,18 +31,17 @@
 //     visitor.Field("slots", self.slots, Limits{1, 1024});
 //   }
 //
-// Field may be missing and then keeps its initial value; Required must be
-// there.
+// A member passed to Field may be missing in the input and keeps its initial
+// value then; a member passed to Required must be present.
 
-// The values a number may take, both ends included; for a duration in
-// milliseconds.
+// The range of a number, both ends included; for a duration in milliseconds.
 struct Limits {
   double lowest = 0;
   double highest = std::numeric_limits<double>::max();
 };
 
-// A visitor that does nothing; it stands for "any visitor" in the concept
-// below.
+// A visitor that does nothing, used to check for a Describe function in the
+// concept Described.
 struct NullVisitor {
   template <typename... Arguments>
   void Field(Arguments&&... /*arguments*/) {}
@@ -55,25 +55,25 @@
   T::Describe(record, visitor);
 };
 
-// One name of an enumerator in JSON.
+// The name of one enumerator in JSON.
 template <typename Enum>
 struct EnumName {
   Enum value;
   std::string_view name;
 };
 
-// Specialized per enum with `static constexpr std::array kNames` of EnumName
-// rows.
+// To be specialized for each enum, with a member `static constexpr std::array
+// kNames` of EnumName rows.
 template <typename Enum>
 struct EnumNames;
 
-// True for an enum whose names are declared.
+// True for an enum with a specialization of EnumNames.
 template <typename T>
 concept NamedEnum = std::is_enum_v<T> && requires {
   EnumNames<T>::kNames;
 };
 
-// The JSON name of `value`.
+// Returns the JSON name of `value`.
 template <NamedEnum Enum>
 std::string_view NameOf(Enum value) {
   for (const auto& row : EnumNames<Enum>::kNames) {
@@ -84,7 +84,8 @@
   return "?";
 }
 
-// The enumerator called `name`, if there is one.
+// Returns the enumerator with the JSON name `name`, or nullopt for an unknown
+// name.
 template <NamedEnum Enum>
 std::optional<Enum> ParseEnum(std::string_view name) {
   for (const auto& row : EnumNames<Enum>::kNames) {
--- a/libraries/codec/json_file.h
+++ b/libraries/codec/json_file.h
@@ -10,10 +10,11 @@
 
 namespace sumac {
 
-// Reads the file at `path` whole; an error has the code kSettingsUnreadable.
+// Reads the whole file at `path`; an error has the code kSettingsUnreadable.
 absl::StatusOr<std::string> ReadTextFile(const std::string& path);
 
-// Reads the JSON file at `path`; an error has the code kSettingsUnreadable.
+// Reads and parses the JSON file at `path`; an error has the code
+// kSettingsUnreadable.
 absl::StatusOr<nlohmann::json> ReadJsonFile(const std::string& path);
 
 }  // namespace sumac
--- a/libraries/codec/json_reader.h
+++ b/libraries/codec/json_reader.h
@@ -18,11 +18,12 @@
 
 namespace sumac {
 
-// Whether a key that no field reads is an error (people's files) or passed over
-// (records that a newer program wrote).
+// Whether a key without a matching field is an error (for files that people
+// write) or ignored (for records that a newer program may have written).
 enum class UnknownKeys { kRefuse, kIgnore };
 
-// Which numbered codes a reader gives, by the door that the JSON came through.
+// The result codes of a reader's errors, which depend on the source of the
+// JSON.
 struct ReaderCodes {
   ResultCode invalid = ResultCode::kMalformedMessage;
   ResultCode unknown_key = ResultCode::kMalformedMessage;
@@ -30,27 +31,28 @@
 
 namespace internal {
 
-// What is shared by all levels of one read: the source's name, the rules and
-// the first error.
+// The state shared by all nesting levels of one read: the name of the source,
+// the rules and the first error.
 struct ReadContext {
   std::string source;
   UnknownKeys unknown_keys = UnknownKeys::kIgnore;
   ReaderCodes codes;
   absl::Status status;
 
-  // Keeps the first error: where it is, what was found and what is allowed.
+  // Records an error, unless one is recorded already: its place, the value
+  // found and the values allowed.
   void Fail(std::string_view path,
             std::string_view found,
             std::string_view allowed);
 
-  // Keeps the first error about a key that nothing reads.
+  // Records an unknown key as the error, unless one is recorded already.
   void FailUnknownKey(std::string_view path);
 };
 
-// A short text of a JSON value for error messages.
+// Returns the JSON text of a value, shortened for error messages.
 std::string Excerpt(const nlohmann::json& value);
 
-// A text like "1 to 64" for error messages.
+// Returns a text like "a whole number from 1 to 64" for error messages.
 std::string LimitsText(Limits limits, bool is_integer);
 
 template <typename T>
@@ -60,7 +62,7 @@
                Limits limits,
                ReadContext& context);
 
-// Reads each described field from one JSON object.
+// A visitor for Describe functions that reads each field from one JSON object.
 class JsonReader {
  public:
   JsonReader(const nlohmann::json& object,
@@ -87,10 +89,10 @@
     this->Field(name, value, limits);
   }
 
-  // Counts a key as known that the caller reads itself.
+  // Marks a key that the caller reads itself as known.
   void Accept(std::string_view name) { this->seen.insert(std::string(name)); }
 
-  // Reports the first key that no field asked for.
+  // Records an error for the first key without a matching field.
   void CheckUnknownKeys();
 
  private:
@@ -270,8 +272,8 @@
 
 }  // namespace internal
 
-// Reads a T from parsed JSON. The error names `source`, the path of the key,
-// what was found and what is allowed.
+// Reads a T from parsed JSON. The error message names `source`, the path of the
+// key, the value found and the values allowed.
 template <typename T>
 absl::StatusOr<T> FromJson(const nlohmann::json& json,
                            std::string_view source,
@@ -287,12 +289,13 @@
   return value;
 }
 
-// Parses JSON text; the error names `source` and the position.
+// Parses JSON text. An error has the code `code`, and its message names
+// `source` and the position.
 absl::StatusOr<nlohmann::json> ParseJson(std::string_view text,
                                          std::string_view source,
                                          ResultCode code);
 
-// Parses CBOR bytes.
+// Parses CBOR bytes into a JSON tree. An error has the code kMalformedMessage.
 absl::StatusOr<nlohmann::json> ParseCbor(std::string_view bytes,
                                          std::string_view source);
 
--- a/libraries/codec/json_writer.h
+++ b/libraries/codec/json_writer.h
@@ -12,15 +12,15 @@
 
 namespace sumac {
 
-// The JSON value of `value`. Durations are numbers of milliseconds, times are
-// milliseconds since the Unix epoch, enums are their names, variants are
-// objects with a key "type".
+// Converts `value` to JSON. Durations are numbers of milliseconds, times are
+// milliseconds since the Unix epoch, enumerators are their names, and variants
+// are objects with a key "type".
 template <typename T>
 nlohmann::json ToJson(const T& value);
 
 namespace internal {
 
-// Writes each described field into one JSON object.
+// A visitor for Describe functions that writes each field into one JSON object.
 class JsonWriter {
  public:
   explicit JsonWriter(nlohmann::json& object) : object(object) {}
--- a/libraries/codec/map_key.h
+++ b/libraries/codec/map_key.h
@@ -12,7 +12,7 @@
 
 namespace sumac::internal {
 
-// The text of a map's key.
+// Returns the text of a map's key.
 template <typename Key>
 std::string KeyText(const Key& key) {
   if constexpr (IsStrongType<Key>) {
@@ -24,7 +24,8 @@
   }
 }
 
-// The number inside a map's key that is one, bare or as a strong type.
+// The integral type of a map's key that is a number or a strong type of one;
+// void for other keys.
 template <typename Key>
 struct KeyNumber {
   using Type = void;
@@ -43,7 +44,7 @@
 template <typename Key>
 inline constexpr bool kHasNumberKey = !std::is_void_v<NumberOf<Key>>;
 
-// Reads a map's key from its text; false for a text that is none.
+// Parses a map's key; returns false for an invalid text.
 template <typename Key>
 bool ParseKey(const std::string& text, Key& key) {
   if constexpr (std::is_same_v<Key, std::string>) {
--- a/tests/libraries/codec/cbor_test.cc
+++ b/tests/libraries/codec/cbor_test.cc
@@ -129,8 +129,8 @@
   return bytes;
 }
 
-// What a reader that builds a tree makes of the bytes: the record as JSON, or
-// the error.
+// Reads the bytes by way of a JSON tree. Returns the record as JSON, or the
+// error message.
 std::string ReadByTree(const std::string& bytes) {
   const absl::StatusOr<nlohmann::json> json = ParseCbor(bytes, "bytes");
   if (!json.ok()) {
@@ -167,7 +167,8 @@
   }
 }
 
-// Bytes that are damaged, or of another writer, read as they did by a tree.
+// Bytes that are damaged, or written by another encoder, must give the same
+// record or error as by way of a JSON tree.
 RC_GTEST_PROP(CborTest, DamagedBytesReadAsByATree, ()) {
   std::string bytes = ToCbor(AnyTree());
   const int changes = *rc::gen::inRange(1, 4);
