--- a/libraries/base/response_limit.h
+++ b/libraries/base/response_limit.h
@@ -22,7 +22,7 @@
   // Returns how much longer to wait, or nullopt if the answer counts as
   // missing. To be called each time the timer has fired. `read_lateness` is the
   // time that received bytes wait until the loop reads them.
-  std::optional<Milliseconds> WaitMore(
+  std::optional<Milliseconds> ExtendWait(
       SteadyTime now,
       Milliseconds read_lateness = Milliseconds(0)) {
     if (now < this->due) {
@@ -31,24 +31,25 @@
     const Milliseconds late = std::max(now - this->due, read_lateness);
     // NOTE: The first timer is not enough, even if it is punctual: a stalled
     // loop may resume right at the limit, without having read its sockets.
-    const bool had_round = this->rounds > 0 && late < kPunctual;
-    if (had_round || this->rounds == kMostRounds) {
+    const bool had_round = this->rounds > 0 && late < kMaxTimerLateness;
+    if (had_round || this->rounds == kMaxRounds) {
       return std::nullopt;
     }
     ++this->rounds;
-    const Milliseconds more = std::clamp(late, kPunctual, kLongestRound);
+    const Milliseconds more =
+        std::clamp(late, kMaxTimerLateness, kMaxRoundTime);
     this->due = now + more;
     return more;
   }
 
  private:
   // The maximum lateness of the timers of a loop that is not overloaded.
-  static constexpr Milliseconds kPunctual{15};
+  static constexpr Milliseconds kMaxTimerLateness{15};
   // These two bound how far beyond the limit a silent peer goes undetected. A
   // call takes three rounds of the loop: to connect or write, to read the
   // headers and to read the body.
-  static constexpr Milliseconds kLongestRound{250};
-  static constexpr int kMostRounds = 4;
+  static constexpr Milliseconds kMaxRoundTime{250};
+  static constexpr int kMaxRounds = 4;
 
   SteadyTime due;
   int rounds = 0;
