--- a/libraries/base/descriptor_shares.cc
+++ b/libraries/base/descriptor_shares.cc
@@ -14,16 +14,16 @@
 // The limit where the operating system sets none or a higher one. It keeps the
 // sums of shares small, and a process has no processor time for more
 // connections than this.
-constexpr std::size_t kMostDescriptors = 1U << 20;
+constexpr std::size_t kMaxDescriptors = 1U << 20;
 // The minimum for a group of five controllers, a dozen callers and a few
 // workers.
-constexpr std::size_t kFewestDescriptors = 128;
+constexpr std::size_t kMinDescriptors = 128;
 // Libraries, locales and name look-ups open some dozens of files for a short
 // time; a platform may keep up to 200 open for them.
-constexpr std::size_t kMostForProcess = 224;
+constexpr std::size_t kMaxForProcess = 224;
 // Two log segments, two snapshots and their folder, and the same number again
 // while they are replaced.
-constexpr std::size_t kMostForDisk = 32;
+constexpr std::size_t kMaxForDisk = 32;
 // The shares of the remaining descriptors, in eighths. Peers are processes of
 // this system, with one connection in each direction; callers and workers that
 // announce themselves keep one connection each; a worker that receives orders
@@ -35,14 +35,14 @@
 }  // namespace
 
 absl::StatusOr<DescriptorShares> ShareDescriptors(std::size_t limit) {
-  if (limit < kFewestDescriptors) {
+  if (limit < kMinDescriptors) {
     return MakeError(ResultCode::kSettingsInvalid,
-                     StrCat("a process needs at least ", kFewestDescriptors,
+                     StrCat("a process needs at least ", kMinDescriptors,
                             " file descriptors and may hold ", limit));
   }
   DescriptorShares shares;
-  shares.process = std::min(kMostForProcess, limit / kEighths);
-  shares.disk = std::min(kMostForDisk, limit / kEighths);
+  shares.process = std::min(kMaxForProcess, limit / kEighths);
+  shares.disk = std::min(kMaxForDisk, limit / kEighths);
   const std::size_t left = limit - shares.process - shares.disk;
   shares.peers = left * kPeerEighths / kEighths;
   shares.doors = left * kDoorEighths / kEighths;
@@ -66,9 +66,9 @@
   rlimit limit{};
   if (::getrlimit(RLIMIT_NOFILE, &limit) != 0 ||
       limit.rlim_cur == RLIM_INFINITY) {
-    return kMostDescriptors;
+    return kMaxDescriptors;
   }
-  return std::min<std::size_t>(limit.rlim_cur, kMostDescriptors);
+  return std::min<std::size_t>(limit.rlim_cur, kMaxDescriptors);
 }
 
 }  // namespace sumac
