--- a/libraries/storage/folder_layout.h
+++ b/libraries/storage/folder_layout.h
@@ -39,7 +39,7 @@
 
   // Applies the next record, read from the file at `path`. Returns
   // kStorageDamaged for an entry that leaves a gap.
-  absl::Status Take(const LogRecord& record, const std::string& path);
+  absl::Status Apply(const LogRecord& record, const std::string& path);
 
   // Returns the highest index of an entry so far, which tells when a segment is
   // covered by a snapshot.
--- a/libraries/storage/log_segment.cc
+++ b/libraries/storage/log_segment.cc
@@ -19,7 +19,7 @@
 constexpr std::size_t kFrameBytes = 8;
 constexpr std::size_t kNumberBytes = 4;
 // The maximum size of a record, in bytes; a larger length counts as damage.
-constexpr std::uint32_t kLargestRecord = 64U << 20;
+constexpr std::uint32_t kMaxRecordBytes = 64U << 20;
 
 struct RecordWriter {
   wire::LogRecord::Builder builder;
@@ -74,15 +74,15 @@
     return std::nullopt;
   }
   const std::uint32_t length = ReadNumber(bytes);
-  const std::uint32_t check = ReadNumber(bytes.substr(kNumberBytes));
-  if (length == 0 || length > kLargestRecord ||
+  const std::uint32_t checksum = ReadNumber(bytes.substr(kNumberBytes));
+  if (length == 0 || length > kMaxRecordBytes ||
       bytes.size() - kFrameBytes < length) {
     return std::nullopt;
   }
   const std::string_view body = bytes.substr(kFrameBytes, length);
   std::string checked(bytes.substr(0, kNumberBytes));
   checked.append(body);
-  if (ChecksumOf(checked) != check) {
+  if (ChecksumOf(checked) != checksum) {
     return std::nullopt;
   }
   return body;
