--- a/tests/libraries/storage/switched_disk.h
+++ b/tests/libraries/storage/switched_disk.h
@@ -52,7 +52,7 @@
   }
   absl::StatusOr<File> OpenForAppend(const std::string& path) {
     TRY(this->CheckRoom());
-    if (this->is_short) {
+    if (this->is_out_of_descriptors) {
       return MakeError(ResultCode::kStorageShort, "too many open files");
     }
     return File(this, TRY(this->inner.OpenForAppend(path)));
@@ -78,7 +78,7 @@
   std::atomic<bool> is_full = false;
   // True while the process has no free file descriptor; no file can be opened
   // then.
-  std::atomic<bool> is_short = false;
+  std::atomic<bool> is_out_of_descriptors = false;
   // The disk itself; to be used only by the thread that uses the disk, or after
   // that thread has ended.
   FakeDisk inner;
