--- a/libraries/log/bounded_writer.h
+++ b/libraries/log/bounded_writer.h
@@ -14,9 +14,9 @@
 // lines are dropped and counted. Not thread-safe.
 class BoundedWriter {
  public:
-  // The descriptor must outlive the writer. At most `most_bytes` are buffered.
-  BoundedWriter(int descriptor, std::size_t most_bytes)
-      : descriptor(descriptor), most_bytes(most_bytes) {}
+  // The descriptor must outlive the writer. At most `max_bytes` are buffered.
+  BoundedWriter(int descriptor, std::size_t max_bytes)
+      : descriptor(descriptor), max_bytes(max_bytes) {}
 
   // Adds a line, given without its line end, and writes what can be written
   // now. Returns false if the line was dropped.
@@ -28,17 +28,17 @@
   // Returns the number of lines dropped since the last call.
   std::uint64_t TakeDropCount();
 
-  std::size_t waiting_bytes() const { return this->kept_bytes; }
+  std::size_t buffered_bytes() const { return this->buffered_byte_count; }
 
  private:
   bool IsWritable() const;
 
   int descriptor;
-  std::size_t most_bytes;
+  std::size_t max_bytes;
   std::deque<std::string> lines;
   // The number of bytes of the first line that have been written.
   std::size_t first_offset = 0;
-  std::size_t kept_bytes = 0;
+  std::size_t buffered_byte_count = 0;
   std::uint64_t dropped = 0;
 };
 
