--- a/libraries/codec/cbor_reader.h
+++ b/libraries/codec/cbor_reader.h
@@ -31,7 +31,7 @@
 class CborFields {
  public:
   // Reads a whole map. Returns false if it can't be read or has more than
-  // kMostFields fields; no record of this system has more.
+  // kMaxFields fields; no record of this system has more.
   bool Read(CborCursor& cursor);
 
   // Returns the bytes of a field's value, or nullopt if the record doesn't have
@@ -39,9 +39,9 @@
   std::optional<std::string_view> Find(std::string_view name) const;
 
  private:
-  static constexpr std::size_t kMostFields = 40;
+  static constexpr std::size_t kMaxFields = 40;
 
-  std::array<std::pair<std::string_view, std::string_view>, kMostFields> fields;
+  std::array<std::pair<std::string_view, std::string_view>, kMaxFields> fields;
   std::size_t count = 0;
 };
 
