--- a/libraries/base/descriptor_shares.cc
+++ b/libraries/base/descriptor_shares.cc
@@ -30,7 +30,7 @@
 // takes up to five.
 constexpr std::size_t kEighths = 8;
 constexpr std::size_t kPeerEighths = 1;
-constexpr std::size_t kDoorEighths = 2;
+constexpr std::size_t kIncomingEighths = 2;
 
 }  // namespace
 
@@ -45,8 +45,8 @@
   shares.disk = std::min(kMaxForDisk, limit / kEighths);
   const std::size_t left = limit - shares.process - shares.disk;
   shares.peers = left * kPeerEighths / kEighths;
-  shares.doors = left * kDoorEighths / kEighths;
-  shares.outgoing = left - shares.peers - shares.doors;
+  shares.incoming = left * kIncomingEighths / kEighths;
+  shares.outgoing = left - shares.peers - shares.incoming;
   return shares;
 }
 
--- a/libraries/base/descriptor_shares.h
+++ b/libraries/base/descriptor_shares.h
@@ -22,7 +22,7 @@
   // Connections between the processes of this system, in both directions.
   std::size_t peers = 0;
   // Incoming connections to the listeners of this process.
-  std::size_t doors = 0;
+  std::size_t incoming = 0;
   // Outgoing connections to workers and to the platform.
   std::size_t outgoing = 0;
 };
--- a/libraries/storage/log_segment.h
+++ b/libraries/storage/log_segment.h
@@ -14,7 +14,7 @@
 namespace sumac::storage {
 
 // The format of a log segment, version 1: an 8-byte header ("SUMACLG" and the
-// version byte), then records of [length: 4 bytes][check: 4 bytes, CRC-32 of
+// version byte), then records of [length: 4 bytes][checksum: 4 bytes, CRC-32 of
 // length and body][body]. Numbers are little-endian; the body is a Cap'n Proto
 // LogRecord (schemas/replication.capnp).
 inline constexpr std::string_view kSegmentHeader =
--- a/services/sumacd/node_daemon.cc
+++ b/services/sumacd/node_daemon.cc
@@ -190,7 +190,7 @@
   LogEvent(LogLevel::kInfo, "descriptors-shared",
            {{"disk", this->shares.disk},
             {"peers", this->shares.peers},
-            {"doors", this->shares.doors},
+            {"doors", this->shares.incoming},
             {"outgoing", this->shares.outgoing}});
   if (this->settings.is_controller()) {
     TRY(this->StartController());
@@ -236,7 +236,7 @@
       this->control_door,
       http::DoorSettings{.address = this->settings.control_door,
                          .most_body_bytes = kMostControlBody,
-                         .most_connections = this->shares.doors},
+                         .most_connections = this->shares.incoming},
       [this](http::DoorRequest request) {
         return this->control_adapter->Handle(std::move(request));
       });
@@ -276,7 +276,7 @@
 // An entry opens connections to its peers only, so its callers get that share
 // too.
 std::size_t NodeDaemon::EntryConnections() const {
-  return this->shares.doors + this->shares.outgoing;
+  return this->shares.incoming + this->shares.outgoing;
 }
 
 absl::Status NodeDaemon::OpenDoor(std::unique_ptr<http::AsyncDoor>& door,
