--- a/libraries/storage/disk.h
+++ b/libraries/storage/disk.h
@@ -31,7 +31,7 @@
                         std::string_view bytes) {
   requires AppendFile<typename T::File>;
   { disk.MakeFolder(path) } -> std::same_as<absl::Status>;
-  // Returns the names of the files in a folder, sorted.
+  // Returns all names in a folder, sorted.
   { disk.List(path) } -> std::same_as<absl::StatusOr<std::vector<std::string>>>;
   { disk.Read(path) } -> std::same_as<absl::StatusOr<std::string>>;
   {
--- a/libraries/storage/log_segment.cc
+++ b/libraries/storage/log_segment.cc
@@ -64,7 +64,8 @@
     return MakeError(ResultCode::kStorageDamaged,
                      exception.getDescription().cStr());
   }
-  return MakeError(ResultCode::kStorageVersion, "unknown kind of record");
+  return MakeError(ResultCode::kStorageVersion,
+                   "the record has a kind unknown to this program version");
 }
 
 // Returns the body of the record at the start of `bytes`, or nullopt if the
