--- a/tests/libraries/statechart/chart_test.cc
+++ b/tests/libraries/statechart/chart_test.cc
@@ -26,7 +26,7 @@
   return std::string(chart.status().message());
 }
 
-// The good chart with one text replaced.
+// Returns the valid chart with the first occurrence of `from` replaced.
 std::string With(const std::string& from, const std::string& to) {
   std::string text = kGood;
   const std::size_t place = text.find(from);
@@ -73,7 +73,7 @@
             "chart: /states/locked/last: unknown key");
 }
 
-TEST(ChartTest, TheProgramsChartsLoadAndFit) {
+TEST(ChartTest, TheChartsOfTheProgramLoadAndMatchItsStates) {
   const auto charts =
       fleet::Charts::Load(std::string(SUMAC_SOURCE_DIR) + "/charts");
   EXPECT_TRUE(charts.ok()) << charts.status();
--- a/tests/libraries/storage/fake_disk.h
+++ b/tests/libraries/storage/fake_disk.h
@@ -17,7 +17,7 @@
 
 namespace sumac::storage {
 
-// What a disk that is full may refuse.
+// The operations that a full disk may refuse.
 enum class DiskOperation {
   kAppend,
   kSync,
@@ -28,8 +28,7 @@
   kSyncFolder,
 };
 
-// A disk in memory that forgets at a crash what was not synced, and fails when
-// told to.
+// A disk in memory that loses unsynced data in a crash and fails on request.
 class FakeDisk {
  public:
   struct Content {
@@ -45,7 +44,7 @@
 
     absl::Status Append(std::string_view bytes) {
       TRY(this->disk->CheckRoom(DiskOperation::kAppend));
-      if (this->disk->IsPowerGone()) {
+      if (this->disk->IsPowerLost()) {
         return MakeError(ResultCode::kStorageFailed, "power lost");
       }
       Content& content = this->disk->files[this->path];
@@ -61,7 +60,7 @@
 
     absl::Status Sync() {
       TRY(this->disk->CheckRoom(DiskOperation::kSync));
-      if (this->disk->fails_sync || this->disk->IsPowerGone()) {
+      if (this->disk->fails_sync || this->disk->IsPowerLost()) {
         return MakeError(ResultCode::kStorageFailed, "sync failed");
       }
       Content& content = this->disk->files[this->path];
@@ -104,7 +103,7 @@
 
   absl::Status Truncate(const std::string& path, std::uint64_t length) {
     TRY(this->CheckRoom(DiskOperation::kTruncate));
-    if (this->IsPowerGone()) {
+    if (this->IsPowerLost()) {
       return MakeError(ResultCode::kStorageFailed, "power lost");
     }
     Content& content = this->files[path];
@@ -115,7 +114,7 @@
 
   absl::Status Rename(const std::string& from, const std::string& to) {
     TRY(this->CheckRoom(DiskOperation::kRename));
-    if (this->IsPowerGone()) {
+    if (this->IsPowerLost()) {
       return MakeError(ResultCode::kStorageFailed, "power lost");
     }
     this->files[to] = this->files[from];
@@ -125,7 +124,7 @@
 
   absl::Status Remove(const std::string& path) {
     TRY(this->CheckRoom(DiskOperation::kRemove));
-    if (this->IsPowerGone()) {
+    if (this->IsPowerLost()) {
       return MakeError(ResultCode::kStorageFailed, "power lost");
     }
     this->files.erase(path);
@@ -134,23 +133,23 @@
 
   absl::Status SyncFolder(const std::string& /*path*/) {
     TRY(this->CheckRoom(DiskOperation::kSyncFolder));
-    if (this->IsPowerGone()) {
+    if (this->IsPowerLost()) {
       return MakeError(ResultCode::kStorageFailed, "power lost");
     }
-    // What is in the folder now, by name, survives a crash.
-    this->lasting_names.clear();
+    // The names that the folder has now survive a crash.
+    this->durable_names.clear();
     for (const auto& [file, content] : this->files) {
-      this->lasting_names.insert(file);
+      this->durable_names.insert(file);
     }
     return absl::OkStatus();
   }
 
-  // The power goes: unsynced bytes and names are lost; `torn` bytes of them
-  // stay per file.
+  // Simulates a power loss: unsynced bytes and names are lost, except for the
+  // first `torn` unsynced bytes of each file.
   void Crash(std::size_t torn = 0) {
     this->operations_left.reset();
     std::erase_if(this->files, [this](const auto& item) {
-      return !this->lasting_names.contains(item.first);
+      return !this->durable_names.contains(item.first);
     });
     for (auto& [file, content] : this->files) {
       content.bytes.resize(
@@ -161,9 +160,10 @@
   std::map<std::string, Content> files;
   std::size_t room = std::size_t{1} << 40;
   bool fails_sync = false;
-  // What it refuses for want of room.
+  // The operations that fail with kDiskFull.
   std::set<DiskOperation> refused;
-  // Operations that still succeed before the power goes; nothing for no end.
+  // The number of operations that still succeed before the power is lost;
+  // nullopt for no power loss.
   std::optional<std::uint64_t> operations_left;
 
  private:
@@ -173,7 +173,7 @@
                : absl::OkStatus();
   }
 
-  bool IsPowerGone() {
+  bool IsPowerLost() {
     if (!this->operations_left) {
       return false;
     }
@@ -184,7 +184,7 @@
     return false;
   }
 
-  std::set<std::string> lasting_names;
+  std::set<std::string> durable_names;
 };
 
 static_assert(Disk<FakeDisk>);
