--- a/services/sumacd/disk_thread.h
+++ b/services/sumacd/disk_thread.h
@@ -14,20 +14,20 @@
 
 namespace sumac::daemon {
 
-// Runs work that waits on the disk, one piece after the other, on a thread of
-// its own, so that a slow or stalled disk does not hold up the event loop.
+// Runs work that blocks on the disk sequentially on a separate thread, so that
+// a slow or stalled disk does not block the event loop.
 class DiskThread {
  public:
   using Work = std::function<absl::Status()>;
 
   DiskThread();
-  // Finishes the work already given.
+  // Finishes all queued work.
   ~DiskThread();
   DiskThread(const DiskThread&) = delete;
   DiskThread& operator=(const DiskThread&) = delete;
 
-  // Runs `work` after all earlier work. The promise, which belongs to the
-  // calling event loop, holds the outcome.
+  // Queues `work` behind all earlier work. The promise, which belongs to the
+  // calling event loop, resolves to the status that `work` returns.
   kj::Promise<absl::Status> Run(Work work);
 
  private:
--- a/services/sumacd/replica_host.cc
+++ b/services/sumacd/replica_host.cc
@@ -26,28 +26,30 @@
 using replication::ProcessOf;
 
 constexpr Milliseconds kMessageTimeout{1'000};
-// Messages to one process that may be under way; further ones are dropped, as
-// by a slow network.
+// The maximum number of messages in flight to one process; further ones are
+// dropped, as on a slow network.
 constexpr std::size_t kMostMessagesInFlight = 64;
-// A replica that has not answered for this long may be replaced by its
-// process's new one, which proves that the old one is gone.
+// A replica that has not answered for this long may be replaced by the new
+// replica of its process, whose existence proves that the old one is gone.
 constexpr Milliseconds kSilentControllerTime{1'000};
-// A replica that has not answered for this long is taken for lost, and a spare
-// learner may take its place. Longer than a restart or a short cut.
+// A replica that has not answered for this long is considered lost, and a spare
+// learner may take its place. Longer than a restart or a short network
+// partition.
 constexpr Milliseconds kLostControllerTime{8'000};
 constexpr Milliseconds kJoinInterval{500};
-// A replica that has heard no leader for this long asks to be taken in again:
-// it may have been replaced while it was cut off.
+// A replica without contact to a leader for this long requests to join again:
+// it may have been replaced while it was partitioned.
 constexpr Milliseconds kForgottenTime{4'000};
-// A leader whose disk has held one write for this long hands over.
+// A leader hands over when a single disk write takes longer than this.
 constexpr Milliseconds kStalledDiskTime{1'000};
 
-// While a snapshot goes over to a member, the next one is taken after this many
-// times the usual number of entries: some seconds of a rush, in which the
-// member gets the whole of it, while the log stays bounded.
+// While a snapshot is being sent to a member, the next one is taken only after
+// this many times the usual number of entries. That is some seconds at peak
+// load, in which the member can receive the whole snapshot, while the log stays
+// bounded.
 constexpr std::uint64_t kPatienceWhileSending = 4;
-// Committed entries that are applied before other events get their turn: some
-// ten milliseconds on a third of a core.
+// The maximum number of committed entries applied before other events are
+// processed: about ten milliseconds on a third of a core.
 constexpr std::size_t kMostAppliedAtOnce = 64;
 constexpr kj::Duration kApplyPause = 100 * kj::MICROSECONDS;
 
@@ -56,20 +58,21 @@
   replication::ReplicationSettings settings;
   settings.heartbeat_interval = group.heartbeat;
   settings.election_timeout = group.election_timeout;
-  // Clocks of one data centre drift by far less than a tenth over one election
-  // timeout.
+  // The clocks of one data centre drift by far less than a tenth of an election
+  // timeout during that time.
   settings.clock_drift_margin = group.election_timeout / 10;
   settings.hand_over_timeout = group.election_timeout;
   return settings;
 }
 
-// True if the disk refused for a reason that passes, and holds what it held.
+// Returns true if the disk refused the write for a temporary reason and still
+// holds all earlier data.
 bool IsPassing(const absl::Status& status) {
   return CodeOf(status) == ResultCode::kDiskFull ||
          CodeOf(status) == ResultCode::kStorageShort;
 }
 
-// Adds the entries of a later output to one that waits to be written.
+// Appends the entries of a later output to an output that waits to be written.
 void MergeEntries(replication::Output& waiting, replication::Output& later) {
   waiting.entries_to_write.insert(
       waiting.entries_to_write.end(),
@@ -280,8 +283,8 @@
   }
 }
 
-// A replica that belongs to no group, or was taken out of it while it was cut
-// off, asks one controller after the other to be taken in.
+// A replica that belongs to no group, or may have been removed from it while it
+// was partitioned, requests to join from one controller after the other.
 void ReplicaHost::AskToJoin(SteadyTime now) {
   const replication::Replica& replica = *this->replica_core;
   const bool is_blank = replica.membership().voters.empty();
@@ -308,15 +311,16 @@
                             this->join_hint =
                                 ProcessName(is_hint ? answer.message : "");
                             if (is_hint && !answer.message.empty()) {
-                              // The leader is asked with the next tick.
+                              // Sends the next request, to the leader, at the
+                              // next tick.
                               this->last_join = SteadyTime{};
                             }
                           },
                           [](kj::Exception&& /*exception*/) {}));
 }
 
-// The controller to ask for being taken in: the leader if another one named
-// it, else those that are known in turn.
+// Returns the controller to send the next join request to: the leader if the
+// last response named it, else the known controllers in rotation.
 ProcessName ReplicaHost::NextToAsk() {
   ProcessName hint = std::exchange(this->join_hint, ProcessName());
   if (!hint.value().empty()) {
@@ -368,18 +372,17 @@
   this->SchedulePump();
 }
 
-// Answers the calls that brought messages in since the last pump, with what
-// there is for their senders.
+// Responds to the calls whose messages were received since the last pump, with
+// the replies to their senders.
 void ReplicaHost::AnswerSenders() {
   for (WaitingSender& waiting : std::exchange(this->waiting_senders, {})) {
     waiting.fulfiller->fulfill(std::move(waiting.replies));
   }
 }
 
-// Puts the pump after everything that is queued in the event loop now, so that
-// all these proposals share one write to the disk and one message to each
-// replica. It must not wait until nothing is queued: on a busy leader that
-// comes too seldom.
+// Runs the pump after all events that are queued in the event loop now, so that
+// their proposals share one disk write and one message to each replica. It must
+// not wait until the queue is empty: on a busy leader that happens too rarely.
 void ReplicaHost::SchedulePump() {
   if (this->is_pump_scheduled) {
     return;
@@ -391,7 +394,7 @@
   }));
 }
 
-// One line whenever this replica's part in the group changes.
+// Logs the replica's role and leader whenever they change.
 void ReplicaHost::LogRole() {
   const replication::Replica& replica = *this->replica_core;
   const std::pair current(replica.role(), this->KnownLeader());
@@ -411,10 +414,10 @@
   this->LogRole();
   while (this->PumpOnce()) {
   }
-  // A follower's answers wait until the disk holds what they speak for.
+  // A follower's replies wait until the data that they acknowledge is on disk.
   const bool is_leader =
       this->replica_core->role() == replication::Role::kLeader;
-  // One that may say nothing has none, and leaves no call open for it.
+  // A muted replica has no replies, and its open calls are answered empty.
   if (this->unwritten.empty() || is_leader ||
       this->IsMuted(this->clock.SteadyNow())) {
     this->AnswerSenders();
@@ -424,8 +427,8 @@
   this->MaybeSnapshot();
 }
 
-// Takes one output of the replica; false when there is none that may be taken
-// now.
+// Processes one output of the replica. Returns false if there is none that may
+// be processed now.
 bool ReplicaHost::PumpOnce() {
   const bool is_leader =
       this->replica_core->role() == replication::Role::kLeader;
@@ -442,8 +445,8 @@
   if (!output.has_writes() && (is_ahead || this->unwritten.empty())) {
     return true;
   }
-  // The first one is being written, and the second collects what comes
-  // meanwhile.
+  // The first output is being written; the second collects the entries that
+  // arrive meanwhile.
   const bool can_merge = is_ahead && this->unwritten.size() > 1 &&
                          !this->unwritten.back().hard_state;
   if (can_merge) {
@@ -455,10 +458,11 @@
   return is_ahead;
 }
 
-// A leader's entries and heartbeats may go out while its own disk still writes
-// (Ongaro's thesis, section 10.2.1): it counts its own copy only once it is
-// written. A vote or a new term must be on the disk first, and a follower
-// answers only for what its disk holds.
+// Returns true if the output may be sent before it is written. A leader may
+// send entries and heartbeats while its own disk still writes (Ongaro's thesis,
+// section 10.2.1): it counts its own copy only once it is written. A vote or a
+// new term must be on disk first, and a follower acknowledges only what its
+// disk holds.
 bool ReplicaHost::MayRunAheadOfDisk(const replication::Output& output) const {
   const bool is_queue_plain =
       std::none_of(this->unwritten.begin(), this->unwritten.end(),
@@ -476,8 +480,8 @@
   this->is_writing = true;
   this->write_began = this->clock.SteadyNow();
   const replication::Output* output = &this->unwritten.front();
-  // NOTE: The front element stays in place and is not changed until the write
-  // is done; a deque keeps it there when others are added behind it.
+  // NOTE: The front element is neither moved nor changed until the write is
+  // done; a deque keeps its elements in place when others are appended.
   this->tasks.add(
       this->disk_thread
           .Run([this, output] { return this->store.write(*output); })
@@ -490,7 +494,7 @@
   this->is_writing = false;
   if (IsPassing(status)) {
     // Nothing was acknowledged and nothing is lost: the same output is written
-    // once there is room.
+    // again once there is space.
     if (!std::exchange(this->has_full_disk, true)) {
       LogEvent(LogLevel::kError, std::string(InfoFor(CodeOf(status)).name),
                {{"error", std::string(status.message())}});
@@ -500,9 +504,9 @@
     return;
   }
   if (!status.ok()) {
-    // NOTE: After a failed write or sync nobody knows what the disk holds.
-    // Whatever this process would say from now on might be forgotten, so it
-    // says nothing more.
+    // NOTE: After a failed write or sync the contents of the disk are unknown.
+    // Anything that this process acknowledged from now on might be lost, so it
+    // exits.
     LogEvent(LogLevel::kError, "storage-failed",
              {{"error", std::string(status.message())}});
     std::_Exit(EXIT_FAILURE);
@@ -516,16 +520,17 @@
     this->replica_core->HandleLogWritten(output.entries_to_write.back().index,
                                          this->clock.SteadyNow());
   }
-  // What was delivered before the write has nothing left to deliver.
+  // An output that was delivered before the write has nothing left to deliver.
   this->Deliver(output);
   this->StartWrite();
   this->Pump();
 }
 
-// A replica whose disk is full says nothing, since it could not keep to it. A
-// leader that hands over goes on until that is done or has failed: its
-// heartbeats and entries need no write of its own, and what it was asked is
-// decided with it.
+// Returns true while the replica must not send messages. A replica whose disk
+// is full sends nothing, since it could not store what it promises. A leader
+// that hands over keeps sending until the hand-over is done or has failed: its
+// heartbeats and entries need no write of its own, and the hand-over lets
+// pending proposals be decided.
 bool ReplicaHost::IsMuted(SteadyTime now) const {
   const bool hands_over =
       this->replica_core->role() == replication::Role::kLeader &&
@@ -547,7 +552,9 @@
   }
 }
 
-// Carries out what an output asks for beside its writes, once.
+// Carries out the parts of an output other than its disk writes: installs the
+// snapshot, sends the messages and queues the committed entries. Clears what is
+// done, so that a second call does nothing.
 void ReplicaHost::Deliver(replication::Output& output) {
   if (output.snapshot_to_install) {
     VERIFY(
@@ -605,8 +612,8 @@
               [&in_flight](kj::Exception&& /*exception*/) { --in_flight; }));
 }
 
-// Applies what is committed, a part at a time: after a restart that is the
-// whole log since the last snapshot, and heartbeats must go on meanwhile.
+// Applies committed entries in batches: after a restart these are the whole log
+// since the last snapshot, and heartbeats must continue meanwhile.
 void ReplicaHost::ApplyCommitted() {
   for (std::size_t count = 0;
        count < kMostAppliedAtOnce && !this->committed.empty(); ++count) {
@@ -638,15 +645,15 @@
   if (found->second.term == entry.term) {
     found->second.fulfiller->fulfill(std::move(answer));
   } else {
-    // Another leader's entry took the place: this command was certainly not
+    // Another leader's entry has this index: the command was certainly not
     // committed.
     found->second.fulfiller->fulfill(this->NotLeaderAnswer());
   }
   this->proposals.erase(found);
 }
 
-// Once this controller no longer leads the proposals' term, nobody here learns
-// how they end.
+// Fails the proposals of terms that this controller no longer leads, since it
+// cannot learn their outcome.
 void ReplicaHost::FailLostProposals() {
   for (auto item = this->proposals.begin(); item != this->proposals.end();) {
     PendingProposal& proposal = item->second;
@@ -665,14 +672,14 @@
 }
 
 void ReplicaHost::MaybeSnapshot() {
-  // A newer snapshot would make a member that takes one in begin anew.
+  // A newer snapshot would make a member that is receiving one start over.
   const std::uint64_t due_after =
       this->settings.group.snapshot_every *
       (this->replica_core->is_sending_snapshot() ? kPatienceWhileSending : 1);
   if (this->entries_since_snapshot < due_after || this->is_snapshot_under_way ||
       !this->unwritten.empty()) {
-    // NOTE: With nothing left to write, the disk holds all that is applied, so
-    // the snapshot never runs ahead of the log on the disk.
+    // NOTE: When nothing is left to write, all applied entries are on disk, so
+    // the snapshot is never ahead of the log on disk.
     return;
   }
   this->entries_since_snapshot = 0;
@@ -683,7 +690,7 @@
 void ReplicaHost::FinishSnapshot(LogIndex index, std::string bytes) {
   this->is_snapshot_under_way = false;
   if (index <= this->replica_core->snapshot_index()) {
-    // A leader's later snapshot was installed meanwhile.
+    // A later snapshot from the leader was installed meanwhile.
     return;
   }
   const replication::SnapshotMeta meta =
@@ -698,7 +705,8 @@
             LogEvent(
                 status.ok() ? LogLevel::kInfo : LogLevel::kError, "snapshot",
                 {{"index", meta.index.value()}, {"status", status.ToString()}});
-            // The log goes on without it, and the next one is tried later.
+            // After a temporary shortage the log continues without this
+            // snapshot, and the next one is tried later.
             if (!status.ok() && !IsPassing(status)) {
               std::_Exit(EXIT_FAILURE);
             }
--- a/services/sumacd/replica_host.h
+++ b/services/sumacd/replica_host.h
@@ -31,45 +31,47 @@
 
 namespace sumac::daemon {
 
-// What the state machine above a replica does when its host calls.
+// Callbacks into the replicated state machine. ReplicaHost calls them on its
+// event loop.
 struct ReplicaCallbacks {
-  // Takes over the state of a snapshot.
+  // Replaces the state with that of a snapshot.
   std::function<absl::Status(const std::string& state)> load_snapshot;
-  // Applies one committed command and gives its answer.
+  // Applies one committed command and returns its answer.
   std::function<fleet::Answer(const std::string& payload)> apply;
-  // Called after each pass in which something may have been applied.
+  // Called at the end of each Pump, in which commands may have been applied.
   std::function<void()> after_pass;
-  // Starts making a snapshot of the state as it is now; the bytes come back
-  // through FinishSnapshot.
+  // Starts to serialize the current state as a snapshot; FinishSnapshot must be
+  // called with the bytes.
   std::function<void(LogIndex index)> begin_snapshot;
 };
 
-// Sizes and choices of one host.
+// The configuration of a ReplicaHost.
 struct ReplicaHostSettings {
   ProcessName process;
   std::string data_folder;
   GroupSettings group;
-  // Voters that the group keeps: spare learners are promoted, and voters that
-  // are gone for good replaced, up to this number. 0 leaves both to operators
-  // and only brings processes back that the settings list.
+  // The number of voters to maintain: spare learners are promoted, and voters
+  // that are permanently lost are replaced, up to this number. With 0 both are
+  // left to operators, and only processes that the settings list are brought
+  // back automatically.
   std::size_t wanted_voters = 0;
 };
 
-// One replica on one disk: carries out the replica's outputs (writes on a
-// thread of its own, messages to the other replicas, committed commands to the
-// state machine) and looks after the group's members while it leads. Belongs to
-// one event loop.
+// Runs one replica on one disk: carries out the replica's outputs (disk writes
+// on a separate thread, messages to the other replicas, committed commands to
+// the state machine) and maintains the group's membership while this replica
+// leads. All methods must be called on one event loop.
 class ReplicaHost : private kj::TaskSet::ErrorHandler {
  public:
-  // Opens the data folder and starts the replica; the state machine gets the
-  // stored snapshot.
+  // Opens the data folder, loads the stored snapshot into the state machine and
+  // starts the replica.
   static absl::StatusOr<std::unique_ptr<ReplicaHost>> Create(
       const ReplicaHostSettings& settings,
       Peers& peers,
       kj::Timer& timer,
       ReplicaCallbacks callbacks);
 
-  // The same with a store that is open already.
+  // Does the same as Create with a store that is already open.
   static absl::StatusOr<std::unique_ptr<ReplicaHost>> CreateOn(
       ReplicaStore store,
       const ReplicaHostSettings& settings,
@@ -77,54 +79,57 @@
       kj::Timer& timer,
       ReplicaCallbacks callbacks);
 
-  // Takes in a message of another replica; the promise holds what there is for
-  // its sender once all that it led to is on the disk.
+  // Handles a message from another replica. The promise resolves to the replies
+  // to its sender once everything that the message caused is on disk.
   kj::Promise<std::vector<replication::Message>> Receive(
       replication::Message message);
 
-  // Commits a command and tells its answer. While this controller does not lead
-  // the answer is kNotLeader, with the leader's name as message if it is known.
-  // kTimeout says that leadership was lost meanwhile: the command may or may
-  // not have been committed.
+  // Commits a command and returns its answer. While this controller does not
+  // lead, the answer is kNotLeader, with the leader's name as the message if it
+  // is known. kTimeout means that leadership was lost meanwhile: the command
+  // may or may not have been committed.
   kj::Promise<fleet::Answer> Propose(std::string payload);
 
-  // Lets time pass: elections, heartbeats, joining, what is due to be written.
+  // Runs the time-driven work: elections, heartbeats, requests to join the
+  // group, retries of writes to a full disk.
   void Tick(SteadyTime now);
 
-  // Replaces and promotes members as needed. Only while leading.
+  // Replaces and promotes members as needed. Must be called only while leading.
   void MaintainMembership(SteadyTime now);
 
-  // Carries out what there is to do at the end of this turn of the event loop.
+  // Schedules Pump, which processes the replica's outputs, after the events
+  // that are now queued in the event loop.
   void SchedulePump();
 
-  // True while this controller may answer for the committed state and act on
-  // it.
+  // Returns true while this controller may serve the committed state and act on
+  // it as the leader.
   bool MayAct() const;
-  // Until when it may do so; nothing if it may not.
+  // Returns the time until which MayAct stays true, or nothing if it is false.
   std::optional<SteadyTime> ActsUntil() const;
 
-  // Takes a replica in as a learner. kNotLeader, or kWrongState while another
-  // change is under way.
+  // Adds a replica to the group as a learner. Returns kNotLeader, or
+  // kWrongState while another membership change is in progress.
   absl::Status Join(const replication::NodeId& node);
 
-  // Carries out add, remove or replace for a member.
+  // Carries out the action "add", "remove" or "replace" for a member.
   absl::Status ChangeMember(const std::string& action,
                             const replication::NodeId& node);
 
-  // Starts to hand leadership over.
+  // Starts to hand leadership over to another member.
   absl::Status HandOver();
 
-  // Stores a snapshot whose bytes are ready, and lets the log before it go.
+  // Stores a serialized snapshot and drops the log entries that it covers.
   void FinishSnapshot(LogIndex index, std::string bytes);
 
   const replication::Replica& replica() const { return *this->replica_core; }
-  // The process that leads, as far as this one knows; empty if unknown.
+  // Returns the process of the last known leader; empty if unknown.
   ProcessName KnownLeader() const;
-  // The error kNotLeader with the known leader's name.
+  // Returns the error kNotLeader with the known leader's name as the message.
   fleet::Answer NotLeaderAnswer() const;
   LogIndex applied_index() const { return this->last_applied; }
   bool is_disk_full() const { return this->has_full_disk; }
-  // How long the write that is under way has taken; zero if there is none.
+  // Returns how long the write in progress has taken so far; zero if there is
+  // none.
   Milliseconds WriteAge(SteadyTime now) const;
 
  private:
@@ -132,7 +137,7 @@
     Term term;
     kj::Own<kj::PromiseFulfiller<fleet::Answer>> fulfiller;
   };
-  // A call that brought a message in and takes the replies back.
+  // A Peer.replicate call that is still open; its response carries the replies.
   struct WaitingSender {
     ProcessName process;
     std::vector<replication::Message> replies;
@@ -181,22 +186,24 @@
 
   std::pair<replication::Role, ProcessName> logged_role{
       replication::Role::kFollower, ProcessName()};
-  // How far the log was committed when the members were last looked after.
+  // Tracks, per term, the commit index that members must reach to count as
+  // caught up.
   replication::CatchUpTracker catch_up_mark;
   SteadyTime last_join{};
   std::size_t next_to_ask = 0;
-  // The leader as the last one asked named it; empty if it did not.
+  // The leader that the last response to a join request named; empty if it
+  // named none.
   ProcessName join_hint;
   bool is_pump_scheduled = false;
   bool has_full_disk = false;
-  // Until when a leader with a full disk tries to hand over.
+  // The time until which a leader with a full disk tries to hand over.
   SteadyTime hands_over_until{};
-  // Outputs that are not on the disk yet, oldest first; the first is being
+  // Outputs that are not on disk yet, oldest first; the first one is being
   // written while `is_writing`.
   std::deque<replication::Output> unwritten;
   bool is_writing = false;
   SteadyTime write_began{};
-  // Committed and not applied yet.
+  // Entries that are committed but not applied yet.
   std::deque<replication::Entry> committed;
   bool is_apply_scheduled = false;
   bool is_snapshot_under_way = false;
@@ -206,7 +213,8 @@
   std::vector<WaitingSender> waiting_senders;
   std::map<ProcessName, std::size_t> messages_in_flight;
   kj::TaskSet tasks;
-  // Declared last, so that it ends before what its work uses.
+  // Declared last, so that its thread ends before the members that its work
+  // uses are destroyed.
   DiskThread disk_thread;
 };
 
--- a/services/sumacd/replica_store.h
+++ b/services/sumacd/replica_store.h
@@ -16,18 +16,19 @@
 
 namespace sumac::daemon {
 
-// Where a replica is kept. Both calls wait on the disk.
+// The persistent storage of a replica. Both functions block on the disk.
 struct ReplicaStore {
-  // Makes one output last; kDiskFull if it may be tried again.
+  // Writes one output durably. After kDiskFull the same write may be tried
+  // again.
   std::function<absl::Status(const replication::Output& output)> write;
-  // Stores a snapshot and lets the log before it go.
+  // Stores a snapshot and drops the log entries that it covers.
   std::function<absl::Status(const replication::Snapshot& snapshot)>
       save_snapshot;
-  // What the replica starts from.
+  // The stored state from which the replica starts.
   replication::StartState start;
 };
 
-// Opens a data folder on a disk, which lives as long as the store.
+// Opens a data folder on a disk. The store shares ownership of the disk.
 template <storage::Disk DiskType>
 absl::StatusOr<ReplicaStore> OpenReplicaStore(std::shared_ptr<DiskType> disk,
                                               const std::string& path) {
--- a/services/sumacd/serve_replicate.h
+++ b/services/sumacd/serve_replicate.h
@@ -12,7 +12,8 @@
 
 namespace sumac::daemon {
 
-// Serves one call of Peer.replicate with a controller's Receive.
+// Serves one Peer.replicate call: passes the message to the receiver's Receive
+// method and returns the replies.
 template <typename Receiver, typename Context>
 kj::Promise<void> ServeReplicate(Receiver& receiver, Context context) {
   return receiver.Receive(wire::UnpackMessage(context.getParams().getMessage()))
--- a/services/sumacd/snapshot_writer.h
+++ b/services/sumacd/snapshot_writer.h
@@ -12,12 +12,11 @@
 
 namespace sumac::daemon {
 
-// Turns a copy of the state into a snapshot's bytes on a thread of its own, so
-// that a large state does not hold up the event loop. One snapshot is made at a
-// time.
+// Serializes a copy of the state into a snapshot on a separate thread, so that
+// a large state does not block the event loop. One snapshot is made at a time.
 class SnapshotWriter {
  public:
-  // Called on the writer's thread when the bytes are ready.
+  // Called on the writer's thread when the bytes of the snapshot are ready.
   using OnReady = std::function<void(LogIndex index, std::string bytes)>;
 
   explicit SnapshotWriter(OnReady on_ready) : on_ready(std::move(on_ready)) {}
@@ -25,8 +24,8 @@
   SnapshotWriter(const SnapshotWriter&) = delete;
   SnapshotWriter& operator=(const SnapshotWriter&) = delete;
 
-  // Begins a snapshot of the state as it was after `index`; `record` is a copy
-  // of that state. Must not be called before the last one is ready.
+  // Starts a snapshot of the state after log index `index`; `record` is a copy
+  // of that state. Must not be called before the previous snapshot is ready.
   template <Described Record>
   void Begin(LogIndex index, Record record) {
     this->Stop();
@@ -35,7 +34,7 @@
     });
   }
 
-  // Waits for a snapshot that is being made.
+  // Waits until the snapshot in progress, if any, is finished.
   void Stop();
 
  private:
--- a/tests/services/sumacd/replica_host_test.cc
+++ b/tests/services/sumacd/replica_host_test.cc
@@ -27,14 +27,15 @@
 constexpr const char* kFolder = "data";
 constexpr std::size_t kVoters = 3;
 constexpr kj::Duration kTick = 10 * kj::MILLISECONDS;
-// Long beside what a busy computer takes for a hand-over, so that the one is
-// told from the other.
+// Long compared to a hand-over on a busy computer, so that an election timeout
+// and a hand-over can be told apart.
 constexpr Milliseconds kElectionTimeout{2'000};
-// A leader's silence is noticed one heartbeat before it at the earliest.
+// The others notice a silent leader one heartbeat before the election timeout
+// at the earliest.
 constexpr Milliseconds kHandOverBound{1'200};
 constexpr Milliseconds kPatience{10'000};
 
-// Hands messages to a host.
+// Passes the messages of Peer.replicate calls to a host.
 class HostDoor final : public wire::Peer::Server {
  public:
   explicit HostDoor(std::unique_ptr<ReplicaHost>& host) : host(host) {}
@@ -47,7 +48,7 @@
   std::unique_ptr<ReplicaHost>& host;
 };
 
-// A replica with its disk, its state machine and its door.
+// A replica with its disk, its state machine and its listener.
 struct Member {
   std::string address;
   std::shared_ptr<SwitchedDisk> disk = std::make_shared<SwitchedDisk>();
@@ -56,7 +57,7 @@
   std::unique_ptr<ReplicaHost> host;
   kj::Own<kj::ConnectionReceiver> receiver;
   std::unique_ptr<capnp::TwoPartyServer> server;
-  // The others reach it by this.
+  // The relay through which the other members connect.
   std::unique_ptr<stand_ins::Relay> path;
   kj::Promise<void> listening = nullptr;
   kj::Promise<void> ticking = nullptr;
@@ -137,7 +138,8 @@
         });
   }
 
-  // Waits until `holds`; how long it took, or nothing if it took too long.
+  // Waits until `holds` returns true. Returns how long that took, or nothing if
+  // it took longer than kPatience.
   std::optional<Milliseconds> Await(const std::function<bool()>& holds) {
     const SteadyTime began_at = this->clock.SteadyNow();
     while (!holds()) {
@@ -151,7 +153,8 @@
     return this->clock.SteadyNow() - began_at;
   }
 
-  // The member that may act, once there is one beside `other`.
+  // Waits for a member other than `other` that may act as the leader and
+  // returns it; null if there is none within kPatience.
   Member* AwaitLeader(const Member* other = nullptr) {
     Member* leader = nullptr;
     this->Await([&] {
@@ -165,7 +168,7 @@
     return leader;
   }
 
-  // True if the command was acknowledged.
+  // Returns true if the command was acknowledged.
   bool Propose(Member& member, const std::string& command) {
     return member.host->Propose(command).wait(this->scope()).is_ok();
   }
@@ -189,8 +192,8 @@
   std::unique_ptr<Parts> parts = std::make_unique<Parts>();
 };
 
-// A leader whose disk was full fell silent, and the others waited for their
-// election timeout; what it had been asked came to nothing meanwhile.
+// Guards against a leader with a full disk that falls silent, so that the
+// others wait for their election timeout and the open proposals fail.
 TEST_F(ReplicaHostTest, ALeaderWhoseDiskIsFullHandsOver) {
   Member* first = this->AwaitLeader();
   ASSERT_NE(first, nullptr);
@@ -209,7 +212,7 @@
   EXPECT_TRUE(first->host->is_disk_full());
   EXPECT_FALSE(first->host->MayAct());
   ASSERT_TRUE(this->Propose(*next, "c"));
-  // Whoever asked is not left without an answer until there is room.
+  // The open proposal gets an answer before there is space again.
   ASSERT_TRUE(this->Await([&] { return answer.has_value(); }));
   first->disk->is_full = false;
   EXPECT_TRUE(this->Await([&] { return this->AreAllAlike(); }));
@@ -240,9 +243,9 @@
   EXPECT_EQ(voter->applied, (std::vector<std::string>{"a", "b", "c"}));
 }
 
-// A controller ended by itself with "snapshot ...: open: Too many open files
-// [4002]" while its log could still be written. The shortage passes, and so
-// does the try: the next snapshot is stored.
+// Guards against a controller that exits because it could not open a snapshot
+// file ("snapshot ...: open: Too many open files [4002]") while its log could
+// still be written. The shortage is temporary: the next snapshot is stored.
 TEST_F(ReplicaHostTest, ASnapshotWithoutADescriptorIsNoReasonToEnd) {
   Member* leader = this->AwaitLeader();
   ASSERT_NE(leader, nullptr);
@@ -257,8 +260,9 @@
   EXPECT_TRUE(leader->host->MayAct());
 }
 
-// Without room anywhere nothing is acknowledged; afterwards all goes on, and
-// what was acknowledged outlives a loss of power of the whole group.
+// While all disks are full nothing is acknowledged. Once there is space again
+// commands are committed, and what was acknowledged survives a loss of power of
+// the whole group.
 TEST_F(ReplicaHostTest, WithoutRoomAnywhereNothingAcknowledgedIsLost) {
   Member* leader = this->AwaitLeader();
   ASSERT_NE(leader, nullptr);
@@ -306,8 +310,8 @@
   EXPECT_GT(holders, kVoters / 2);
 }
 
-// All connections go silent at once, and only new ones work. The group finds
-// out by its own limits, each pair takes one new connection, and nothing
+// All connections fall silent at once and only new ones work. The group detects
+// this by its own timeouts, each pair opens one new connection, and nothing
 // acknowledged is lost.
 TEST_F(ReplicaHostTest, AGroupWhoseConnectionsFallSilentDecidesAgain) {
   Member* leader = this->AwaitLeader();
