--- a/services/sumacd/controller.cc
+++ b/services/sumacd/controller.cc
@@ -20,12 +20,12 @@
 using replication::ProcessOf;
 
 constexpr Milliseconds kTickInterval{20};
-// The planner looks at the fleet this often.
+// The interval between two planning passes.
 constexpr Milliseconds kPlanInterval{100};
 constexpr Milliseconds kPlatformTimeout{2'000};
 constexpr Milliseconds kFirstRenewal{200};
-// Followers of the view that wait here at once; further ones go to another
-// controller.
+// The maximum number of followers that wait for a newer view here; further ones
+// must use another controller.
 constexpr std::size_t kMostFollowers = 256;
 
 }  // namespace
@@ -105,7 +105,8 @@
   return this->host->MayAct();
 }
 
-// What only the leader does: notices, plans, tells the platform.
+// Does the work that only the leader does: maintains the membership, plans, and
+// sends the platform its steps.
 void Controller::Lead(SteadyTime now) {
   if (!this->MayAct()) {
     return;
@@ -204,7 +205,7 @@
   if (this->history.latest().version > have) {
     return this->ServeView(have);
   }
-  // Those that gave up waiting no longer count.
+  // Followers that gave up waiting no longer count.
   std::erase_if(this->view_waiters, [](ViewWaiter& waiter) {
     return !waiter.fulfiller->isWaiting();
   });
@@ -259,8 +260,8 @@
   }
 }
 
-// Only the leader logs replicated decisions, or each would be there once per
-// controller.
+// Logs the decisions since `first_number`. Only the leader logs replicated
+// decisions; otherwise each would appear once per controller.
 void Controller::LogNewDecisions(std::uint64_t first_number) {
   const fleet::FleetRecord& record = this->state().record();
   const std::uint64_t count = record.next_decision - first_number;
--- a/services/sumacd/controller.h
+++ b/services/sumacd/controller.h
@@ -32,19 +32,20 @@
 
 namespace sumac::daemon {
 
-// A view, or what changed of it, with what vouches for it.
+// A view or a delta to one, and whether it is verified.
 struct ServedView {
   fleet::View view;
-  // True if `view` holds only what changed since the version that the follower
-  // has.
+  // True if `view` contains only the changes since the version that the
+  // follower has.
   bool is_delta = false;
-  // True if this controller's state was known to be the latest at some moment
-  // since it started.
+  // True if this controller's state was confirmed to be the latest at least
+  // once since it started.
   bool is_verified = false;
 };
 
-// The controller role: one replica on one disk, the state machine above it, and
-// while it leads the planner. Belongs to the core's event loop.
+// The controller role: a replica on one disk, the replicated state machine,
+// and, while this replica leads, the planner. Must be used on the core's event
+// loop.
 class Controller : private kj::TaskSet::ErrorHandler {
  public:
   // Opens the data folder and starts the replica.
@@ -57,49 +58,52 @@
   // Runs until the process ends.
   kj::Promise<void> Run();
 
-  // Takes in a message of another replica; the promise holds what there is for
-  // its sender once all that it led to is on the disk.
+  // Handles a message from another replica. The promise resolves to the replies
+  // to its sender once everything that the message caused is on disk.
   kj::Promise<std::vector<replication::Message>> Receive(
       replication::Message message);
 
-  // Commits a command and tells its answer. While this controller does not lead
-  // the answer is kNotLeader, with the leader's name as message if it is known.
-  // kTimeout says that leadership was lost meanwhile: the command may or may
-  // not have been committed.
+  // Commits a command and returns its answer. While this controller does not
+  // lead, the answer is kNotLeader, with the leader's name as the message if it
+  // is known. kTimeout means that leadership was lost meanwhile: the command
+  // may or may not have been committed.
   kj::Promise<fleet::Answer> Propose(fleet::Command command);
 
-  // Takes in targets' renewals and answers each with orders, in the same order.
+  // Handles the announcements of targets, which renew their leases, and returns
+  // the orders for each, in the same order.
   kj::Promise<std::vector<fleet::TargetOrders>> Announce(
       const std::vector<fleet::Announcement>& announcements);
 
-  // The view, as soon as its version is past `have` or `wait` is over.
+  // Returns the view, or a delta to it, as soon as its version is newer than
+  // `have` or `wait` has elapsed.
   kj::Promise<ServedView> Follow(std::uint64_t have, Milliseconds wait);
 
-  // True while this controller may answer for the committed state and act on
-  // it.
+  // Returns true while this controller may serve the committed state and act on
+  // it as the leader.
   bool MayAct() const;
 
-  // Ends the threads that tell the platform and make snapshots. Called from
-  // another thread than the event loop's, which must go on until this returns.
+  // Stops the threads that call the platform and write snapshots. Must be
+  // called on another thread than the event loop's, and the event loop must run
+  // until this returns.
   void StopThreads();
 
-  // Takes a replica with a new disk in as a learner. kNotLeader, kUnknownName
-  // for a process that the settings don't list as a controller, or kWrongState
-  // while another change is under way.
+  // Adds a replica with a new disk to the group as a learner. Returns
+  // kNotLeader, kUnknownName for a process that the settings don't list as a
+  // controller, or kWrongState while another membership change is in progress.
   absl::Status Join(const replication::NodeId& node);
 
-  // Carries out add, remove or replace for a member.
+  // Carries out the action "add", "remove" or "replace" for a member.
   absl::Status ChangeMember(const std::string& action,
                             const replication::NodeId& node);
 
-  // Starts to hand leadership over.
+  // Starts to hand leadership over to another member.
   absl::Status HandOver();
 
   const fleet::FleetState& state() const { return this->machine.state(); }
   const replication::Replica& replica() const { return this->host->replica(); }
-  // The process that leads, as far as this one knows.
+  // Returns the process of the last known leader; empty if unknown.
   ProcessName KnownLeader() const { return this->host->KnownLeader(); }
-  // The error kNotLeader with the known leader's name.
+  // Returns the error kNotLeader with the known leader's name as the message.
   fleet::Answer NotLeaderAnswer() const {
     return this->host->NotLeaderAnswer();
   }
@@ -139,8 +143,8 @@
 
   Term leading_term;
   SteadyTime last_plan{};
-  // Commands of the planner that are not yet applied; it plans on only when
-  // there are none.
+  // The number of proposed commands that are not applied yet. The planner runs
+  // only when there are none.
   std::size_t planned_open = 0;
   std::uint64_t last_applied_view = 0;
   fleet::ViewHistory history;
--- a/services/sumacd/core_link.h
+++ b/services/sumacd/core_link.h
@@ -14,21 +14,21 @@
 
 namespace sumac::daemon {
 
-// Lets the HTTP doors' threads call into the core's event loop and wait for the
-// answer.
+// Lets the threads of the HTTP listeners call into the core's event loop and
+// wait for the answer.
 class CoreLink {
  public:
   CoreLink(const kj::Executor& executor, LeaderLink& leader)
       : executor(executor.addRef()), leader(leader) {}
 
-  // Commits a command; blocks until the answer, at most about `limit`.
+  // Commits a command. Blocks until the answer arrives, at most about `limit`.
   fleet::Answer Propose(fleet::Command command, Milliseconds limit) {
     return this->executor->executeSync([this, &command, limit] {
       return this->leader.Propose(std::move(command), limit);
     });
   }
 
-  // Passes one renewal on and gives the orders; blocks.
+  // Forwards one announcement and returns the orders for its target; blocks.
   fleet::TargetOrders Announce(fleet::Announcement announcement,
                                Milliseconds limit) {
     return this->executor->executeSync([this, &announcement, limit] {
--- a/services/sumacd/daemon.cc
+++ b/services/sumacd/daemon.cc
@@ -36,7 +36,7 @@
 namespace {
 
 constexpr std::uint64_t kFirstIncarnation = 1;
-// A hand-over on a planned stop takes at most this.
+// The maximum time to wait for the hand-over during a planned stop.
 constexpr Milliseconds kHandOverWait{1'500};
 constexpr Milliseconds kHandOverPoll{10};
 
@@ -44,16 +44,16 @@
   return replication::NodeId(StrCat(process.value(), ".", kFirstIncarnation));
 }
 
-// One running process.
+// Runs one process: owns its parts, its listeners and its loops.
 class Daemon {
  public:
   Daemon(const Settings& settings, kj::AsyncIoContext& io)
       : settings(settings), io(io) {}
 
-  // Builds all parts; on an error nothing listens any more.
+  // Creates all parts and opens the listeners. After an error nothing listens.
   absl::Status Start();
 
-  // Runs until the planned stop is over.
+  // Runs until the planned stop is complete.
   void Run();
 
  private:
@@ -91,9 +91,9 @@
   storage::PosixDisk disk;
   if (!storage::DataFolder<storage::PosixDisk>::HasIdentity(
           disk, this->settings.data_folder)) {
-    // NOTE: This disk is new or was lost. What the process acknowledged or
-    // voted before is forgotten, so it must not speak under its old name: it
-    // joins as another replica.
+    // NOTE: This disk is new or was lost. The votes and acknowledgements of the
+    // process before are lost, so it must not use its old name again: it joins
+    // as another replica.
     LogEvent(LogLevel::kWarning, "joins-with-empty-disk",
              {{"data_folder", this->settings.data_folder}});
     TRY(FormatForJoining(this->settings));
@@ -184,8 +184,9 @@
   this->Stop();
 }
 
-// A planned stop: the balancer hears of it first, requests in hand are
-// answered, leadership is handed over, and only then the process ends.
+// Carries out a planned stop: fails the health check so that the load balancer
+// removes this process, hands leadership over, answers open requests, and only
+// then returns.
 void Daemon::Stop() {
   LogEvent(LogLevel::kInfo, "stopping", nlohmann::json::object());
   this->is_stopping = true;
@@ -193,8 +194,8 @@
   kj::Timer& timer = this->io.provider->getTimer();
   timer.afterDelay(ToKj(this->settings.doors.stop_notice))
       .wait(this->io.waitScope);
-  // The doors' threads need the event loop to finish, so they are waited for on
-  // another thread.
+  // The listeners' threads need the event loop to finish, so another thread
+  // waits for them.
   auto stopped = kj::newPromiseAndFulfiller<void>();
   const kj::Executor& executor = kj::getCurrentThreadExecutor();
   std::thread stopper([this, &executor, &stopped] {
@@ -245,7 +246,7 @@
 }
 
 absl::Status FormatForJoining(const Settings& settings) {
-  // The wall clock is later than any start of this process before.
+  // The wall clock is later than any earlier start of this process.
   const auto incarnation = SystemClock().Now().time_since_epoch().count();
   const storage::Identity identity{
       .node = replication::NodeId(
--- a/services/sumacd/daemon.h
+++ b/services/sumacd/daemon.h
@@ -7,16 +7,16 @@
 
 namespace sumac::daemon {
 
-// Makes the data folder of a controller of a new group. Done once, before the
+// Creates the data folder of a controller of a new group. Done once, before the
 // first start.
 absl::Status FormatDataFolder(const Settings& settings);
 
-// Makes an empty data folder for a controller that joins a group that exists,
+// Creates an empty data folder for a controller that joins an existing group,
 // under an incarnation that was never used before.
 absl::Status FormatForJoining(const Settings& settings);
 
-// Runs the process until SIGTERM or SIGINT has ended it in order. The error
-// says why it could not start.
+// Runs the process until SIGTERM or SIGINT stops it and the shutdown is
+// complete. The error says why the process could not start.
 absl::Status RunDaemon(const Settings& settings);
 
 }  // namespace sumac::daemon
--- a/services/sumacd/doors.cc
+++ b/services/sumacd/doors.cc
@@ -50,8 +50,8 @@
   http::SendAnswer(response, answer.status, answer.content_type, answer.body);
 }
 
-// Refuses a request that could not be read whole. What is left of it can't be
-// told from the next one, so the connection ends.
+// Refuses a request that could not be read completely. Its remaining bytes
+// cannot be told apart from the next request, so the connection is closed.
 void RefuseUnread(HTTPServerResponse& response, const absl::Status& status) {
   response.setKeepAlive(false);
   SendCallerAnswer(response, http::MakeErrorAnswer(
--- a/services/sumacd/doors.h
+++ b/services/sumacd/doors.h
@@ -14,15 +14,16 @@
 
 namespace sumac::daemon {
 
-// The callers' door: requests to services, and /health for the balancer. Once
-// `is_stopping` is set the health check fails and answers close their
-// connections, while requests are still served.
+// Opens the callers' listener, which serves requests to services and /health
+// for the load balancer. Once `is_stopping` is set, the health check fails and
+// responses close their connections, while requests are still served.
 absl::StatusOr<std::unique_ptr<http::HttpServer>> OpenCallerDoor(
     const Settings& settings,
     Entry& entry,
     const std::atomic<bool>& is_stopping);
 
-// The targets' door: announcements, /metrics and /health.
+// Opens the targets' listener, which serves announcements, /metrics and
+// /health.
 absl::StatusOr<std::unique_ptr<http::HttpServer>> OpenTargetDoor(
     const Settings& settings,
     CoreLink& core,
--- a/services/sumacd/entry.cc
+++ b/services/sumacd/entry.cc
@@ -25,19 +25,21 @@
 using routing::TryOutcome;
 
 constexpr std::size_t kDecisionsKept = 10'000;
-// Answers of non-repeatable requests are kept by the controllers, so they must
+// The controllers store the answers of non-repeatable requests, so they must
 // not be large.
 constexpr std::uint32_t kMostKeptAnswerBytes = 256 * 1024;
-// A claim that is not committed within this is refused; the request then has
-// not run.
+// A claim that is not committed within this time is refused; the request then
+// has not run.
 constexpr Milliseconds kLongestClaim{2'000};
-// Waiting this long for the record of how a claimed request ended holds up its
-// answer at most.
+// The maximum time for which recording the outcome of a claimed request delays
+// its answer.
 constexpr Milliseconds kLongestFinish{1'000};
-// How often waiting requests are looked at for minions whose pause is over.
+// The interval at which waiting requests are checked for minions whose pause
+// has ended.
 constexpr Milliseconds kWakeInterval{5};
-// How many starts' worth of requests one start may number before it would run
-// into the next.
+// The bits of an attempt number below the start time in milliseconds. The
+// numbers of two starts could overlap only after more than 2^20 requests per
+// millisecond between them.
 constexpr unsigned kAttemptBits = 20;
 
 std::uint64_t StartNumber(const SystemClock& clock) {
@@ -103,7 +105,7 @@
   return answer;
 }
 
-// What is wrong with the request by itself.
+// Returns an error answer if the request itself is invalid.
 std::optional<CallerAnswer> Entry::CheckRequest(
     const CallerRequest& request) const {
   const auto fail = [](ResultCode code, std::string_view message) {
@@ -138,7 +140,8 @@
   const std::uint64_t number = this->next_number++;
   const std::lock_guard lock(this->mutex);
   const fleet::Service* service = this->router.FindService(request.service);
-  // The service was there a moment ago; when it has just gone, Admit says so.
+  // The service existed when the request was checked; if it has been removed
+  // since, Admit refuses the request.
   const fleet::Service defaults;
   const fleet::Service& declared = service == nullptr ? defaults : *service;
   Progress progress;
@@ -205,9 +208,9 @@
   return turn;
 }
 
-// Asks where the request may go and waits for its turn if it has to. One lock
-// is held from the question to the wait, or a turn given in between would reach
-// nobody.
+// Asks the router where the request may go and waits if it has to. The lock is
+// held from the question until the wait; otherwise a grant in between would be
+// lost.
 Entry::Turn Entry::AwaitTurnLocked(const Progress& progress,
                                    std::optional<RetryReason> reason) {
   std::unique_lock lock(this->mutex);
@@ -238,7 +241,8 @@
   return Turn(std::move(refusal));
 }
 
-// Gives waiting threads their turn. Called with the lock held.
+// Wakes the threads whose requests may be sent now. Must be called with the
+// lock held.
 void Entry::WakeReady() {
   for (auto& [number, send] :
        this->router.TakeReady(this->clock.SteadyNow(), this->clock.Now())) {
@@ -250,8 +254,8 @@
   }
 }
 
-// Commits the claim of a non-repeatable request; gives the final answer when it
-// must not be sent.
+// Commits the claim of a non-repeatable request. Returns the final answer if
+// the request must not be sent.
 std::optional<CallerAnswer> Entry::Claim(const CallerRequest& request,
                                          Progress& progress,
                                          const DecisionId& decision) {
@@ -261,7 +265,7 @@
                           this->settings.process, progress.attempt,
                           std::max(left, Milliseconds(0))},
       std::min(left, kLongestClaim));
-  // An answer that came while the deadline passed: the claim is held, but
+  // If the deadline passed while the claim was committed, the claim is held but
   // nothing is sent.
   if (answer.is_ok() && answer.document.is_null()) {
     progress.is_claimed = true;
@@ -325,8 +329,8 @@
   }
 }
 
-// One try at one minion. `final_answer` is set when the claim says that nothing
-// is to be sent.
+// Tries the request once at one minion. Sets `final_answer` if the claim shows
+// that nothing must be sent.
 TryResult Entry::TryOnce(const CallerRequest& request,
                          Progress& progress,
                          const SendTo& send,
@@ -338,8 +342,8 @@
     most_answer_bytes = std::min(most_answer_bytes, kMostKeptAnswerBytes);
   }
   TryResult result;
-  // The connection stands before the claim is made, so that a claim is seldom
-  // made for nothing; for a request that must not run twice it is a new one,
+  // The connection is opened before the claim is made, so that few claims are
+  // made in vain. A request that must not run twice gets a new connection,
   // which no minion is about to close.
   http::MinionClient::Connection connection =
       this->client.Connect(address, !is_repeatable, progress.info.deadline);
@@ -444,8 +448,9 @@
   return this->router.CountOpen();
 }
 
-// Looks after waiting requests whose minions' pauses end by time alone. While
-// nothing waits it sleeps, so that an idle entry costs nothing.
+// Wakes waiting requests whose minions' pauses end without any other event.
+// While no request waits the thread sleeps, so that an idle entry uses no
+// processor time.
 void Entry::WakeLoop() {
   std::unique_lock lock(this->mutex);
   while (!this->is_stopping) {
@@ -458,8 +463,8 @@
   }
 }
 
-// Asks each minion now and then how it is: its own word that it leaves reaches
-// an entry that is cut off from the controllers too.
+// Probes each minion's health at an interval: this way an entry that is
+// partitioned from the controllers also learns that a minion is leaving.
 void Entry::ProbeLoop() {
   const Milliseconds interval = this->settings.routing.probe_interval;
   if (interval == Milliseconds(0)) {
@@ -491,8 +496,8 @@
   }
 }
 
-// Writes the lines of decisions taken since the last call. The lock is held
-// only to take them, not while the log is written.
+// Logs the decisions made since the last call. The lock is held only to copy
+// them, not while the log is written.
 void Entry::LogNewDecisions() {
   std::vector<fleet::Decision> decisions;
   {
--- a/services/sumacd/entry.h
+++ b/services/sumacd/entry.h
@@ -27,9 +27,9 @@
 
 namespace sumac::daemon {
 
-// The entry role: takes callers' requests to minions and brings back whole
-// answers. Each request runs on its connection's thread; the routing core is
-// behind one lock.
+// The entry role: forwards callers' requests to minions and returns complete
+// answers. Each request runs on its connection's thread; one lock protects the
+// routing core.
 class Entry {
  public:
   // `core` must outlive the entry.
@@ -38,35 +38,36 @@
   Entry(const Entry&) = delete;
   Entry& operator=(const Entry&) = delete;
 
-  // Runs one request to its end; blocks.
+  // Runs one request to completion; blocks.
   http::CallerAnswer Run(const http::CallerRequest& request);
 
-  // Takes in a view, or a delta to the one in force, unless it is not newer.
+  // Applies a view, or a delta to the current one, unless it is not newer.
+  // Returns true if it was applied.
   bool UpdateView(const fleet::View& view, bool is_delta);
 
-  // The largest body a request to this service may have.
+  // Returns the maximum body size of a request to this service, in bytes.
   std::uint32_t MostBodyBytes(const ServiceName& service) const;
 
-  // This entry's own decisions.
+  // Return the decisions that this entry made, by id or about a request.
   std::optional<fleet::Decision> FindDecision(const DecisionId& id) const;
   std::vector<fleet::Decision> FindDecisionsAbout(
       const std::string& request_label) const;
 
-  // Requests in hand.
+  // Returns the number of requests in progress.
   std::size_t CountOpen() const;
 
  private:
-  // One request on its way.
+  // The state of one request in progress.
   struct Progress {
     routing::RequestInfo info;
     bool is_claimed = false;
     std::uint64_t attempt = 0;
     std::set<InstanceName> tried;
   };
-  // Where a request goes now, or its end.
+  // The next step of a request: a minion to send it to, or its refusal.
   using Turn = std::variant<routing::SendTo, routing::Refuse>;
 
-  // A thread that waits for its request's turn.
+  // A thread that waits until its request may be sent.
   struct Waiter {
     std::condition_variable wake;
     std::optional<routing::SendTo> send;
@@ -111,7 +112,8 @@
   CoreLink& core;
   http::Metrics& metrics;
   SystemClock clock;
-  // Distinguishes this start of the process from earlier ones.
+  // The start time of the process, which distinguishes this start from earlier
+  // ones.
   const std::uint64_t start;
   std::atomic<std::uint64_t> next_number = 1;
   http::MinionClient client;
@@ -119,12 +121,12 @@
   mutable std::mutex mutex;
   routing::Router router;
   std::map<routing::RequestNumber, Waiter*> waiters;
-  // Told when a request begins to wait.
+  // Notified when a request begins to wait.
   std::condition_variable wake_needed;
 
   std::mutex stop_mutex;
   std::condition_variable stop_wake;
-  // Written under both locks, read under either.
+  // Written while both mutexes are held, read while either is held.
   bool is_stopping = false;
   std::thread wake_thread;
   std::thread probe_thread;
--- a/services/sumacd/node_daemon.cc
+++ b/services/sumacd/node_daemon.cc
@@ -41,25 +41,28 @@
 namespace {
 
 constexpr std::uint64_t kFirstIncarnation = 1;
-// The settings file is looked at this often.
+// The interval at which the settings file is checked for changes.
 constexpr Milliseconds kFileCheckInterval{500};
-// An entry that has not reached a leader for this long is not ready.
+// An entry without a response from a leader for this long reports that it is
+// not ready.
 constexpr Milliseconds kOutOfTouchTime{3'000};
-// An entry asks for a sign of a leader this often.
+// The interval at which an entry probes the leader.
 constexpr Milliseconds kProbeInterval{1'000};
 constexpr Milliseconds kProbeLimit{900};
-// The balancer drops an entry that fails two checks, a second apart.
+// How long the health check of a stopping entry fails before the entry stops:
+// the load balancer removes an entry after two failed checks, one second apart.
 constexpr Milliseconds kStopNotice{2'300};
-// A hand-over on a planned stop takes at most this.
+// The maximum time to wait for the hand-over during a planned stop.
 constexpr Milliseconds kHandOverWait{600};
 constexpr Milliseconds kHandOverPoll{10};
-// A controller answers what it has in hand within this before it stops.
+// The maximum time for a stopping controller to answer its open requests.
 constexpr Milliseconds kControllerDrain{1'000};
-// What is left of the time to stop when requests in hand are given up.
+// The part of the stop grace period that remains when open requests are given
+// up.
 constexpr Milliseconds kStopReserve{500};
-// However much the event loop has to do, it looks at its timers and sockets
-// after this many steps, some milliseconds of a third of a core: heartbeats and
-// answers that have come must not wait behind a burst of orders.
+// The maximum number of events that the event loop processes between two polls
+// of its timers and sockets, some milliseconds of a third of a core: heartbeats
+// and responses that have arrived must not wait behind a burst of orders.
 constexpr unsigned kMostEventsBetweenPolls = 500;
 constexpr std::uint64_t kMostCallerBody = 256U << 10;
 constexpr std::uint64_t kMostControlBody = 4U << 20;
@@ -69,8 +72,8 @@
   return replication::NodeId(StrCat(process.value(), ".", incarnation));
 }
 
-// Makes the data folder of a controller that has none: of a new group at the
-// first start of a seed, else of one that joins under a new name.
+// Creates the data folder of a controller that has none: for a new group at the
+// first start of a seed, else for a replica that joins under a new name.
 absl::Status FormatNodeFolder(const NodeSettings& settings) {
   const std::vector<ProcessName> seeds = settings.SeedProcesses();
   const bool is_seed =
@@ -82,9 +85,9 @@
       identity.first_voters.insert(NodeOf(seed, kFirstIncarnation));
     }
   } else {
-    // NOTE: This disk is new or was lost. What the process acknowledged or
-    // voted before is forgotten, so it must not speak under its old name. The
-    // wall clock is later than any start of this process before.
+    // NOTE: This disk is new or was lost. The votes and acknowledgements of the
+    // process before are lost, so it must not use its old name again. The wall
+    // clock is later than any earlier start of this process.
     const auto incarnation = SystemClock().Now().time_since_epoch().count();
     identity.node =
         NodeOf(settings.process(), static_cast<std::uint64_t>(incarnation));
@@ -97,7 +100,7 @@
       disk, settings.data_folder, identity);
 }
 
-// One running process.
+// Runs one process: owns its parts, its listeners and its loops.
 class NodeDaemon {
  public:
   NodeDaemon(NodeSettings initial,
@@ -123,10 +126,10 @@
                this->timer,
                this->settings.advice_door) {}
 
-  // Builds all parts; on an error nothing listens any more.
+  // Creates all parts and opens the listeners. After an error nothing listens.
   absl::Status Start();
 
-  // Runs until the planned stop is over.
+  // Runs until the planned stop is complete.
   void Run();
 
  private:
@@ -242,7 +245,8 @@
       });
 }
 
-// The connections of a relay go with it, and share the budget of all.
+// Creates the calls of a relay to workers. The connections close with the relay
+// and share the budget of all connections to workers.
 relay::OwnedWorkerCalls NodeDaemon::MakeRelayWorkers() {
   auto client = std::make_shared<platform::WorkerClient>(
       this->io.provider->getNetwork(), this->timer, &this->worker_connections);
@@ -273,8 +277,9 @@
       });
 }
 
-// An entry opens connections to its peers only, so its callers get that share
-// too.
+// Returns the maximum number of callers' connections. An entry opens
+// connections only to its peers, so its callers get the share of outgoing
+// connections too.
 std::size_t NodeDaemon::EntryConnections() const {
   return this->shares.doors + this->shares.outgoing;
 }
@@ -307,7 +312,8 @@
   return absl::OkStatus();
 }
 
-// Descriptors in use by kind against their share.
+// Adds metrics of the connections of one kind: open, maximum, closed for others
+// and refused.
 void NodeDaemon::ShowConnections(const std::string& kind,
                                  const http::ConnectionBudget& connections) {
   const std::string label = StrCat("{kind=\"", kind, "\"}");
@@ -353,8 +359,8 @@
   return http::DoorReply{.status = this->IsReady() ? kOk : kUnavailable};
 }
 
-// Asks for a sign of a leader now and then, so that an entry without traffic
-// knows whether it is of use.
+// Probes the leader at an interval while no other call has reached it, so that
+// an entry without traffic knows whether it is ready.
 kj::Promise<void> NodeDaemon::ProbeLoop() {
   const bool is_fresh =
       this->clock.SteadyNow() - this->link->last_answer() < kProbeInterval;
@@ -392,7 +398,8 @@
   });
 }
 
-// Only the seeds may change while a process runs.
+// Reloads the settings file. Only the seeds are applied; all other settings
+// need a restart.
 void NodeDaemon::Reload(const char* cause) {
   const absl::StatusOr<NodeSettings> read = NodeSettings::Load(this->path);
   if (!read.ok()) {
@@ -431,8 +438,8 @@
       .wait(this->io.waitScope);
 }
 
-// Leadership goes to another controller first; then what is in hand is
-// answered.
+// Hands leadership over to another controller first; then answers the open
+// requests.
 void NodeDaemon::StopController() {
   const ReplicaHost& host = this->controller->replica_host();
   if (host.replica().role() == replication::Role::kLeader &&
@@ -447,8 +454,8 @@
   this->WaitUpTo(this->control_door->Drain(), kControllerDrain);
 }
 
-// The balancer hears of it first; clients that stay on open connections are
-// served until the door drains.
+// Fails the health check first, so that the load balancer removes this entry.
+// Clients on open connections are served until the listener is drained.
 void NodeDaemon::StopEntry() {
   this->caller_door->CloseAfterAnswers();
   this->timer.afterDelay(ToKj(kStopNotice)).wait(this->io.waitScope);
--- a/services/sumacd/node_daemon.h
+++ b/services/sumacd/node_daemon.h
@@ -9,9 +9,10 @@
 
 namespace sumac::daemon {
 
-// Runs a process that finds the others from seeds, until SIGTERM or SIGINT has
-// ended it in order. `path` is the settings file, which is read again on SIGHUP
-// and when it changes. The error says why the process could not start.
+// Runs a process that discovers the others from seeds, until SIGTERM or SIGINT
+// stops it and the shutdown is complete. `path` is the settings file, which is
+// reloaded on SIGHUP and when it changes. The error says why the process could
+// not start.
 absl::Status RunNodeDaemon(const NodeSettings& settings,
                            const std::string& path);
 
--- a/services/sumacd/peers.h
+++ b/services/sumacd/peers.h
@@ -16,25 +16,26 @@
 
 namespace sumac::daemon {
 
-// Connections to the other processes of the system, by name. Belongs to the
-// core's event loop.
+// The connections to the other processes of the system, by name. Must be used
+// on the core's event loop.
 class Peers {
  public:
   Peers(kj::Network& network, kj::Timer& timer, const Settings& settings);
-  // Without a list of processes: a process is named by the address where the
-  // others reach it, and any such name can be found. `seeds` are some of the
-  // controllers.
+  // Creates peers without a list of processes: a process is named by the
+  // address at which the others reach it, and any such name can be found.
+  // `seeds` are some of the controllers.
   Peers(kj::Network& network, kj::Timer& timer, std::vector<ProcessName> seeds);
 
-  // Takes in that the settings name other seeds now.
+  // Replaces the seeds after a change of the settings.
   void SetSeeds(std::vector<ProcessName> seeds) {
     this->controller_names = std::move(seeds);
   }
 
-  // The connection to a process, or nothing for an unknown name.
+  // Returns the connection to a process, or null for an unknown name.
   rpc::Channel* Find(const ProcessName& name);
 
-  // The names of all processes and of the controllers, this one included.
+  // Return the names of all processes and of the controllers, including this
+  // one.
   const std::vector<ProcessName>& all() const { return this->names; }
   const std::vector<ProcessName>& controllers() const {
     return this->controller_names;
@@ -43,7 +44,7 @@
  private:
   kj::Network& network;
   kj::Timer& timer;
-  // True if names are addresses.
+  // True if names are addresses and there is no list of processes.
   bool is_open = false;
   std::vector<ProcessName> names;
   std::vector<ProcessName> controller_names;
--- a/services/sumacd/view_follower.cc
+++ b/services/sumacd/view_follower.cc
@@ -13,7 +13,7 @@
 namespace sumac::daemon {
 namespace {
 
-// A controller answers after this at the latest, also when nothing is new.
+// A controller answers after at most this time, even when nothing is new.
 constexpr Milliseconds kLongestWait{2'000};
 constexpr Milliseconds kAnswerMargin{1'000};
 constexpr Milliseconds kPauseAfterFailure{100};
@@ -31,8 +31,8 @@
       local(local),
       on_view(std::move(on_view)),
       confirmed_at_ms(this->clock.SteadyNow().time_since_epoch().count()) {
-  // Each entry begins with another controller, so that each serves its share of
-  // them.
+  // Each entry starts with a different controller, so that the entries are
+  // spread over the controllers.
   const auto& all = peers.all();
   this->next_controller = static_cast<std::size_t>(
       std::find(all.begin(), all.end(), settings.process) - all.begin());
@@ -108,7 +108,7 @@
               {"is_delta", served.is_delta},
               {"revision", served.view.revision.value()}});
   }
-  // A controller that lags says nothing about how old this view is.
+  // A controller that lags behind does not confirm the age of this view.
   if (served.is_verified && served.view.version >= have) {
     this->confirmed_at_ms.store(
         this->clock.SteadyNow().time_since_epoch().count());
--- a/services/sumacd/view_follower.h
+++ b/services/sumacd/view_follower.h
@@ -17,18 +17,19 @@
 
 namespace sumac::daemon {
 
-// Keeps an entry's view up to date: asks one controller after the other for
-// anything newer than what the entry has. A fresh entry takes its first view
-// only from a controller that knows its own state to be the latest, so that no
-// restart brings an older revision back; after that it takes any newer one and
-// keeps what it has while no controller answers. Belongs to the core's loop.
+// Keeps an entry's view up to date: requests newer versions from one controller
+// after the other. A new entry accepts its first view only from a controller
+// whose state is verified as the latest, so that a restart never brings an
+// older revision back. After that it accepts any newer view, and keeps the one
+// it has while no controller answers. Must be used on the core's event loop.
 class ViewFollower {
  public:
-  // Takes a view in, whole or as a delta to the one in force; false if it is
-  // not newer.
+  // Applies a view, complete or as a delta to the current one. Returns false if
+  // it is not newer.
   using OnView = std::function<bool(const fleet::View&, bool is_delta)>;
 
-  // `local` is this process's controller, or nothing; it is asked first.
+  // `local` is this process's own controller, or null. If there is one, only it
+  // is asked.
   ViewFollower(const Settings& settings,
                Peers& peers,
                kj::Timer& timer,
@@ -38,10 +39,10 @@
   // Runs until the process ends.
   kj::Promise<void> Run();
 
-  // How long ago a controller last confirmed that the view is its newest; any
-  // thread may ask.
+  // Returns the time since a controller last confirmed that this view is the
+  // newest. Thread-safe.
   Milliseconds Age() const;
-  // True once a first view is in force.
+  // Returns true once the first view was applied.
   bool has_view() const { return this->version.load() > 0; }
   std::uint64_t current_version() const { return this->version.load(); }
 
