--- a/services/sumacd/main.cc
+++ b/services/sumacd/main.cc
@@ -48,7 +48,7 @@
   return exit_code;
 }
 
-// Runs a process that finds the others from seeds.
+// Runs a process that discovers the others from seeds.
 int RunNode(const std::string& path, bool is_check) {
   const auto settings = sumac::daemon::NodeSettings::Load(path);
   if (!settings.ok()) {
@@ -87,7 +87,7 @@
 }  // namespace
 
 int main(int argument_count, char** argument_values) {
-  // One heap a thread would cost some 100 KB for each open connection.
+  // One heap per thread would cost about 100 KB for each open connection.
   mallopt(M_ARENA_MAX, kMostHeaps);
   const options::options_description description = DescribeOptions();
   options::variables_map arguments;
--- a/services/sumacd/node_operator_service.cc
+++ b/services/sumacd/node_operator_service.cc
@@ -14,13 +14,13 @@
 namespace sumac::daemon {
 namespace {
 
-// How long an operator's call may take in all.
+// The maximum total time of an operator's call.
 constexpr Milliseconds kOperatorLimit{5'000};
 constexpr std::size_t kLargestJob = 256U << 10;
 constexpr ReaderCodes kJobCodes{ResultCode::kBadArgument,
                                 ResultCode::kBadArgument};
 
-// A job as operators write it.
+// A job as operators submit it.
 struct SubmittedJob {
   JobId id;
   QueueName queue;
@@ -47,7 +47,7 @@
   return job;
 }
 
-// What only a system with a list of processes has.
+// Refuses a method that only a system with a list of processes supports.
 template <typename Context>
 kj::Promise<void> RefuseMethod(Context context) {
   return Reply(
@@ -76,7 +76,7 @@
                                   kOperatorLimit));
 }
 
-// NOTE: The job's id is the operator's and makes a resend harmless.
+// NOTE: The operator chooses the job's id, so a resend has no further effect.
 kj::Promise<void> NodeOperatorService::submitJob(SubmitJobContext context) {
   auto params = context.getParams();
   absl::StatusOr<SubmittedJob> job =
--- a/services/sumacd/node_operator_service.h
+++ b/services/sumacd/node_operator_service.h
@@ -11,13 +11,13 @@
 
 namespace sumac::daemon {
 
-// The operators' door (schemas/operator.capnp) of a process that finds the
-// others from seeds: jobs of steps, workers, waves. It passes everything on to
-// the controller that leads. Methods that it does not have answer
-// kBadArgument.
+// Serves the operators' interface (schemas/operator.capnp) in a process that
+// discovers the others from seeds: jobs of steps, workers, waves. Calls are
+// forwarded to the leading controller. Methods that such a system does not
+// support answer kBadArgument.
 class NodeOperatorService final : public wire::Operator::Server {
  public:
-  // `controller` is this process's own, or nothing.
+  // `controller` is this process's own controller, or null.
   NodeOperatorService(const NodeSettings& settings,
                       JobsLink& link,
                       JobController* controller)
--- a/services/sumacd/node_peer_service.h
+++ b/services/sumacd/node_peer_service.h
@@ -7,8 +7,8 @@
 
 namespace sumac::daemon {
 
-// The door between the processes of a system that finds itself from seeds: what
-// controllers of jobs answer.
+// Serves the methods of the Peer interface that job controllers implement, in a
+// system whose processes discover each other from seeds.
 class NodePeerService final : public wire::Peer::Server {
  public:
   explicit NodePeerService(JobController& controller)
--- a/services/sumacd/node_settings.h
+++ b/services/sumacd/node_settings.h
@@ -15,18 +15,18 @@
 
 namespace sumac::daemon {
 
-// Times that the platform promises or asks for.
+// Time limits that the platform guarantees or requires.
 struct PlatformTimes {
-  // A worker's lease is at most this long.
+  // The maximum duration of a worker's lease.
   Milliseconds longest_lease{6'000};
-  // A worker carries a stop out within this.
+  // The maximum time in which a worker carries out a stop.
   Milliseconds longest_stop{1'000};
-  // A process that was told to stop is killed after this.
+  // The platform kills a process this long after it asked it to stop.
   Milliseconds stop_grace{6'000};
-  // Two leaders' orders about one instance keep this apart.
+  // The minimum time between the orders of two leaders about one instance.
   Milliseconds instance_lease{3'000};
-  // How long maintenance of an instance and a move take, in seconds: the
-  // platform fills them in as fractions.
+  // The duration of an instance's maintenance and of a move, in seconds: the
+  // platform gives them as fractions.
   double maintenance_seconds = 2;
   double move_seconds = 1.5;
 
@@ -53,32 +53,34 @@
   }
 };
 
-// Policies that can be switched off, so that one run compares them with the
-// plain way.
+// Policies that can be switched off, so that a run can compare them with the
+// simple alternative.
 struct PolicySettings {
-  // Instances follow demand from pool to pool.
+  // Moves instances between pools as demand changes.
   bool moves = true;
-  // A leader has the other controllers make its calls to workers.
+  // The leader makes its calls to workers through the other controllers.
   bool relays = true;
-  // It makes them itself while it has fewer workers: with few, the way by a
-  // relay costs answers more time than the leader gains.
+  // The leader calls workers directly while it has fewer workers than this:
+  // with few workers, the detour through a relay delays answers more than it
+  // saves the leader.
   std::size_t relays_from_workers = 100;
-  // Jobs that can still be in time go first, the most pressing before the
-  // others.
+  // Runs jobs that can still meet their deadline first, the most urgent before
+  // the others.
   bool order_by_slack = true;
-  // Growth of a queue's arrivals is carried on for as long as an instance needs
-  // to move.
+  // Extrapolates the growth of a queue's arrivals over the time that an
+  // instance needs to move.
   bool forecast = true;
-  // Tasks leave workers that fail, stand still or are slow.
+  // Moves tasks away from workers that fail, are stalled or are slow.
   bool leave_bad_workers = true;
-  // Room that a pool should have beyond what it needs, in thousandths. An
-  // instance for a second costs a fiftieth of what a late job does in the worst
-  // seconds of a day: 400 to 700 earned more than 150 (docs/WORTH.md).
+  // Spare capacity that a pool should have beyond what it needs, in
+  // thousandths. An instance for a second costs a fiftieth of what a late job
+  // does in the worst seconds of a day: 400 to 700 earned more than 150
+  // (docs/WORTH.md).
   std::int64_t reserve_permille = 500;
-  // Further jobs are refused while so many are accepted and not finished;
-  // bounds a controller's memory.
+  // The maximum number of jobs that are accepted and not finished; further jobs
+  // are refused. Bounds a controller's memory.
   std::uint64_t most_active_jobs = 20'000;
-  // How long a pool keeps instances that it does not need any more.
+  // How long a pool keeps instances that it no longer needs.
   Milliseconds surplus_time{2'500};
 
   template <typename Self, typename Visitor>
@@ -97,39 +99,44 @@
   }
 };
 
-// The settings of a process that has no list of the others and finds them from
-// seeds. docs/SETTINGS.md describes each key.
+// The settings of a process that has no list of the others and discovers them
+// from seeds. docs/SETTINGS.md describes each key.
 struct NodeSettings {
-  // For logs.
+  // The name of this process in logs.
   std::string label;
   DataCentre data_centre;
   ProcessRole role = ProcessRole::kEntry;
-  // This process's own address without a port.
+  // This process's own IP address, without a port.
   std::string ip;
-  // The port at which processes reach each other; the same everywhere.
+  // The port on which processes listen for each other; the same for all
+  // processes.
   std::uint16_t peer_port = 0;
-  // Addresses of some controllers; their ports are not used.
+  // Addresses of some controllers. Their ports are ignored.
   std::vector<std::string> seeds;
-  // True only at the first start of the whole system, on empty disks.
+  // True only at the first start of the whole system, when all disks are empty.
   bool is_first_start = false;
-  // Controllers that may be lost at once, with their disks.
+  // The number of controllers that may be lost at the same time, together with
+  // their disks.
   std::uint32_t tolerated_losses = 1;
-  // Controllers only.
+  // Only for controllers.
   std::string data_folder;
   std::string control_door;
-  // Entries only.
+  // Only for entries.
   std::string caller_door;
   std::string health_door;
-  // Where operators reach this process, as IP:PORT; empty for nowhere.
+  // The address at which this process listens for operators, as IP:PORT; empty
+  // for none.
   std::string operators_door;
-  // Where this process gives out its metrics, as IP:PORT; empty for nowhere.
+  // The address at which this process serves its metrics, as IP:PORT; empty for
+  // none.
   std::string metrics_door;
-  // File descriptors that this process may hold; 0 for as many as the operating
-  // system allows it.
+  // The maximum number of file descriptors of this process; 0 for the operating
+  // system's limit.
   std::size_t most_descriptors = 0;
-  // The platform's door for instances, as IP:PORT; empty if there is none.
+  // The address of the platform's interface for instances, as IP:PORT; empty if
+  // there is none.
   std::string instances_door;
-  // The placement policy's door, as IP:PORT; empty if there is none.
+  // The address of the placement policy, as IP:PORT; empty if there is none.
   std::string advice_door;
   PlatformTimes platform_times;
   PolicySettings policy;
@@ -163,19 +170,20 @@
   }
 
   bool is_controller() const { return this->role == ProcessRole::kController; }
-  // The name of this process among the others: where they reach it.
+  // Returns the name of this process: the address at which the others reach it.
   ProcessName process() const;
-  // The seeds by the same kind of name.
+  // Returns the names of the seeds, in the same form.
   std::vector<ProcessName> SeedProcesses() const;
-  // Voters that the group should have.
+  // Returns the number of voters that the group should have.
   std::size_t wanted_voters() const { return 2 * this->tolerated_losses + 1; }
 
-  // Reads and checks a file. Errors name the file, the key, what was found and
-  // what is allowed.
+  // Reads and validates a settings file. Errors name the file, the key, the
+  // value found and the values allowed.
   static absl::StatusOr<NodeSettings> Load(const std::string& path);
 };
 
-// True if the file at `path` holds settings of this kind: it names seeds.
+// Returns true if the file at `path` contains settings of this kind, i.e. has
+// the key "seeds".
 bool IsNodeSettingsFile(const std::string& path);
 
 }  // namespace sumac::daemon
--- a/services/sumacd/operator_replies.h
+++ b/services/sumacd/operator_replies.h
@@ -9,14 +9,14 @@
 
 namespace sumac::daemon {
 
-// Answers one call at the operators' door.
+// Responds to an operator's call.
 template <typename Context>
 kj::Promise<void> Reply(Context context, const fleet::Answer& answer) {
   rpc::WriteAnswer(answer, context.getResults().initResult());
   return kj::READY_NOW;
 }
 
-// Answers it once the answer is there.
+// Responds to an operator's call when `promise` resolves.
 template <typename Context>
 kj::Promise<void> ReplyWith(Context context,
                             kj::Promise<fleet::Answer> promise) {
--- a/services/sumacd/operator_service.cc
+++ b/services/sumacd/operator_service.cc
@@ -20,7 +20,7 @@
 namespace sumac::daemon {
 namespace {
 
-// How long an operator's call may take in all.
+// The maximum total time of an operator's call.
 constexpr Milliseconds kOperatorLimit{5'000};
 constexpr Milliseconds kPeerLimit{500};
 constexpr Milliseconds kInForcePoll{20};
@@ -36,7 +36,7 @@
       .message = StrCat(what, " is larger than ", most, " bytes")};
 }
 
-// Decisions from several processes in one list, the newest first.
+// Merges the decisions of several processes into one list, newest first.
 nlohmann::json MergeDecisions(const std::vector<nlohmann::json>& lists) {
   std::vector<nlohmann::json> rows;
   for (const nlohmann::json& list : lists) {
@@ -297,7 +297,7 @@
       });
 }
 
-// Asks all controllers; only the one that leads carries it out.
+// Calls all controllers; only the leader carries out the change.
 kj::Promise<void> OperatorService::changeController(
     ChangeControllerContext context) {
   const std::string action = wire::ToString(context.getParams().getAction());
@@ -335,7 +335,8 @@
       });
 }
 
-// Asks all entries again and again until each that is alive has the version.
+// Polls all entries until each one that responds has the version, or until the
+// deadline.
 kj::Promise<fleet::Answer> OperatorService::AwaitInForce(std::uint64_t version,
                                                          SteadyTime deadline) {
   auto asked = kj::Vector<kj::Promise<EntryView>>();
--- a/services/sumacd/operator_service.h
+++ b/services/sumacd/operator_service.h
@@ -14,8 +14,8 @@
 
 namespace sumac::daemon {
 
-// What the operators' door needs of the rest of the process. Controller and
-// entry may be nothing.
+// The parts of the process that OperatorService uses. `controller`, `entry` and
+// `follower` may be null.
 struct OperatorParts {
   const Settings& settings;
   Peers& peers;
@@ -26,8 +26,8 @@
   const ViewFollower* follower;
 };
 
-// The operators' door (schemas/operator.capnp): an adapter that passes
-// everything on to the leader or to the process that knows.
+// Serves the operators' interface (schemas/operator.capnp): an adapter that
+// forwards each call to the leader or to the process that has the answer.
 class OperatorService final : public wire::Operator::Server {
  public:
   explicit OperatorService(OperatorParts parts) : parts(parts) {}
@@ -49,7 +49,7 @@
   kj::Promise<void> inForce(InForceContext context) override;
 
  private:
-  // What one entry acts on, as it says.
+  // The version of the view that one entry reports as its current one.
   struct EntryView {
     ProcessName process;
     bool has_answered = false;
--- a/services/sumacd/peer_service.h
+++ b/services/sumacd/peer_service.h
@@ -9,10 +9,12 @@
 
 namespace sumac::daemon {
 
-// The door between the system's own processes.
+// Serves the Peer interface, by which the system's own processes call each
+// other.
 class PeerService final : public wire::Peer::Server {
  public:
-  // Either may be nothing, by the process's roles.
+  // `controller` is null without the controller role; `entry` and `follower`
+  // are null without the entry role.
   PeerService(Controller* controller,
               Entry* entry,
               const ViewFollower* follower)
@@ -37,10 +39,10 @@
   const ViewFollower* follower;
 };
 
-// This entry's own decision, or kUnknownDecision.
+// Returns a decision that this entry made, or kUnknownDecision.
 fleet::Answer ExplainLocally(const Entry* entry, const DecisionId& id);
 
-// This entry's own decisions about a request, as a list.
+// Returns the decisions that this entry made about a request, as a list.
 fleet::Answer WhyLocally(const Entry* entry,
                          const std::string& kind,
                          const std::string& name);
--- a/services/sumacd/queries.cc
+++ b/services/sumacd/queries.cc
@@ -110,8 +110,8 @@
   return Answer{.document = ToJson(*found)};
 }
 
-// What the record of a request's claim says, as a decision beside the entries'
-// own.
+// Describes the recorded claim of a request as a decision, shown beside the
+// decisions that entries made.
 std::optional<fleet::Decision> DescribeClaim(const fleet::FleetState& state,
                                              const std::string& key) {
   const auto found = state.record().claims.find(IdempotencyKey(key));
--- a/services/sumacd/queries.h
+++ b/services/sumacd/queries.h
@@ -11,18 +11,18 @@
 
 namespace sumac::daemon {
 
-// How many decisions an answer to "why" holds at most.
+// The maximum number of decisions in an answer to "why".
 inline constexpr std::size_t kMostDecisionsShown = 20;
 
-// Answers one question about the committed state. Kinds: declaration, pools,
+// Answers a query about the committed state. Kinds: declaration, pools,
 // instances, services, jobs, controllers, decision (name is an id),
-// why-instance, why-pool, why-job, why-request, diff (name is a declaration's
-// text). An empty name means all.
+// why-instance, why-pool, why-job, why-request, diff (name is the text of a
+// declaration). An empty name means all.
 fleet::Answer Query(const Controller& controller,
                     const std::string& kind,
                     const std::string& name);
 
-// What a declaration would change, line by line.
+// Returns the changes that a declaration would make, one line per key.
 fleet::Answer DiffDeclaration(const fleet::FleetState& state,
                               const std::string& text);
 
--- a/services/sumacd/settings.h
+++ b/services/sumacd/settings.h
@@ -15,15 +15,15 @@
 
 namespace sumac::daemon {
 
-// What a process does for the system.
+// The roles of a process.
 enum class ProcessRole { kEntry, kController };
 
-// One process of the system as all settings files list it.
+// One process of the system. All settings files list the same processes.
 struct ProcessSettings {
   ProcessName name;
   DataCentre data_centre;
   std::set<ProcessRole> roles;
-  // Where the other processes reach it, as IP:PORT.
+  // The address at which the other processes reach it, as IP:PORT.
   std::string peer_address;
 
   template <typename Self, typename Visitor>
@@ -35,7 +35,7 @@
   }
 };
 
-// Where this process listens, as IP:PORT.
+// The addresses at which this process listens, as IP:PORT.
 struct ListenSettings {
   std::string callers;
   std::string targets;
@@ -49,11 +49,11 @@
   }
 };
 
-// Times of the controllers' group; the same in all files.
+// Replication settings of the controllers' group; the same in all files.
 struct GroupSettings {
   Milliseconds heartbeat{250};
   Milliseconds election_timeout{800};
-  // Entries after which a snapshot is taken.
+  // The number of log entries after which a snapshot is taken.
   std::uint64_t snapshot_every = 10'000;
 
   template <typename Self, typename Visitor>
@@ -66,15 +66,16 @@
   }
 };
 
-// Limits of the doors that HTTP comes through.
+// Limits of the HTTP listeners.
 struct DoorSettings {
   std::uint32_t most_caller_connections = 1'024;
   std::uint32_t most_target_connections = 128;
-  // A request body's bytes at most, whatever its service declares.
+  // The maximum size of a request body, in bytes, whatever its service
+  // declares.
   std::uint32_t most_body_bytes = 1U << 20;
   Milliseconds idle_time{15'000};
   Milliseconds io_time{10'000};
-  // On a planned stop, how long the health check says so before listening ends.
+  // How long the health check reports a planned stop before listening ends.
   Milliseconds stop_notice{2'000};
 
   template <typename Self, typename Visitor>
@@ -90,10 +91,10 @@
   }
 };
 
-// How an entry shares minions with the others.
+// How an entry shares minions with the other entries.
 struct RoutingSettings {
   double slot_overcommit = 2;
-  // How often a minion without traffic is asked how it is; 0 never.
+  // The interval at which minions are probed; 0 turns probing off.
   Milliseconds probe_interval{1'000};
 
   template <typename Self, typename Visitor>
@@ -103,10 +104,10 @@
   }
 };
 
-// Log lines.
+// Logging settings.
 struct LogSettings {
   std::string level = "info";
-  // Empty for standard output.
+  // The path of the log file; empty for standard output.
   std::string file;
 
   template <typename Self, typename Visitor>
@@ -121,15 +122,15 @@
   ProcessName process;
   ListenSettings listen;
   std::vector<ProcessSettings> processes;
-  // Controllers only.
+  // Only for controllers.
   std::string data_folder;
   std::string charts_folder = "charts";
-  // The platform's door as IP:PORT; empty if there is none.
+  // The platform's address, as IP:PORT; empty if there is none.
   std::string platform_address;
   GroupSettings group;
   DoorSettings doors;
   RoutingSettings routing;
-  // How long a draining instance gets before it may count as drained.
+  // The time that a draining instance gets before it may count as drained.
   Milliseconds drain_grace{3'000};
   LogSettings log;
 
@@ -148,18 +149,18 @@
     visitor.Field("log", self.log);
   }
 
-  // This process's own row of `processes`.
+  // Returns this process's own entry in `processes`.
   const ProcessSettings& self() const;
   bool has_role(ProcessRole role) const {
     return this->self().roles.contains(role);
   }
-  // The controllers, in the order of the file.
+  // Returns the controllers, in the order of the file.
   std::vector<ProcessSettings> Controllers() const;
-  // How many processes have the entry role.
+  // Returns the number of processes with the entry role.
   std::uint32_t CountEntries() const;
 
-  // Reads and checks a file. Errors name the file, the key, what was found and
-  // what is allowed.
+  // Reads and validates a settings file. Errors name the file, the key, the
+  // value found and the values allowed.
   static absl::StatusOr<Settings> Load(const std::string& path);
 };
 
--- a/tests/services/sumacd/node_settings_test.cc
+++ b/tests/services/sumacd/node_settings_test.cc
@@ -19,8 +19,8 @@
   return kGood;
 }
 
-// The error for the good settings after a JSON patch; empty when they are
-// accepted.
+// Returns the error for the valid settings after a JSON patch; empty if they
+// are accepted.
 std::string ErrorAfter(const std::string& patch) {
   const std::string path = testing::TempDir() + "/node-settings-test.json";
   std::ofstream(path) << Good().patch(nlohmann::json::parse(patch));
