--- a/services/sumacd/controller.cc
+++ b/services/sumacd/controller.cc
@@ -48,7 +48,7 @@
   callbacks.apply = [self](const std::string& payload) {
     return self->Apply(payload);
   };
-  callbacks.after_pass = [self] { self->NotifyViewWaiters(); };
+  callbacks.after_pump = [self] { self->NotifyViewWaiters(); };
   callbacks.begin_snapshot = [self](LogIndex index) {
     self->snapshot_writer->Begin(index, self->state().record());
   };
--- a/services/sumacd/replica_host.cc
+++ b/services/sumacd/replica_host.cc
@@ -28,7 +28,7 @@
 constexpr Milliseconds kMessageTimeout{1'000};
 // The maximum number of messages in flight to one process; further ones are
 // dropped, as on a slow network.
-constexpr std::size_t kMostMessagesInFlight = 64;
+constexpr std::size_t kMaxMessagesInFlight = 64;
 // A replica that has not answered for this long may be replaced by the new
 // replica of its process, whose existence proves that the old one is gone.
 constexpr Milliseconds kSilentControllerTime{1'000};
@@ -47,10 +47,10 @@
 // this many times the usual number of entries. That is some seconds at peak
 // load, in which the member can receive the whole snapshot, while the log stays
 // bounded.
-constexpr std::uint64_t kPatienceWhileSending = 4;
+constexpr std::uint64_t kSnapshotIntervalFactorWhileSending = 4;
 // The maximum number of committed entries applied before other events are
 // processed: about ten milliseconds on a third of a core.
-constexpr std::size_t kMostAppliedAtOnce = 64;
+constexpr std::size_t kMaxAppliedPerBatch = 64;
 constexpr kj::Duration kApplyPause = 100 * kj::MICROSECONDS;
 
 replication::ReplicationSettings ToReplicationSettings(
@@ -67,7 +67,7 @@
 
 // Returns true if the disk refused the write for a temporary reason and still
 // holds all earlier data.
-bool IsPassing(const absl::Status& status) {
+bool IsTemporaryShortage(const absl::Status& status) {
   return CodeOf(status) == ResultCode::kDiskFull ||
          CodeOf(status) == ResultCode::kStorageShort;
 }
@@ -135,7 +135,7 @@
   if (this->has_full_disk) {
     this->StartWrite();
   }
-  if (this->IsMuted(now)) {
+  if (this->IsSendingBlocked(now)) {
     return;
   }
   this->replica_core->Tick(now);
@@ -151,10 +151,10 @@
 }
 
 bool ReplicaHost::MayAct() const {
-  return this->ActsUntil().has_value();
+  return this->MayActUntil().has_value();
 }
 
-std::optional<SteadyTime> ReplicaHost::ActsUntil() const {
+std::optional<SteadyTime> ReplicaHost::MayActUntil() const {
   const bool is_ready =
       !this->has_full_disk && this->replica_core->is_ready_to_lead() &&
       this->last_applied >= this->replica_core->leader_start();
@@ -253,7 +253,7 @@
   replication::MemberHealth health;
   health.is_silent = silence > kSilentControllerTime;
   health.is_lost = silence > kLostControllerTime;
-  health.is_caught_up = !health.is_silent && this->catch_up_mark.HasCaughtUp(
+  health.is_caught_up = !health.is_silent && this->catch_up_tracker.HasCaughtUp(
                                                  this->replica_core->term(),
                                                  found->second.match_index);
   return health;
@@ -270,8 +270,8 @@
       health[node] = this->HealthOf(node, now);
     }
   }
-  this->catch_up_mark.RecordCommitIndex(this->replica_core->term(),
-                                        this->replica_core->commit_index());
+  this->catch_up_tracker.RecordCommitIndex(this->replica_core->term(),
+                                           this->replica_core->commit_index());
   const auto next = replication::PlanNextMembers(members, health,
                                                  this->settings.wanted_voters);
   if (next) {
@@ -352,20 +352,20 @@
 
 kj::Promise<std::vector<replication::Message>> ReplicaHost::Receive(
     replication::Message message) {
-  if (this->IsMuted(this->clock.SteadyNow())) {
+  if (this->IsSendingBlocked(this->clock.SteadyNow())) {
     return std::vector<replication::Message>();
   }
   const ProcessName sender = ProcessOf(message.from);
-  this->TakeIn(std::move(message));
+  this->HandleMessage(std::move(message));
   auto paf = kj::newPromiseAndFulfiller<std::vector<replication::Message>>();
   this->waiting_senders.push_back(
       WaitingSender{sender, {}, kj::mv(paf.fulfiller)});
   return kj::mv(paf.promise);
 }
 
-void ReplicaHost::TakeIn(replication::Message message) {
+void ReplicaHost::HandleMessage(replication::Message message) {
   const SteadyTime now = this->clock.SteadyNow();
-  if (this->IsMuted(now)) {
+  if (this->IsSendingBlocked(now)) {
     return;
   }
   this->replica_core->Receive(std::move(message), now);
@@ -419,12 +419,12 @@
       this->replica_core->role() == replication::Role::kLeader;
   // A muted replica has no replies, and its open calls are answered empty.
   if (this->unwritten.empty() || is_leader ||
-      this->IsMuted(this->clock.SteadyNow())) {
+      this->IsSendingBlocked(this->clock.SteadyNow())) {
     this->AnswerSenders();
   }
   this->FailLostProposals();
-  this->callbacks.after_pass();
-  this->MaybeSnapshot();
+  this->callbacks.after_pump();
+  this->BeginSnapshotIfDue();
 }
 
 // Processes one output of the replica. Returns false if there is none that may
@@ -433,21 +433,21 @@
   const bool is_leader =
       this->replica_core->role() == replication::Role::kLeader;
   const bool may_take = this->unwritten.empty() || is_leader;
-  if (!may_take || this->IsMuted(this->clock.SteadyNow()) ||
+  if (!may_take || this->IsSendingBlocked(this->clock.SteadyNow()) ||
       !this->replica_core->has_output()) {
     return false;
   }
   replication::Output output = this->replica_core->TakeOutput();
-  const bool is_ahead = this->MayRunAheadOfDisk(output);
-  if (is_ahead || (this->unwritten.empty() && !output.has_writes())) {
+  const bool can_send_early = this->CanSendBeforeWrite(output);
+  if (can_send_early || (this->unwritten.empty() && !output.has_writes())) {
     this->Deliver(output);
   }
-  if (!output.has_writes() && (is_ahead || this->unwritten.empty())) {
+  if (!output.has_writes() && (can_send_early || this->unwritten.empty())) {
     return true;
   }
   // The first output is being written; the second collects the entries that
   // arrive meanwhile.
-  const bool can_merge = is_ahead && this->unwritten.size() > 1 &&
+  const bool can_merge = can_send_early && this->unwritten.size() > 1 &&
                          !this->unwritten.back().hard_state;
   if (can_merge) {
     MergeEntries(this->unwritten.back(), output);
@@ -455,7 +455,7 @@
     this->unwritten.push_back(std::move(output));
   }
   this->StartWrite();
-  return is_ahead;
+  return can_send_early;
 }
 
 // Returns true if the output may be sent before it is written. A leader may
@@ -463,7 +463,7 @@
 // section 10.2.1): it counts its own copy only once it is written. A vote or a
 // new term must be on disk first, and a follower acknowledges only what its
 // disk holds.
-bool ReplicaHost::MayRunAheadOfDisk(const replication::Output& output) const {
+bool ReplicaHost::CanSendBeforeWrite(const replication::Output& output) const {
   const bool is_queue_plain =
       std::none_of(this->unwritten.begin(), this->unwritten.end(),
                    [](const replication::Output& waiting) {
@@ -492,7 +492,7 @@
 
 void ReplicaHost::FinishWrite(const absl::Status& status) {
   this->is_writing = false;
-  if (IsPassing(status)) {
+  if (IsTemporaryShortage(status)) {
     // Nothing was acknowledged and nothing is lost: the same output is written
     // again once there is space.
     if (!std::exchange(this->has_full_disk, true)) {
@@ -531,10 +531,10 @@
 // that hands over keeps sending until the hand-over is done or has failed: its
 // heartbeats and entries need no write of its own, and the hand-over lets
 // pending proposals be decided.
-bool ReplicaHost::IsMuted(SteadyTime now) const {
+bool ReplicaHost::IsSendingBlocked(SteadyTime now) const {
   const bool hands_over =
       this->replica_core->role() == replication::Role::kLeader &&
-      now < this->hands_over_until;
+      now < this->hand_over_deadline;
   return this->has_full_disk && !hands_over;
 }
 
@@ -547,7 +547,7 @@
   LogEvent(LogLevel::kWarning, "hands-over-with-full-disk",
            {{"status", status.ToString()}});
   if (status.ok()) {
-    this->hands_over_until = now + this->settings.group.election_timeout;
+    this->hand_over_deadline = now + this->settings.group.election_timeout;
     this->SchedulePump();
   }
 }
@@ -587,7 +587,7 @@
                                 const replication::Message& message) {
   rpc::Channel* channel = this->peers.Find(process);
   std::size_t& in_flight = this->messages_in_flight[process];
-  if (channel == nullptr || in_flight >= kMostMessagesInFlight) {
+  if (channel == nullptr || in_flight >= kMaxMessagesInFlight) {
     return;
   }
   ++in_flight;
@@ -606,7 +606,7 @@
               [this, &in_flight](std::vector<replication::Message>&& replies) {
                 --in_flight;
                 for (replication::Message& reply : replies) {
-                  this->TakeIn(std::move(reply));
+                  this->HandleMessage(std::move(reply));
                 }
               },
               [&in_flight](kj::Exception&& /*exception*/) { --in_flight; }));
@@ -616,7 +616,7 @@
 // since the last snapshot, and heartbeats must continue meanwhile.
 void ReplicaHost::ApplyCommitted() {
   for (std::size_t count = 0;
-       count < kMostAppliedAtOnce && !this->committed.empty(); ++count) {
+       count < kMaxAppliedPerBatch && !this->committed.empty(); ++count) {
     const replication::Entry entry = std::move(this->committed.front());
     this->committed.pop_front();
     VERIFY(entry.index == this->last_applied.Next());
@@ -671,11 +671,12 @@
   }
 }
 
-void ReplicaHost::MaybeSnapshot() {
+void ReplicaHost::BeginSnapshotIfDue() {
   // A newer snapshot would make a member that is receiving one start over.
-  const std::uint64_t due_after =
-      this->settings.group.snapshot_every *
-      (this->replica_core->is_sending_snapshot() ? kPatienceWhileSending : 1);
+  const std::uint64_t due_after = this->settings.group.snapshot_every *
+                                  (this->replica_core->is_sending_snapshot()
+                                       ? kSnapshotIntervalFactorWhileSending
+                                       : 1);
   if (this->entries_since_snapshot < due_after || this->is_snapshot_under_way ||
       !this->unwritten.empty()) {
     // NOTE: When nothing is left to write, all applied entries are on disk, so
@@ -707,7 +708,7 @@
                 {{"index", meta.index.value()}, {"status", status.ToString()}});
             // After a temporary shortage the log continues without this
             // snapshot, and the next one is tried later.
-            if (!status.ok() && !IsPassing(status)) {
+            if (!status.ok() && !IsTemporaryShortage(status)) {
               std::_Exit(EXIT_FAILURE);
             }
           }));
--- a/services/sumacd/replica_host.h
+++ b/services/sumacd/replica_host.h
@@ -39,7 +39,7 @@
   // Applies one committed command and returns its answer.
   std::function<fleet::Answer(const std::string& payload)> apply;
   // Called at the end of each Pump, in which commands may have been applied.
-  std::function<void()> after_pass;
+  std::function<void()> after_pump;
   // Starts to serialize the current state as a snapshot; FinishSnapshot must be
   // called with the bytes.
   std::function<void(LogIndex index)> begin_snapshot;
@@ -105,7 +105,7 @@
   // it as the leader.
   bool MayAct() const;
   // Returns the time until which MayAct stays true, or nothing if it is false.
-  std::optional<SteadyTime> ActsUntil() const;
+  std::optional<SteadyTime> MayActUntil() const;
 
   // Adds a replica to the group as a learner. Returns kNotLeader, or
   // kWrongState while another membership change is in progress.
@@ -155,21 +155,21 @@
   void LogRole();
   void Pump();
   bool PumpOnce();
-  bool MayRunAheadOfDisk(const replication::Output& output) const;
+  bool CanSendBeforeWrite(const replication::Output& output) const;
   void StartWrite();
   void FinishWrite(const absl::Status& status);
-  bool IsMuted(SteadyTime now) const;
+  bool IsSendingBlocked(SteadyTime now) const;
   void HandOverWithFullDisk();
   void Deliver(replication::Output& output);
   void SendMessages(std::vector<replication::Message> messages);
   void CallReplicate(const ProcessName& process,
                      const replication::Message& message);
-  void TakeIn(replication::Message message);
+  void HandleMessage(replication::Message message);
   void AnswerSenders();
   void ApplyCommitted();
   void ResolveProposal(const replication::Entry& entry, fleet::Answer answer);
   void FailLostProposals();
-  void MaybeSnapshot();
+  void BeginSnapshotIfDue();
   replication::MemberHealth HealthOf(const replication::NodeId& node,
                                      SteadyTime now) const;
   absl::Status ProposeMembers(const replication::Membership& membership);
@@ -188,7 +188,7 @@
       replication::Role::kFollower, ProcessName()};
   // Tracks, per term, the commit index that members must reach to count as
   // caught up.
-  replication::CatchUpTracker catch_up_mark;
+  replication::CatchUpTracker catch_up_tracker;
   SteadyTime last_join{};
   std::size_t next_to_ask = 0;
   // The leader that the last response to a join request named; empty if it
@@ -197,7 +197,7 @@
   bool is_pump_scheduled = false;
   bool has_full_disk = false;
   // The time until which a leader with a full disk tries to hand over.
-  SteadyTime hands_over_until{};
+  SteadyTime hand_over_deadline{};
   // Outputs that are not on disk yet, oldest first; the first one is being
   // written while `is_writing`.
   std::deque<replication::Output> unwritten;
--- a/tests/services/sumacd/replica_host_test.cc
+++ b/tests/services/sumacd/replica_host_test.cc
@@ -126,7 +126,7 @@
               member.applied.push_back(payload);
               return fleet::Answer::Success("applied");
             },
-        .after_pass = [] {},
+        .after_pump = [] {},
         .begin_snapshot = [](LogIndex) {}};
   }
 
