--- a/services/sumacd/replica_host.cc
+++ b/services/sumacd/replica_host.cc
@@ -39,7 +39,7 @@
 constexpr Milliseconds kJoinInterval{500};
 // A replica without contact to a leader for this long requests to join again:
 // it may have been replaced while it was partitioned.
-constexpr Milliseconds kForgottenTime{4'000};
+constexpr Milliseconds kRejoinAfterSilenceTime{4'000};
 // A leader hands over when a single disk write takes longer than this.
 constexpr Milliseconds kStalledDiskTime{1'000};
 
@@ -139,7 +139,7 @@
     return;
   }
   this->replica_core->Tick(now);
-  this->AskToJoin(now);
+  this->RequestToJoin(now);
   const bool is_leader =
       this->replica_core->role() == replication::Role::kLeader;
   if (is_leader && this->WriteAge(now) > kStalledDiskTime &&
@@ -285,18 +285,19 @@
 
 // A replica that belongs to no group, or may have been removed from it while it
 // was partitioned, requests to join from one controller after the other.
-void ReplicaHost::AskToJoin(SteadyTime now) {
+void ReplicaHost::RequestToJoin(SteadyTime now) {
   const replication::Replica& replica = *this->replica_core;
-  const bool is_blank = replica.membership().voters.empty();
-  const bool is_forgotten =
+  const bool has_no_group = replica.membership().voters.empty();
+  const bool may_have_been_removed =
       this->settings.wanted_voters > 0 &&
-      now - replica.last_leader_contact_at() > kForgottenTime &&
+      now - replica.last_leader_contact_at() > kRejoinAfterSilenceTime &&
       replica.role() != replication::Role::kLeader;
-  if ((!is_blank && !is_forgotten) || now - this->last_join < kJoinInterval) {
+  if ((!has_no_group && !may_have_been_removed) ||
+      now - this->last_join_request_at < kJoinInterval) {
     return;
   }
-  this->last_join = now;
-  const ProcessName process = this->NextToAsk();
+  this->last_join_request_at = now;
+  const ProcessName process = this->NextJoinController();
   rpc::Channel* channel = this->peers.Find(process);
   if (process == this->settings.process || channel == nullptr) {
     return;
@@ -313,7 +314,7 @@
                             if (is_hint && !answer.message.empty()) {
                               // Sends the next request, to the leader, at the
                               // next tick.
-                              this->last_join = SteadyTime{};
+                              this->last_join_request_at = SteadyTime{};
                             }
                           },
                           [](kj::Exception&& /*exception*/) {}));
@@ -321,7 +322,7 @@
 
 // Returns the controller to send the next join request to: the leader if the
 // last response named it, else the known controllers in rotation.
-ProcessName ReplicaHost::NextToAsk() {
+ProcessName ReplicaHost::NextJoinController() {
   ProcessName hint = std::exchange(this->join_hint, ProcessName());
   if (!hint.value().empty()) {
     return hint;
@@ -331,7 +332,7 @@
        this->replica_core->membership().voters) {
     controllers.push_back(ProcessOf(voter));
   }
-  return controllers[this->next_to_ask++ % controllers.size()];
+  return controllers[this->next_join_controller++ % controllers.size()];
 }
 
 absl::Status ReplicaHost::HandOver() {
--- a/services/sumacd/replica_host.h
+++ b/services/sumacd/replica_host.h
@@ -173,8 +173,8 @@
   replication::MemberHealth HealthOf(const replication::NodeId& node,
                                      SteadyTime now) const;
   absl::Status ProposeMembers(const replication::Membership& membership);
-  void AskToJoin(SteadyTime now);
-  ProcessName NextToAsk();
+  void RequestToJoin(SteadyTime now);
+  ProcessName NextJoinController();
 
   ReplicaHostSettings settings;
   Peers& peers;
@@ -189,8 +189,8 @@
   // Tracks, per term, the commit index that members must reach to count as
   // caught up.
   replication::CatchUpTracker catch_up_tracker;
-  SteadyTime last_join{};
-  std::size_t next_to_ask = 0;
+  SteadyTime last_join_request_at{};
+  std::size_t next_join_controller = 0;
   // The leader that the last response to a join request named; empty if it
   // named none.
   ProcessName join_hint;
