--- a/services/sumacd/doors.cc
+++ b/services/sumacd/doors.cc
@@ -106,7 +106,7 @@
   read.content_type =
       request.has("Content-Type") ? request.getContentType() : "";
   read.body =
-      TRY(http::ReadRequestBody(request, entry.MostBodyBytes(read.service)));
+      TRY(http::ReadRequestBody(request, entry.MaxBodyBytes(read.service)));
   return read;
 }
 
--- a/services/sumacd/entry.cc
+++ b/services/sumacd/entry.cc
@@ -24,16 +24,16 @@
 using routing::SendTo;
 using routing::TryOutcome;
 
-constexpr std::size_t kDecisionsKept = 10'000;
+constexpr std::size_t kMaxStoredDecisions = 10'000;
 // The controllers store the answers of non-repeatable requests, so they must
 // not be large.
-constexpr std::uint32_t kMostKeptAnswerBytes = 256 * 1024;
+constexpr std::uint32_t kMaxStoredAnswerBytes = 256 * 1024;
 // A claim that is not committed within this time is refused; the request then
 // has not run.
-constexpr Milliseconds kLongestClaim{2'000};
+constexpr Milliseconds kClaimTimeout{2'000};
 // The maximum time for which recording the outcome of a claimed request delays
 // its answer.
-constexpr Milliseconds kLongestFinish{1'000};
+constexpr Milliseconds kFinishClaimTimeout{1'000};
 // The interval at which waiting requests are checked for minions whose pause
 // has ended.
 constexpr Milliseconds kWakeInterval{5};
@@ -42,11 +42,11 @@
 // millisecond between them.
 constexpr unsigned kAttemptBits = 20;
 
-std::uint64_t StartNumber(const SystemClock& clock) {
+std::uint64_t StartTimeInMilliseconds(const SystemClock& clock) {
   return static_cast<std::uint64_t>(clock.Now().time_since_epoch().count());
 }
 
-routing::SharingSettings ToSharing(const Settings& settings) {
+routing::SharingSettings ToSharingSettings(const Settings& settings) {
   routing::SharingSettings sharing;
   sharing.data_centre = settings.self().data_centre;
   sharing.entries = settings.CountEntries();
@@ -67,11 +67,12 @@
     : settings(settings),
       core(core),
       metrics(metrics),
-      start(StartNumber(this->clock)),
-      router(
-          ToSharing(settings),
-          routing::DecisionRing(settings.process, this->start, kDecisionsKept),
-          std::random_device()()),
+      start(StartTimeInMilliseconds(this->clock)),
+      router(ToSharingSettings(settings),
+             routing::DecisionRing(settings.process,
+                                   this->start,
+                                   kMaxStoredDecisions),
+             std::random_device()()),
       wake_thread([this] { this->WakeLoop(); }),
       probe_thread([this] { this->ProbeLoop(); }) {}
 
@@ -165,11 +166,11 @@
                                 Progress& progress) {
   std::optional<RetryReason> reason;
   while (true) {
-    Turn turn = this->AwaitTurn(progress, reason);
-    if (const auto* refusal = std::get_if<Refuse>(&turn)) {
+    NextStep next_step = this->AwaitNextStep(progress, reason);
+    if (const auto* refusal = std::get_if<Refuse>(&next_step)) {
       return this->AnswerRefusal(request, progress, *refusal);
     }
-    const SendTo& send = std::get<SendTo>(turn);
+    const SendTo& send = std::get<SendTo>(next_step);
     std::optional<CallerAnswer> final_answer;
     const TryResult result =
         this->TryOnce(request, progress, send, final_answer);
@@ -201,18 +202,18 @@
   }
 }
 
-Entry::Turn Entry::AwaitTurn(const Progress& progress,
-                             std::optional<RetryReason> reason) {
-  Turn turn = this->AwaitTurnLocked(progress, reason);
+Entry::NextStep Entry::AwaitNextStep(const Progress& progress,
+                                     std::optional<RetryReason> reason) {
+  NextStep next_step = this->AwaitNextStepLocked(progress, reason);
   this->LogNewDecisions();
-  return turn;
+  return next_step;
 }
 
 // Asks the router where the request may go and waits if it has to. The lock is
 // held from the question until the wait; otherwise a grant in between would be
 // lost.
-Entry::Turn Entry::AwaitTurnLocked(const Progress& progress,
-                                   std::optional<RetryReason> reason) {
+Entry::NextStep Entry::AwaitNextStepLocked(const Progress& progress,
+                                           std::optional<RetryReason> reason) {
   std::unique_lock lock(this->mutex);
   const SteadyTime now = this->clock.SteadyNow();
   RouteResult route =
@@ -220,10 +221,10 @@
                                   this->clock.Now())
              : this->router.Admit(progress.info, now, this->clock.Now());
   if (auto* send = std::get_if<SendTo>(&route)) {
-    return Turn(std::move(*send));
+    return NextStep(std::move(*send));
   }
   if (auto* refusal = std::get_if<Refuse>(&route)) {
-    return Turn(std::move(*refusal));
+    return NextStep(std::move(*refusal));
   }
   Waiter waiter;
   this->waiters[progress.info.number] = &waiter;
@@ -234,11 +235,11 @@
                        [&waiter] { return waiter.send.has_value(); });
   this->waiters.erase(progress.info.number);
   if (waiter.send) {
-    return Turn(*std::move(waiter.send));
+    return NextStep(*std::move(waiter.send));
   }
   this->router.StopWaiting(progress.info.number);
   Refuse refusal = this->router.RefuseLate(progress.info, this->clock.Now());
-  return Turn(std::move(refusal));
+  return NextStep(std::move(refusal));
 }
 
 // Wakes the threads whose requests may be sent now. Must be called with the
@@ -264,7 +265,7 @@
       fleet::ClaimRequest{request.key, http::DigestOf(request),
                           this->settings.process, progress.attempt,
                           std::max(left, Milliseconds(0))},
-      std::min(left, kLongestClaim));
+      std::min(left, kClaimTimeout));
   // If the deadline passed while the claim was committed, the claim is held but
   // nothing is sent.
   if (answer.is_ok() && answer.document.is_null()) {
@@ -319,7 +320,7 @@
       fleet::FinishClaim{
           request.key, this->settings.process, progress.attempt, state,
           fleet::KeptAnswer{answer.status, answer.content_type, answer.body}},
-      kLongestFinish);
+      kFinishClaimTimeout);
   if (!kept.is_ok()) {
     LogEvent(LogLevel::kWarning, "claim-not-finished",
              {{"key", request.key.value()},
@@ -339,7 +340,7 @@
   const bool is_repeatable = progress.info.is_repeatable;
   std::uint32_t most_answer_bytes = this->settings.doors.most_body_bytes;
   if (!is_repeatable) {
-    most_answer_bytes = std::min(most_answer_bytes, kMostKeptAnswerBytes);
+    most_answer_bytes = std::min(most_answer_bytes, kMaxStoredAnswerBytes);
   }
   TryResult result;
   // The connection is opened before the claim is made, so that few claims are
@@ -415,15 +416,15 @@
 
 bool Entry::UpdateView(const fleet::View& view, bool is_delta) {
   const std::lock_guard lock(this->mutex);
-  const bool is_taken = this->router.Update(
+  const bool is_applied = this->router.Update(
       is_delta ? fleet::ApplyDelta(this->router.view(), view) : view);
-  if (is_taken) {
+  if (is_applied) {
     this->WakeReady();
   }
-  return is_taken;
+  return is_applied;
 }
 
-std::uint32_t Entry::MostBodyBytes(const ServiceName& name) const {
+std::uint32_t Entry::MaxBodyBytes(const ServiceName& name) const {
   const std::lock_guard lock(this->mutex);
   const fleet::Service* service = this->router.FindService(name);
   const std::uint32_t most = this->settings.doors.most_body_bytes;
@@ -437,10 +438,10 @@
 
 std::vector<fleet::Decision> Entry::FindDecisionsAbout(
     const std::string& request_label) const {
-  constexpr std::size_t kMostShown = 20;
+  constexpr std::size_t kMaxShown = 20;
   const std::lock_guard lock(this->mutex);
   return this->router.decisions().FindAbout(fleet::SubjectKind::kRequest,
-                                            request_label, kMostShown);
+                                            request_label, kMaxShown);
 }
 
 std::size_t Entry::CountOpen() const {
--- a/services/sumacd/entry.h
+++ b/services/sumacd/entry.h
@@ -46,7 +46,7 @@
   bool UpdateView(const fleet::View& view, bool is_delta);
 
   // Returns the maximum body size of a request to this service, in bytes.
-  std::uint32_t MostBodyBytes(const ServiceName& service) const;
+  std::uint32_t MaxBodyBytes(const ServiceName& service) const;
 
   // Return the decisions that this entry made, by id or about a request.
   std::optional<fleet::Decision> FindDecision(const DecisionId& id) const;
@@ -65,7 +65,7 @@
     std::set<InstanceName> tried;
   };
   // The next step of a request: a minion to send it to, or its refusal.
-  using Turn = std::variant<routing::SendTo, routing::Refuse>;
+  using NextStep = std::variant<routing::SendTo, routing::Refuse>;
 
   // A thread that waits until its request may be sent.
   struct Waiter {
@@ -78,10 +78,10 @@
   Progress MakeProgress(const http::CallerRequest& request);
   http::CallerAnswer RunAdmitted(const http::CallerRequest& request,
                                  Progress& progress);
-  Turn AwaitTurn(const Progress& progress,
-                 std::optional<routing::RetryReason> reason);
-  Turn AwaitTurnLocked(const Progress& progress,
-                       std::optional<routing::RetryReason> reason);
+  NextStep AwaitNextStep(const Progress& progress,
+                         std::optional<routing::RetryReason> reason);
+  NextStep AwaitNextStepLocked(const Progress& progress,
+                               std::optional<routing::RetryReason> reason);
   std::optional<http::CallerAnswer> Claim(const http::CallerRequest& request,
                                           Progress& progress,
                                           const DecisionId& decision);
