--- a/services/sumacd/controller.cc
+++ b/services/sumacd/controller.cc
@@ -26,7 +26,7 @@
 constexpr Milliseconds kFirstRenewal{200};
 // The maximum number of followers that wait for a newer view here; further ones
 // must use another controller.
-constexpr std::size_t kMostFollowers = 256;
+constexpr std::size_t kMaxWaitingFollowers = 256;
 
 }  // namespace
 
@@ -98,7 +98,7 @@
 void Controller::Tick() {
   const SteadyTime now = this->clock.SteadyNow();
   this->host->Tick(now);
-  this->Lead(now);
+  this->RunLeaderDuties(now);
 }
 
 bool Controller::MayAct() const {
@@ -107,17 +107,17 @@
 
 // Does the work that only the leader does: maintains the membership, plans, and
 // sends the platform its steps.
-void Controller::Lead(SteadyTime now) {
+void Controller::RunLeaderDuties(SteadyTime now) {
   if (!this->MayAct()) {
     return;
   }
   if (this->leading_term != this->replica().term()) {
     this->leading_term = this->replica().term();
     this->soft.Reset(now);
-    this->planned_open = 0;
+    this->open_command_count = 0;
     LogEvent(LogLevel::kInfo, "leads", {{"term", this->leading_term.value()}});
   }
-  if (this->planned_open > 0 || now - this->last_plan < kPlanInterval) {
+  if (this->open_command_count > 0 || now - this->last_plan < kPlanInterval) {
     return;
   }
   this->last_plan = now;
@@ -134,11 +134,11 @@
 }
 
 void Controller::ProposeInBackground(fleet::Command command) {
-  ++this->planned_open;
+  ++this->open_command_count;
   const Term term = this->leading_term;
   const auto finish = [this, term] {
-    if (term == this->leading_term && this->planned_open > 0) {
-      --this->planned_open;
+    if (term == this->leading_term && this->open_command_count > 0) {
+      --this->open_command_count;
     }
   };
   this->tasks.add(
@@ -209,7 +209,7 @@
   std::erase_if(this->view_waiters, [](ViewWaiter& waiter) {
     return !waiter.fulfiller->isWaiting();
   });
-  if (this->view_waiters.size() >= kMostFollowers) {
+  if (this->view_waiters.size() >= kMaxWaitingFollowers) {
     return KJ_EXCEPTION(OVERLOADED,
                         "this controller has as many followers as it may have");
   }
--- a/services/sumacd/operator_service.cc
+++ b/services/sumacd/operator_service.cc
@@ -253,7 +253,7 @@
         {"last_index", replica.last_index().value()},
         {"snapshot_index", replica.snapshot_index().value()},
         {"revision", controller->state().record().revision.value()},
-        {"disk_full", controller->is_stalled()}};
+        {"disk_full", controller->is_disk_full()}};
   }
   return document;
 }
