--- a/services/sumacd/daemon.cc
+++ b/services/sumacd/daemon.cc
@@ -78,7 +78,7 @@
   std::unique_ptr<Entry> entry;
   std::unique_ptr<ViewFollower> follower;
   std::vector<std::unique_ptr<rpc::Door>> doors;
-  std::vector<kj::Promise<void>> running;
+  std::vector<kj::Promise<void>> background_loops;
   std::unique_ptr<http::HttpServer> caller_door;
   std::unique_ptr<http::HttpServer> target_door;
 };
@@ -101,7 +101,8 @@
   this->controller =
       TRY(Controller::Create(this->settings, *this->charts, *this->peers,
                              this->io.provider->getTimer()));
-  this->running.push_back(this->controller->Run().eagerlyEvaluate(nullptr));
+  this->background_loops.push_back(
+      this->controller->Run().eagerlyEvaluate(nullptr));
   return absl::OkStatus();
 }
 
@@ -129,7 +130,8 @@
         [this](const fleet::View& view, bool is_delta) {
           return this->entry->UpdateView(view, is_delta);
         });
-    this->running.push_back(this->follower->Run().eagerlyEvaluate(nullptr));
+    this->background_loops.push_back(
+        this->follower->Run().eagerlyEvaluate(nullptr));
   }
   TRY(this->Listen(
       this->settings.self().peer_address,
--- a/services/sumacd/doors.cc
+++ b/services/sumacd/doors.cc
@@ -21,7 +21,7 @@
 using Poco::Net::HTTPServerRequest;
 using Poco::Net::HTTPServerResponse;
 
-constexpr std::uint64_t kMostAnnouncementBytes = 1U << 20;
+constexpr std::uint64_t kMaxAnnouncementBytes = 1U << 20;
 constexpr Milliseconds kAnnounceTimeout{1'500};
 constexpr std::int64_t kMillisecondsPerSecond = 1'000;
 
@@ -125,7 +125,7 @@
 absl::StatusOr<fleet::Announcement> ReadAnnouncement(
     HTTPServerRequest& request) {
   const std::string body =
-      TRY(http::ReadRequestBody(request, kMostAnnouncementBytes));
+      TRY(http::ReadRequestBody(request, kMaxAnnouncementBytes));
   const nlohmann::json json =
       TRY(ParseJson(body, "announcement", ResultCode::kBadRequest));
   return FromJson<fleet::Announcement>(
--- a/services/sumacd/node_daemon.cc
+++ b/services/sumacd/node_daemon.cc
@@ -45,10 +45,10 @@
 constexpr Milliseconds kFileCheckInterval{500};
 // An entry without a response from a leader for this long reports that it is
 // not ready.
-constexpr Milliseconds kOutOfTouchTime{3'000};
+constexpr Milliseconds kLeaderContactTimeout{3'000};
 // The interval at which an entry probes the leader.
 constexpr Milliseconds kProbeInterval{1'000};
-constexpr Milliseconds kProbeLimit{900};
+constexpr Milliseconds kProbeTimeout{900};
 // How long the health check of a stopping entry fails before the entry stops:
 // the load balancer removes an entry after two failed checks, one second apart.
 constexpr Milliseconds kStopNotice{2'300};
@@ -63,9 +63,9 @@
 // The maximum number of events that the event loop processes between two polls
 // of its timers and sockets, some milliseconds of a third of a core: heartbeats
 // and responses that have arrived must not wait behind a burst of orders.
-constexpr unsigned kMostEventsBetweenPolls = 500;
-constexpr std::uint64_t kMostCallerBody = 256U << 10;
-constexpr std::uint64_t kMostControlBody = 4U << 20;
+constexpr unsigned kMaxEventsBetweenPolls = 500;
+constexpr std::uint64_t kMaxCallerBodyBytes = 256U << 10;
+constexpr std::uint64_t kMaxControlBodyBytes = 4U << 20;
 
 replication::NodeId NodeOf(const ProcessName& process,
                            std::uint64_t incarnation) {
@@ -137,8 +137,8 @@
   relay::OwnedWorkerCalls MakeRelayWorkers();
   absl::Status StartEntry();
   std::size_t EntryConnections() const;
-  void ShowConnections(const std::string& kind,
-                       const http::ConnectionBudget& connections);
+  void AddConnectionMetrics(const std::string& kind,
+                            const http::ConnectionBudget& connections);
   absl::Status OpenDoor(std::unique_ptr<http::AsyncDoor>& door,
                         http::DoorSettings door_settings,
                         http::AsyncDoor::Handler handler);
@@ -155,7 +155,7 @@
   void Reload(const char* cause);
   void StopController();
   void StopEntry();
-  void WaitUpTo(kj::Promise<void> done, Milliseconds limit);
+  void AwaitWithLimit(kj::Promise<void> done, Milliseconds limit);
 
   NodeSettings settings;
   std::string path;
@@ -180,7 +180,7 @@
   std::vector<std::unique_ptr<rpc::Door>> rpc_doors;
   bool is_stopping = false;
   std::int64_t file_changed_at = 0;
-  std::vector<kj::Promise<void>> running;
+  std::vector<kj::Promise<void>> background_loops;
 };
 
 platform::AskLeader NodeDaemon::AskLeader() {
@@ -209,8 +209,8 @@
   if (!this->settings.metrics_door.empty()) {
     TRY(this->OpenMetricsDoor());
   }
-  this->running.push_back(this->ReloadLoop().eagerlyEvaluate(nullptr));
-  this->running.push_back(this->SignalLoop().eagerlyEvaluate(nullptr));
+  this->background_loops.push_back(this->ReloadLoop().eagerlyEvaluate(nullptr));
+  this->background_loops.push_back(this->SignalLoop().eagerlyEvaluate(nullptr));
   return absl::OkStatus();
 }
 
@@ -233,12 +233,13 @@
   this->link = std::make_unique<JobsLink>(this->settings.process(), this->peers,
                                           this->timer, this->controller.get());
   TRY(this->ListenToPeers());
-  this->running.push_back(this->controller->Run().eagerlyEvaluate(nullptr));
+  this->background_loops.push_back(
+      this->controller->Run().eagerlyEvaluate(nullptr));
   this->control_adapter.emplace(this->AskLeader(), this->controller->state());
   return this->OpenDoor(
       this->control_door,
       http::DoorSettings{.address = this->settings.control_door,
-                         .most_body_bytes = kMostControlBody,
+                         .most_body_bytes = kMaxControlBodyBytes,
                          .most_connections = this->shares.doors},
       [this](http::DoorRequest request) {
         return this->control_adapter->Handle(std::move(request));
@@ -258,11 +259,11 @@
   this->link = std::make_unique<JobsLink>(this->settings.process(), this->peers,
                                           this->timer, nullptr);
   this->caller_adapter.emplace(this->AskLeader(), this->metrics);
-  this->running.push_back(this->ProbeLoop().eagerlyEvaluate(nullptr));
+  this->background_loops.push_back(this->ProbeLoop().eagerlyEvaluate(nullptr));
   TRY(this->OpenDoor(
       this->caller_door,
       http::DoorSettings{.address = this->settings.caller_door,
-                         .most_body_bytes = kMostCallerBody,
+                         .most_body_bytes = kMaxCallerBodyBytes,
                          .headers = platform::CallerDoor::Headers(),
                          .most_connections = this->EntryConnections()},
       [this](const http::DoorRequest& request) {
@@ -314,8 +315,9 @@
 
 // Adds metrics of the connections of one kind: open, maximum, closed for others
 // and refused.
-void NodeDaemon::ShowConnections(const std::string& kind,
-                                 const http::ConnectionBudget& connections) {
+void NodeDaemon::AddConnectionMetrics(
+    const std::string& kind,
+    const http::ConnectionBudget& connections) {
   const std::string label = StrCat("{kind=\"", kind, "\"}");
   this->metrics.SetGauge(StrCat("sumac_connections", label), [&connections] {
     return static_cast<double>(connections.open());
@@ -333,10 +335,10 @@
 
 absl::Status NodeDaemon::OpenMetricsDoor() {
   if (this->settings.is_controller()) {
-    this->ShowConnections("workers", this->worker_connections);
-    this->ShowConnections("control", this->control_door->connections());
+    this->AddConnectionMetrics("workers", this->worker_connections);
+    this->AddConnectionMetrics("control", this->control_door->connections());
   } else {
-    this->ShowConnections("callers", this->caller_door->connections());
+    this->AddConnectionMetrics("callers", this->caller_door->connections());
   }
   return this->OpenDoor(
       this->metrics_door,
@@ -350,7 +352,8 @@
 
 bool NodeDaemon::IsReady() const {
   return !this->is_stopping &&
-         this->clock.SteadyNow() - this->link->last_answer() < kOutOfTouchTime;
+         this->clock.SteadyNow() - this->link->last_answer() <
+             kLeaderContactTimeout;
 }
 
 http::DoorReply NodeDaemon::ReplyToHealthCheck() const {
@@ -366,7 +369,7 @@
       this->clock.SteadyNow() - this->link->last_answer() < kProbeInterval;
   kj::Promise<void> probed = kj::READY_NOW;
   if (!is_fresh) {
-    probed = this->link->Ask(jobs::ShowWave{}, kProbeLimit).ignoreResult();
+    probed = this->link->Ask(jobs::ShowWave{}, kProbeTimeout).ignoreResult();
   }
   return probed
       .then([this] { return this->timer.afterDelay(ToKj(kProbeInterval)); })
@@ -433,7 +436,7 @@
   LogEvent(LogLevel::kInfo, "stopped", nlohmann::json::object());
 }
 
-void NodeDaemon::WaitUpTo(kj::Promise<void> done, Milliseconds limit) {
+void NodeDaemon::AwaitWithLimit(kj::Promise<void> done, Milliseconds limit) {
   done.exclusiveJoin(this->timer.afterDelay(ToKj(limit)))
       .wait(this->io.waitScope);
 }
@@ -451,7 +454,7 @@
       this->timer.afterDelay(ToKj(kHandOverPoll)).wait(this->io.waitScope);
     }
   }
-  this->WaitUpTo(this->control_door->Drain(), kControllerDrain);
+  this->AwaitWithLimit(this->control_door->Drain(), kControllerDrain);
 }
 
 // Fails the health check first, so that the load balancer removes this entry.
@@ -461,7 +464,8 @@
   this->timer.afterDelay(ToKj(kStopNotice)).wait(this->io.waitScope);
   const Milliseconds left =
       this->settings.platform_times.stop_grace - kStopNotice - kStopReserve;
-  this->WaitUpTo(this->caller_door->Drain(), std::max(left, Milliseconds(0)));
+  this->AwaitWithLimit(this->caller_door->Drain(),
+                       std::max(left, Milliseconds(0)));
 }
 
 }  // namespace
@@ -478,7 +482,7 @@
   }
   signal(SIGPIPE, SIG_IGN);
   kj::AsyncIoContext io = kj::setupAsyncIo();
-  io.waitScope.setBusyPollInterval(kMostEventsBetweenPolls);
+  io.waitScope.setBusyPollInterval(kMaxEventsBetweenPolls);
   NodeDaemon daemon(settings, path, shares, io);
   absl::Status status = daemon.Start();
   if (!status.ok()) {
--- a/services/sumacd/queries.h
+++ b/services/sumacd/queries.h
@@ -12,7 +12,7 @@
 namespace sumac::daemon {
 
 // The maximum number of decisions in an answer to "why".
-inline constexpr std::size_t kMostDecisionsShown = 20;
+inline constexpr std::size_t kMaxDecisionsShown = 20;
 
 // Answers a query about the committed state. Kinds: declaration, pools,
 // instances, services, jobs, controllers, decision (name is an id),
