--- a/services/sumacd/replica_host.cc
+++ b/services/sumacd/replica_host.cc
@@ -418,7 +418,7 @@
   // A follower's replies wait until the data that they acknowledge is on disk.
   const bool is_leader =
       this->replica_core->role() == replication::Role::kLeader;
-  // A muted replica has no replies, and its open calls are answered empty.
+  // A replica that must not send answers its open calls without replies.
   if (this->unwritten.empty() || is_leader ||
       this->IsSendingBlocked(this->clock.SteadyNow())) {
     this->AnswerSenders();
