--- a/services/sumacd/daemon.cc
+++ b/services/sumacd/daemon.cc
@@ -60,7 +60,7 @@
   absl::Status StartController();
   absl::Status Listen(const std::string& address,
                       capnp::Capability::Client bootstrap);
-  absl::Status OpenDoors();
+  absl::Status OpenListeners();
   kj::Promise<void> AwaitSignal();
   void Stop();
   void HandOverBeforeStop();
@@ -77,10 +77,10 @@
   std::unique_ptr<CoreLink> core;
   std::unique_ptr<Entry> entry;
   std::unique_ptr<ViewFollower> follower;
-  std::vector<std::unique_ptr<rpc::Door>> doors;
+  std::vector<std::unique_ptr<rpc::Door>> rpc_listeners;
   std::vector<kj::Promise<void>> background_loops;
-  std::unique_ptr<http::HttpServer> caller_door;
-  std::unique_ptr<http::HttpServer> target_door;
+  std::unique_ptr<http::HttpServer> caller_listener;
+  std::unique_ptr<http::HttpServer> target_listener;
 };
 
 absl::Status Daemon::StartController() {
@@ -108,7 +108,7 @@
 
 absl::Status Daemon::Listen(const std::string& address,
                             capnp::Capability::Client bootstrap) {
-  this->doors.push_back(
+  this->rpc_listeners.push_back(
       TRY(rpc::Door::Create(this->io, address, kj::mv(bootstrap))));
   return absl::OkStatus();
 }
@@ -143,15 +143,15 @@
           this->settings, *this->peers, *this->leader, timer,
           this->controller.get(), this->entry.get(), this->follower.get()})));
   this->AddGauges();
-  return this->OpenDoors();
+  return this->OpenListeners();
 }
 
-absl::Status Daemon::OpenDoors() {
-  this->target_door = TRY(OpenTargetDoor(this->settings, *this->core,
-                                         this->metrics, this->is_stopping));
+absl::Status Daemon::OpenListeners() {
+  this->target_listener = TRY(OpenTargetListener(
+      this->settings, *this->core, this->metrics, this->is_stopping));
   if (this->entry) {
-    this->caller_door =
-        TRY(OpenCallerDoor(this->settings, *this->entry, this->is_stopping));
+    this->caller_listener = TRY(
+        OpenCallerListener(this->settings, *this->entry, this->is_stopping));
   }
   return absl::OkStatus();
 }
@@ -201,10 +201,10 @@
   auto stopped = kj::newPromiseAndFulfiller<void>();
   const kj::Executor& executor = kj::getCurrentThreadExecutor();
   std::thread stopper([this, &executor, &stopped] {
-    if (this->caller_door) {
-      this->caller_door->Stop();
+    if (this->caller_listener) {
+      this->caller_listener->Stop();
     }
-    this->target_door->Stop();
+    this->target_listener->Stop();
     if (this->controller) {
       this->controller->StopThreads();
     }
--- a/services/sumacd/doors.cc
+++ b/services/sumacd/doors.cc
@@ -153,7 +153,7 @@
                                       DecisionId(), Milliseconds(0)));
 }
 
-http::ServerSettings ToServerSettings(const DoorSettings& doors,
+http::ServerSettings ToServerSettings(const HttpListenerSettings& doors,
                                       const std::string& address,
                                       std::uint32_t most_connections) {
   return http::ServerSettings{address, static_cast<int>(most_connections),
@@ -162,7 +162,7 @@
 
 }  // namespace
 
-absl::StatusOr<std::unique_ptr<http::HttpServer>> OpenCallerDoor(
+absl::StatusOr<std::unique_ptr<http::HttpServer>> OpenCallerListener(
     const Settings& settings,
     Entry& entry,
     const std::atomic<bool>& is_stopping) {
@@ -182,7 +182,7 @@
       });
 }
 
-absl::StatusOr<std::unique_ptr<http::HttpServer>> OpenTargetDoor(
+absl::StatusOr<std::unique_ptr<http::HttpServer>> OpenTargetListener(
     const Settings& settings,
     CoreLink& core,
     const http::Metrics& metrics,
--- a/services/sumacd/doors.h
+++ b/services/sumacd/doors.h
@@ -17,14 +17,14 @@
 // Opens the callers' listener, which serves requests to services and /health
 // for the load balancer. Once `is_stopping` is set, the health check fails and
 // responses close their connections, while requests are still served.
-absl::StatusOr<std::unique_ptr<http::HttpServer>> OpenCallerDoor(
+absl::StatusOr<std::unique_ptr<http::HttpServer>> OpenCallerListener(
     const Settings& settings,
     Entry& entry,
     const std::atomic<bool>& is_stopping);
 
 // Opens the targets' listener, which serves announcements, /metrics and
 // /health.
-absl::StatusOr<std::unique_ptr<http::HttpServer>> OpenTargetDoor(
+absl::StatusOr<std::unique_ptr<http::HttpServer>> OpenTargetListener(
     const Settings& settings,
     CoreLink& core,
     const http::Metrics& metrics,
--- a/services/sumacd/node_daemon.cc
+++ b/services/sumacd/node_daemon.cc
@@ -139,13 +139,13 @@
   std::size_t EntryConnections() const;
   void AddConnectionMetrics(const std::string& kind,
                             const http::ConnectionBudget& connections);
-  absl::Status OpenDoor(std::unique_ptr<http::AsyncDoor>& door,
-                        http::DoorSettings door_settings,
-                        http::AsyncDoor::Handler handler);
-  absl::Status OpenMetricsDoor();
+  absl::Status OpenHttpListener(std::unique_ptr<http::AsyncDoor>& door,
+                                http::DoorSettings door_settings,
+                                http::AsyncDoor::Handler handler);
+  absl::Status OpenMetricsListener();
   absl::Status ListenToPeers();
-  absl::Status OpenRpcDoor(const std::string& address,
-                           capnp::Capability::Client service);
+  absl::Status OpenRpcListener(const std::string& address,
+                               capnp::Capability::Client service);
   platform::AskLeader AskLeader();
   http::DoorReply ReplyToHealthCheck() const;
   bool IsReady() const;
@@ -173,11 +173,11 @@
   std::unique_ptr<JobsLink> link;
   std::optional<platform::CallerDoor> caller_adapter;
   std::optional<platform::ControlDoor> control_adapter;
-  std::unique_ptr<http::AsyncDoor> control_door;
-  std::unique_ptr<http::AsyncDoor> caller_door;
-  std::unique_ptr<http::AsyncDoor> health_door;
-  std::unique_ptr<http::AsyncDoor> metrics_door;
-  std::vector<std::unique_ptr<rpc::Door>> rpc_doors;
+  std::unique_ptr<http::AsyncDoor> control_listener;
+  std::unique_ptr<http::AsyncDoor> caller_listener;
+  std::unique_ptr<http::AsyncDoor> health_listener;
+  std::unique_ptr<http::AsyncDoor> metrics_listener;
+  std::vector<std::unique_ptr<rpc::Door>> rpc_listeners;
   bool is_stopping = false;
   std::int64_t file_changed_at = 0;
   std::vector<kj::Promise<void>> background_loops;
@@ -201,13 +201,13 @@
     TRY(this->StartEntry());
   }
   if (!this->settings.operators_door.empty()) {
-    TRY(this->OpenRpcDoor(
+    TRY(this->OpenRpcListener(
         this->settings.operators_door,
         kj::heap<NodeOperatorService>(this->settings, *this->link,
                                       this->controller.get())));
   }
   if (!this->settings.metrics_door.empty()) {
-    TRY(this->OpenMetricsDoor());
+    TRY(this->OpenMetricsListener());
   }
   this->background_loops.push_back(this->ReloadLoop().eagerlyEvaluate(nullptr));
   this->background_loops.push_back(this->SignalLoop().eagerlyEvaluate(nullptr));
@@ -236,8 +236,8 @@
   this->background_loops.push_back(
       this->controller->Run().eagerlyEvaluate(nullptr));
   this->control_adapter.emplace(this->AskLeader(), this->controller->state());
-  return this->OpenDoor(
-      this->control_door,
+  return this->OpenHttpListener(
+      this->control_listener,
       http::DoorSettings{.address = this->settings.control_door,
                          .most_body_bytes = kMaxControlBodyBytes,
                          .most_connections = this->shares.doors},
@@ -260,8 +260,8 @@
                                           this->timer, nullptr);
   this->caller_adapter.emplace(this->AskLeader(), this->metrics);
   this->background_loops.push_back(this->ProbeLoop().eagerlyEvaluate(nullptr));
-  TRY(this->OpenDoor(
-      this->caller_door,
+  TRY(this->OpenHttpListener(
+      this->caller_listener,
       http::DoorSettings{.address = this->settings.caller_door,
                          .most_body_bytes = kMaxCallerBodyBytes,
                          .headers = platform::CallerDoor::Headers(),
@@ -269,8 +269,8 @@
       [this](const http::DoorRequest& request) {
         return this->caller_adapter->Handle(request);
       }));
-  return this->OpenDoor(
-      this->health_door,
+  return this->OpenHttpListener(
+      this->health_listener,
       http::DoorSettings{.address = this->settings.health_door},
       [this](const http::DoorRequest& /*request*/)
           -> kj::Promise<http::DoorReply> {
@@ -285,9 +285,10 @@
   return this->shares.doors + this->shares.outgoing;
 }
 
-absl::Status NodeDaemon::OpenDoor(std::unique_ptr<http::AsyncDoor>& door,
-                                  http::DoorSettings door_settings,
-                                  http::AsyncDoor::Handler handler) {
+absl::Status NodeDaemon::OpenHttpListener(
+    std::unique_ptr<http::AsyncDoor>& door,
+    http::DoorSettings door_settings,
+    http::AsyncDoor::Handler handler) {
   const std::string address = door_settings.address;
   door = std::make_unique<http::AsyncDoor>(
       this->timer, std::move(door_settings), std::move(handler));
@@ -302,13 +303,13 @@
 }
 
 absl::Status NodeDaemon::ListenToPeers() {
-  return this->OpenRpcDoor(this->settings.process().value(),
-                           kj::heap<NodePeerService>(*this->controller));
+  return this->OpenRpcListener(this->settings.process().value(),
+                               kj::heap<NodePeerService>(*this->controller));
 }
 
-absl::Status NodeDaemon::OpenRpcDoor(const std::string& address,
-                                     capnp::Capability::Client service) {
-  this->rpc_doors.push_back(
+absl::Status NodeDaemon::OpenRpcListener(const std::string& address,
+                                         capnp::Capability::Client service) {
+  this->rpc_listeners.push_back(
       TRY(rpc::Door::Create(this->io, address, kj::mv(service))));
   return absl::OkStatus();
 }
@@ -333,15 +334,16 @@
       [&connections] { return static_cast<double>(connections.refused()); });
 }
 
-absl::Status NodeDaemon::OpenMetricsDoor() {
+absl::Status NodeDaemon::OpenMetricsListener() {
   if (this->settings.is_controller()) {
     this->AddConnectionMetrics("workers", this->worker_connections);
-    this->AddConnectionMetrics("control", this->control_door->connections());
+    this->AddConnectionMetrics("control",
+                               this->control_listener->connections());
   } else {
-    this->AddConnectionMetrics("callers", this->caller_door->connections());
+    this->AddConnectionMetrics("callers", this->caller_listener->connections());
   }
-  return this->OpenDoor(
-      this->metrics_door,
+  return this->OpenHttpListener(
+      this->metrics_listener,
       http::DoorSettings{.address = this->settings.metrics_door},
       [this](const http::DoorRequest& /*request*/)
           -> kj::Promise<http::DoorReply> {
@@ -454,17 +456,17 @@
       this->timer.afterDelay(ToKj(kHandOverPoll)).wait(this->io.waitScope);
     }
   }
-  this->AwaitWithLimit(this->control_door->Drain(), kControllerDrain);
+  this->AwaitWithLimit(this->control_listener->Drain(), kControllerDrain);
 }
 
 // Fails the health check first, so that the load balancer removes this entry.
 // Clients on open connections are served until the listener is drained.
 void NodeDaemon::StopEntry() {
-  this->caller_door->CloseAfterAnswers();
+  this->caller_listener->CloseAfterAnswers();
   this->timer.afterDelay(ToKj(kStopNotice)).wait(this->io.waitScope);
   const Milliseconds left =
       this->settings.platform_times.stop_grace - kStopNotice - kStopReserve;
-  this->AwaitWithLimit(this->caller_door->Drain(),
+  this->AwaitWithLimit(this->caller_listener->Drain(),
                        std::max(left, Milliseconds(0)));
 }
 
--- a/services/sumacd/settings.h
+++ b/services/sumacd/settings.h
@@ -67,7 +67,7 @@
 };
 
 // Limits of the HTTP listeners.
-struct DoorSettings {
+struct HttpListenerSettings {
   std::uint32_t most_caller_connections = 1'024;
   std::uint32_t most_target_connections = 128;
   // The maximum size of a request body, in bytes, whatever its service
@@ -128,7 +128,7 @@
   // The platform's address, as IP:PORT; empty if there is none.
   std::string platform_address;
   GroupSettings group;
-  DoorSettings doors;
+  HttpListenerSettings doors;
   RoutingSettings routing;
   // The time that a draining instance gets before it may count as drained.
   Milliseconds drain_grace{3'000};
--- a/tests/services/sumacd/replica_host_test.cc
+++ b/tests/services/sumacd/replica_host_test.cc
@@ -36,9 +36,9 @@
 constexpr Milliseconds kPatience{10'000};
 
 // Passes the messages of Peer.replicate calls to a host.
-class HostDoor final : public wire::Peer::Server {
+class ReplicateService final : public wire::Peer::Server {
  public:
-  explicit HostDoor(std::unique_ptr<ReplicaHost>& host) : host(host) {}
+  explicit ReplicateService(std::unique_ptr<ReplicaHost>& host) : host(host) {}
 
   kj::Promise<void> replicate(ReplicateContext context) override {
     return ServeReplicate(*this->host, context);
@@ -86,7 +86,7 @@
         this->parts->io, StrCat("127.0.0.1:", member.receiver->getPort()));
     member.address = member.path->address();
     member.server = std::make_unique<capnp::TwoPartyServer>(
-        kj::heap<HostDoor>(member.host));
+        kj::heap<ReplicateService>(member.host));
   }
 
   void Start(Member& member) {
