--- a/tests/services/sumacd/replica_host_test.cc
+++ b/tests/services/sumacd/replica_host_test.cc
@@ -33,7 +33,7 @@
 // The others notice a silent leader one heartbeat before the election timeout
 // at the earliest.
 constexpr Milliseconds kHandOverBound{1'200};
-constexpr Milliseconds kPatience{10'000};
+constexpr Milliseconds kMaxWait{10'000};
 
 // Passes the messages of Peer.replicate calls to a host.
 class ReplicateService final : public wire::Peer::Server {
@@ -139,11 +139,11 @@
   }
 
   // Waits until `holds` returns true. Returns how long that took, or nothing if
-  // it took longer than kPatience.
+  // it took longer than kMaxWait.
   std::optional<Milliseconds> Await(const std::function<bool()>& holds) {
     const SteadyTime began_at = this->clock.SteadyNow();
     while (!holds()) {
-      if (this->clock.SteadyNow() - began_at > kPatience) {
+      if (this->clock.SteadyNow() - began_at > kMaxWait) {
         return std::nullopt;
       }
       this->parts->io.provider->getTimer()
@@ -154,7 +154,7 @@
   }
 
   // Waits for a member other than `other` that may act as the leader and
-  // returns it; null if there is none within kPatience.
+  // returns it; null if there is none within kMaxWait.
   Member* AwaitLeader(const Member* other = nullptr) {
     Member* leader = nullptr;
     this->Await([&] {
@@ -173,7 +173,7 @@
     return member.host->Propose(command).wait(this->scope()).is_ok();
   }
 
-  bool AreAllAlike() {
+  bool HaveAllAppliedTheSame() {
     const auto& members = this->parts->members;
     return std::all_of(members.begin(), members.end(), [&](const auto& member) {
       return member->applied == members.front()->applied;
@@ -215,7 +215,7 @@
   // The open proposal gets an answer before there is space again.
   ASSERT_TRUE(this->Await([&] { return answer.has_value(); }));
   first->disk->is_full = false;
-  EXPECT_TRUE(this->Await([&] { return this->AreAllAlike(); }));
+  EXPECT_TRUE(this->Await([&] { return this->HaveAllAppliedTheSame(); }));
   EXPECT_FALSE(first->host->is_disk_full());
   const std::vector<std::string> whole{"a", "b", "c"};
   if (answer->is_ok()) {
@@ -238,7 +238,7 @@
   EXPECT_TRUE(this->Await([&] { return voter->host->is_disk_full(); }));
   EXPECT_TRUE(leader->host->MayAct());
   voter->disk->is_full = false;
-  EXPECT_TRUE(this->Await([&] { return this->AreAllAlike(); }));
+  EXPECT_TRUE(this->Await([&] { return this->HaveAllAppliedTheSame(); }));
   EXPECT_FALSE(voter->host->is_disk_full());
   EXPECT_EQ(voter->applied, (std::vector<std::string>{"a", "b", "c"}));
 }
@@ -287,7 +287,7 @@
   Member* next = this->AwaitLeader();
   ASSERT_NE(next, nullptr);
   ASSERT_TRUE(this->Propose(*next, "c"));
-  EXPECT_TRUE(this->Await([&] { return this->AreAllAlike(); }));
+  EXPECT_TRUE(this->Await([&] { return this->HaveAllAppliedTheSame(); }));
   std::vector<std::shared_ptr<SwitchedDisk>> disks;
   for (const auto& member : this->parts->members) {
     disks.push_back(member->disk);
@@ -317,7 +317,7 @@
   Member* leader = this->AwaitLeader();
   ASSERT_NE(leader, nullptr);
   ASSERT_TRUE(this->Propose(*leader, "a"));
-  ASSERT_TRUE(this->Await([&] { return this->AreAllAlike(); }));
+  ASSERT_TRUE(this->Await([&] { return this->HaveAllAppliedTheSame(); }));
   std::size_t opened = 0;
   for (const auto& member : this->parts->members) {
     opened += member->path->accepted();
@@ -325,14 +325,14 @@
   }
   const SteadyTime silent_from = this->clock.SteadyNow();
   bool is_decided = false;
-  while (!is_decided && this->clock.SteadyNow() - silent_from < kPatience) {
+  while (!is_decided && this->clock.SteadyNow() - silent_from < kMaxWait) {
     Member* next = this->AwaitLeader();
     is_decided = next != nullptr && this->Propose(*next, "b");
   }
   const Milliseconds took = this->clock.SteadyNow() - silent_from;
   RecordProperty("decides_again_ms", static_cast<int>(took.count()));
   ASSERT_TRUE(is_decided);
-  EXPECT_TRUE(this->Await([&] { return this->AreAllAlike(); }));
+  EXPECT_TRUE(this->Await([&] { return this->HaveAllAppliedTheSame(); }));
   EXPECT_EQ(this->parts->members.front()->applied.front(), "a");
   std::size_t opened_again = 0;
   for (const auto& member : this->parts->members) {
