--- a/services/sumacd/doors.cc
+++ b/services/sumacd/http_listeners.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "services/sumacd/doors.h"
+#include "services/sumacd/http_listeners.h"
 
 #include <Poco/Net/HTTPServerRequest.h>
 #include <Poco/Net/HTTPServerResponse.h>
--- a/services/sumacd/doors.h
+++ b/services/sumacd/http_listeners.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef SERVICES_SUMACD_DOORS_H_
-#define SERVICES_SUMACD_DOORS_H_
+#ifndef SERVICES_SUMACD_HTTP_LISTENERS_H_
+#define SERVICES_SUMACD_HTTP_LISTENERS_H_
 
 #include <atomic>
 #include <memory>
@@ -32,4 +32,4 @@
 
 }  // namespace sumac::daemon
 
-#endif  // SERVICES_SUMACD_DOORS_H_
+#endif  // SERVICES_SUMACD_HTTP_LISTENERS_H_
