--- a/services/sumacd/node_settings.cc
+++ b/services/sumacd/node_settings.cc
@@ -26,7 +26,7 @@
 
 absl::Status CheckSettings(const std::string& path,
                            const NodeSettings& settings) {
-  TRY(Require(path, "/ip", settings.ip, "an IP number"));
+  TRY(Require(path, "/ip", settings.ip, "a numeric IP address"));
   if (settings.seeds.empty()) {
     return MakeError(ResultCode::kSettingsInvalid,
                      StrCat(path,
--- a/services/sumacd/replica_host.h
+++ b/services/sumacd/replica_host.h
@@ -104,7 +104,8 @@
   // Returns true while this controller may serve the committed state and act on
   // it as the leader.
   bool MayAct() const;
-  // Returns the time until which MayAct stays true, or nothing if it is false.
+  // Returns the end of the lease until which this controller may act, or
+  // nothing if MayAct is false.
   std::optional<SteadyTime> MayActUntil() const;
 
   // Adds a replica to the group as a learner. Returns kNotLeader, or
--- a/services/sumacd/settings.cc
+++ b/services/sumacd/settings.cc
@@ -39,8 +39,9 @@
       ParseNumber(std::string_view(address).substr(colon + 1), &port) &&
       port >= 1 && port <= 65'535 &&
       Poco::Net::IPAddress::tryParse(address.substr(0, colon), ip);
-  return is_good ? absl::OkStatus()
-                 : Invalid(path, key, address, "IP:PORT by number");
+  return is_good
+             ? absl::OkStatus()
+             : Invalid(path, key, address, "IP:PORT with a numeric IP address");
 }
 
 absl::Status CheckProcesses(const std::string& path, const Settings& settings) {
--- a/tests/services/sumacd/settings_test.cc
+++ b/tests/services/sumacd/settings_test.cc
@@ -49,10 +49,11 @@
       {R"([{"op":"replace","path":"/process","value":"e9"}])",
        "/process: found \"e9\", allowed: a name listed in /processes"},
       {R"([{"op":"replace","path":"/listen/callers","value":"localhost:80"}])",
-       "/listen/callers: found \"localhost:80\", allowed: IP:PORT by number"},
+       "/listen/callers: found \"localhost:80\", allowed: IP:PORT with a "
+       "numeric IP address"},
       {R"([{"op":"replace","path":"/listen/callers","value":"127.0.0.1:70000"}])",
-       "/listen/callers: found \"127.0.0.1:70000\", allowed: IP:PORT by "
-       "number"},
+       "/listen/callers: found \"127.0.0.1:70000\", allowed: IP:PORT with a "
+       "numeric IP address"},
       {R"([{"op":"replace","path":"/processes/0/roles","value":["king"]}])",
        "/processes/0/roles/0: found \"king\", allowed: one of entry "
        "controller"},
