--- a/services/sumacd/replica_host.cc
+++ b/services/sumacd/replica_host.cc
@@ -89,11 +89,11 @@
     ReplicaCallbacks callbacks) {
   ReplicaStore store = TRY(OpenReplicaStore(
       std::make_shared<storage::PosixDisk>(), settings.data_folder));
-  return CreateOn(std::move(store), settings, peers, timer,
-                  std::move(callbacks));
+  return CreateWithStore(std::move(store), settings, peers, timer,
+                         std::move(callbacks));
 }
 
-absl::StatusOr<std::unique_ptr<ReplicaHost>> ReplicaHost::CreateOn(
+absl::StatusOr<std::unique_ptr<ReplicaHost>> ReplicaHost::CreateWithStore(
     ReplicaStore store,
     const ReplicaHostSettings& settings,
     Peers& peers,
--- a/services/sumacd/replica_host.h
+++ b/services/sumacd/replica_host.h
@@ -72,7 +72,7 @@
       ReplicaCallbacks callbacks);
 
   // Does the same as Create with a store that is already open.
-  static absl::StatusOr<std::unique_ptr<ReplicaHost>> CreateOn(
+  static absl::StatusOr<std::unique_ptr<ReplicaHost>> CreateWithStore(
       ReplicaStore store,
       const ReplicaHostSettings& settings,
       Peers& peers,
--- a/tests/services/sumacd/replica_host_test.cc
+++ b/tests/services/sumacd/replica_host_test.cc
@@ -104,7 +104,7 @@
         this->network(), this->parts->io.provider->getTimer(), names);
     ReplicaHostSettings settings{.process = ProcessName(member.address)};
     settings.group.election_timeout = kElectionTimeout;
-    auto host = ReplicaHost::CreateOn(
+    auto host = ReplicaHost::CreateWithStore(
         *std::move(store), settings, *member.peers,
         this->parts->io.provider->getTimer(), CallbacksOf(member));
     ASSERT_TRUE(host.ok()) << host.status();
