--- a/services/sumacd/node_daemon.cc
+++ b/services/sumacd/node_daemon.cc
@@ -193,7 +193,7 @@
   LogEvent(LogLevel::kInfo, "descriptors-shared",
            {{"disk", this->shares.disk},
             {"peers", this->shares.peers},
-            {"doors", this->shares.doors},
+            {"doors", this->shares.incoming},
             {"outgoing", this->shares.outgoing}});
   if (this->settings.is_controller()) {
     TRY(this->StartController());
@@ -240,7 +240,7 @@
       this->control_listener,
       http::DoorSettings{.address = this->settings.control_door,
                          .most_body_bytes = kMaxControlBodyBytes,
-                         .most_connections = this->shares.doors},
+                         .most_connections = this->shares.incoming},
       [this](http::DoorRequest request) {
         return this->control_adapter->Handle(std::move(request));
       });
@@ -282,7 +282,7 @@
 // connections only to its peers, so its callers get the share of outgoing
 // connections too.
 std::size_t NodeDaemon::EntryConnections() const {
-  return this->shares.doors + this->shares.outgoing;
+  return this->shares.incoming + this->shares.outgoing;
 }
 
 absl::Status NodeDaemon::OpenHttpListener(
--- a/tests/services/sumacd/replica_host_test.cc
+++ b/tests/services/sumacd/replica_host_test.cc
@@ -249,11 +249,11 @@
 TEST_F(ReplicaHostTest, ASnapshotWithoutADescriptorIsNoReasonToEnd) {
   Member* leader = this->AwaitLeader();
   ASSERT_NE(leader, nullptr);
-  leader->disk->is_short = true;
+  leader->disk->is_out_of_descriptors = true;
   ASSERT_TRUE(this->Propose(*leader, "a"));
   leader->host->FinishSnapshot(leader->host->applied_index(), "state");
   ASSERT_TRUE(this->Propose(*leader, "b"));
-  leader->disk->is_short = false;
+  leader->disk->is_out_of_descriptors = false;
   ASSERT_TRUE(this->Propose(*leader, "c"));
   leader->host->FinishSnapshot(leader->host->applied_index(), "state");
   ASSERT_TRUE(this->Propose(*leader, "d"));
