--- a/services/sumacd/daemon.cc
+++ b/services/sumacd/daemon.cc
@@ -24,8 +24,8 @@
 #include "libraries/storage/posix_disk.h"
 #include "services/sumacd/controller.h"
 #include "services/sumacd/core_link.h"
-#include "services/sumacd/doors.h"
 #include "services/sumacd/entry.h"
+#include "services/sumacd/http_listeners.h"
 #include "services/sumacd/leader_link.h"
 #include "services/sumacd/operator_service.h"
 #include "services/sumacd/peer_service.h"
@@ -36,7 +36,7 @@
 namespace {
 
 constexpr std::uint64_t kFirstIncarnation = 1;
-// A hand-over on a planned stop takes at most this.
+// The maximum time to wait for the hand-over during a planned stop.
 constexpr Milliseconds kHandOverWait{1'500};
 constexpr Milliseconds kHandOverPoll{10};
 
@@ -44,23 +44,23 @@
   return replication::NodeId(StrCat(process.value(), ".", kFirstIncarnation));
 }
 
-// One running process.
+// Runs one process: owns its parts, its listeners and its loops.
 class Daemon {
  public:
   Daemon(const Settings& settings, kj::AsyncIoContext& io)
       : settings(settings), io(io) {}
 
-  // Builds all parts; on an error nothing listens any more.
+  // Creates all parts and opens the listeners. After an error nothing listens.
   absl::Status Start();
 
-  // Runs until the planned stop is over.
+  // Runs until the planned stop is complete.
   void Run();
 
  private:
   absl::Status StartController();
   absl::Status Listen(const std::string& address,
                       capnp::Capability::Client bootstrap);
-  absl::Status OpenDoors();
+  absl::Status OpenListeners();
   kj::Promise<void> AwaitSignal();
   void Stop();
   void HandOverBeforeStop();
@@ -77,10 +77,10 @@
   std::unique_ptr<CoreLink> core;
   std::unique_ptr<Entry> entry;
   std::unique_ptr<ViewFollower> follower;
-  std::vector<std::unique_ptr<rpc::Door>> doors;
-  std::vector<kj::Promise<void>> running;
-  std::unique_ptr<http::HttpServer> caller_door;
-  std::unique_ptr<http::HttpServer> target_door;
+  std::vector<std::unique_ptr<rpc::Door>> rpc_listeners;
+  std::vector<kj::Promise<void>> background_loops;
+  std::unique_ptr<http::HttpServer> caller_listener;
+  std::unique_ptr<http::HttpServer> target_listener;
 };
 
 absl::Status Daemon::StartController() {
@@ -91,9 +91,9 @@
   storage::PosixDisk disk;
   if (!storage::DataFolder<storage::PosixDisk>::HasIdentity(
           disk, this->settings.data_folder)) {
-    // NOTE: This disk is new or was lost. What the process acknowledged or
-    // voted before is forgotten, so it must not speak under its old name: it
-    // joins as another replica.
+    // NOTE: This disk is new or was lost. The votes and acknowledgements of the
+    // process before are lost, so it must not use its old name again: it joins
+    // as another replica.
     LogEvent(LogLevel::kWarning, "joins-with-empty-disk",
              {{"data_folder", this->settings.data_folder}});
     TRY(FormatForJoining(this->settings));
@@ -101,13 +101,14 @@
   this->controller =
       TRY(Controller::Create(this->settings, *this->charts, *this->peers,
                              this->io.provider->getTimer()));
-  this->running.push_back(this->controller->Run().eagerlyEvaluate(nullptr));
+  this->background_loops.push_back(
+      this->controller->Run().eagerlyEvaluate(nullptr));
   return absl::OkStatus();
 }
 
 absl::Status Daemon::Listen(const std::string& address,
                             capnp::Capability::Client bootstrap) {
-  this->doors.push_back(
+  this->rpc_listeners.push_back(
       TRY(rpc::Door::Create(this->io, address, kj::mv(bootstrap))));
   return absl::OkStatus();
 }
@@ -129,7 +130,8 @@
         [this](const fleet::View& view, bool is_delta) {
           return this->entry->UpdateView(view, is_delta);
         });
-    this->running.push_back(this->follower->Run().eagerlyEvaluate(nullptr));
+    this->background_loops.push_back(
+        this->follower->Run().eagerlyEvaluate(nullptr));
   }
   TRY(this->Listen(
       this->settings.self().peer_address,
@@ -141,15 +143,15 @@
           this->settings, *this->peers, *this->leader, timer,
           this->controller.get(), this->entry.get(), this->follower.get()})));
   this->AddGauges();
-  return this->OpenDoors();
+  return this->OpenListeners();
 }
 
-absl::Status Daemon::OpenDoors() {
-  this->target_door = TRY(OpenTargetDoor(this->settings, *this->core,
-                                         this->metrics, this->is_stopping));
+absl::Status Daemon::OpenListeners() {
+  this->target_listener = TRY(OpenTargetListener(
+      this->settings, *this->core, this->metrics, this->is_stopping));
   if (this->entry) {
-    this->caller_door =
-        TRY(OpenCallerDoor(this->settings, *this->entry, this->is_stopping));
+    this->caller_listener = TRY(
+        OpenCallerListener(this->settings, *this->entry, this->is_stopping));
   }
   return absl::OkStatus();
 }
@@ -184,8 +186,9 @@
   this->Stop();
 }
 
-// A planned stop: the balancer hears of it first, requests in hand are
-// answered, leadership is handed over, and only then the process ends.
+// Carries out a planned stop: fails the health check so that the load balancer
+// removes this process, hands leadership over, answers open requests, and only
+// then returns.
 void Daemon::Stop() {
   LogEvent(LogLevel::kInfo, "stopping", nlohmann::json::object());
   this->is_stopping = true;
@@ -193,15 +196,15 @@
   kj::Timer& timer = this->io.provider->getTimer();
   timer.afterDelay(ToKj(this->settings.doors.stop_notice))
       .wait(this->io.waitScope);
-  // The doors' threads need the event loop to finish, so they are waited for on
-  // another thread.
+  // The listeners' threads need the event loop to finish, so another thread
+  // waits for them.
   auto stopped = kj::newPromiseAndFulfiller<void>();
   const kj::Executor& executor = kj::getCurrentThreadExecutor();
   std::thread stopper([this, &executor, &stopped] {
-    if (this->caller_door) {
-      this->caller_door->Stop();
+    if (this->caller_listener) {
+      this->caller_listener->Stop();
     }
-    this->target_door->Stop();
+    this->target_listener->Stop();
     if (this->controller) {
       this->controller->StopThreads();
     }
@@ -245,7 +248,7 @@
 }
 
 absl::Status FormatForJoining(const Settings& settings) {
-  // The wall clock is later than any start of this process before.
+  // The wall clock is later than any earlier start of this process.
   const auto incarnation = SystemClock().Now().time_since_epoch().count();
   const storage::Identity identity{
       .node = replication::NodeId(
--- a/services/sumacd/entry.cc
+++ b/services/sumacd/entry.cc
@@ -24,27 +24,29 @@
 using routing::SendTo;
 using routing::TryOutcome;
 
-constexpr std::size_t kDecisionsKept = 10'000;
-// Answers of non-repeatable requests are kept by the controllers, so they must
+constexpr std::size_t kMaxStoredDecisions = 10'000;
+// The controllers store the answers of non-repeatable requests, so they must
 // not be large.
-constexpr std::uint32_t kMostKeptAnswerBytes = 256 * 1024;
-// A claim that is not committed within this is refused; the request then has
-// not run.
-constexpr Milliseconds kLongestClaim{2'000};
-// Waiting this long for the record of how a claimed request ended holds up its
-// answer at most.
-constexpr Milliseconds kLongestFinish{1'000};
-// How often waiting requests are looked at for minions whose pause is over.
+constexpr std::uint32_t kMaxStoredAnswerBytes = 256 * 1024;
+// A claim that is not committed within this time is refused; the request then
+// has not run.
+constexpr Milliseconds kClaimTimeout{2'000};
+// The maximum time for which recording the outcome of a claimed request delays
+// its answer.
+constexpr Milliseconds kFinishClaimTimeout{1'000};
+// The interval at which waiting requests are checked for minions whose pause
+// has ended.
 constexpr Milliseconds kWakeInterval{5};
-// How many starts' worth of requests one start may number before it would run
-// into the next.
+// The bits of an attempt number below the start time in milliseconds. The
+// numbers of two starts could overlap only after more than 2^20 requests per
+// millisecond between them.
 constexpr unsigned kAttemptBits = 20;
 
-std::uint64_t StartNumber(const SystemClock& clock) {
+std::uint64_t StartTimeInMilliseconds(const SystemClock& clock) {
   return static_cast<std::uint64_t>(clock.Now().time_since_epoch().count());
 }
 
-routing::SharingSettings ToSharing(const Settings& settings) {
+routing::SharingSettings ToSharingSettings(const Settings& settings) {
   routing::SharingSettings sharing;
   sharing.data_centre = settings.self().data_centre;
   sharing.entries = settings.CountEntries();
@@ -65,11 +67,12 @@
     : settings(settings),
       core(core),
       metrics(metrics),
-      start(StartNumber(this->clock)),
-      router(
-          ToSharing(settings),
-          routing::DecisionRing(settings.process, this->start, kDecisionsKept),
-          std::random_device()()),
+      start(StartTimeInMilliseconds(this->clock)),
+      router(ToSharingSettings(settings),
+             routing::DecisionRing(settings.process,
+                                   this->start,
+                                   kMaxStoredDecisions),
+             std::random_device()()),
       wake_thread([this] { this->WakeLoop(); }),
       probe_thread([this] { this->ProbeLoop(); }) {}
 
@@ -103,7 +106,7 @@
   return answer;
 }
 
-// What is wrong with the request by itself.
+// Returns an error answer if the request itself is invalid.
 std::optional<CallerAnswer> Entry::CheckRequest(
     const CallerRequest& request) const {
   const auto fail = [](ResultCode code, std::string_view message) {
@@ -138,7 +141,8 @@
   const std::uint64_t number = this->next_number++;
   const std::lock_guard lock(this->mutex);
   const fleet::Service* service = this->router.FindService(request.service);
-  // The service was there a moment ago; when it has just gone, Admit says so.
+  // The service existed when the request was checked; if it has been removed
+  // since, Admit refuses the request.
   const fleet::Service defaults;
   const fleet::Service& declared = service == nullptr ? defaults : *service;
   Progress progress;
@@ -162,11 +166,11 @@
                                 Progress& progress) {
   std::optional<RetryReason> reason;
   while (true) {
-    Turn turn = this->AwaitTurn(progress, reason);
-    if (const auto* refusal = std::get_if<Refuse>(&turn)) {
+    NextStep next_step = this->AwaitNextStep(progress, reason);
+    if (const auto* refusal = std::get_if<Refuse>(&next_step)) {
       return this->AnswerRefusal(request, progress, *refusal);
     }
-    const SendTo& send = std::get<SendTo>(turn);
+    const SendTo& send = std::get<SendTo>(next_step);
     std::optional<CallerAnswer> final_answer;
     const TryResult result =
         this->TryOnce(request, progress, send, final_answer);
@@ -198,18 +202,18 @@
   }
 }
 
-Entry::Turn Entry::AwaitTurn(const Progress& progress,
-                             std::optional<RetryReason> reason) {
-  Turn turn = this->AwaitTurnLocked(progress, reason);
+Entry::NextStep Entry::AwaitNextStep(const Progress& progress,
+                                     std::optional<RetryReason> reason) {
+  NextStep next_step = this->AwaitNextStepLocked(progress, reason);
   this->LogNewDecisions();
-  return turn;
+  return next_step;
 }
 
-// Asks where the request may go and waits for its turn if it has to. One lock
-// is held from the question to the wait, or a turn given in between would reach
-// nobody.
-Entry::Turn Entry::AwaitTurnLocked(const Progress& progress,
-                                   std::optional<RetryReason> reason) {
+// Asks the router where the request may go and waits if it has to. The lock is
+// held from the question until the wait; otherwise a grant in between would be
+// lost.
+Entry::NextStep Entry::AwaitNextStepLocked(const Progress& progress,
+                                           std::optional<RetryReason> reason) {
   std::unique_lock lock(this->mutex);
   const SteadyTime now = this->clock.SteadyNow();
   RouteResult route =
@@ -217,10 +221,10 @@
                                   this->clock.Now())
              : this->router.Admit(progress.info, now, this->clock.Now());
   if (auto* send = std::get_if<SendTo>(&route)) {
-    return Turn(std::move(*send));
+    return NextStep(std::move(*send));
   }
   if (auto* refusal = std::get_if<Refuse>(&route)) {
-    return Turn(std::move(*refusal));
+    return NextStep(std::move(*refusal));
   }
   Waiter waiter;
   this->waiters[progress.info.number] = &waiter;
@@ -231,14 +235,15 @@
                        [&waiter] { return waiter.send.has_value(); });
   this->waiters.erase(progress.info.number);
   if (waiter.send) {
-    return Turn(*std::move(waiter.send));
+    return NextStep(*std::move(waiter.send));
   }
   this->router.StopWaiting(progress.info.number);
   Refuse refusal = this->router.RefuseLate(progress.info, this->clock.Now());
-  return Turn(std::move(refusal));
+  return NextStep(std::move(refusal));
 }
 
-// Gives waiting threads their turn. Called with the lock held.
+// Wakes the threads whose requests may be sent now. Must be called with the
+// lock held.
 void Entry::WakeReady() {
   for (auto& [number, send] :
        this->router.TakeReady(this->clock.SteadyNow(), this->clock.Now())) {
@@ -250,8 +255,8 @@
   }
 }
 
-// Commits the claim of a non-repeatable request; gives the final answer when it
-// must not be sent.
+// Commits the claim of a non-repeatable request. Returns the final answer if
+// the request must not be sent.
 std::optional<CallerAnswer> Entry::Claim(const CallerRequest& request,
                                          Progress& progress,
                                          const DecisionId& decision) {
@@ -260,8 +265,8 @@
       fleet::ClaimRequest{request.key, http::DigestOf(request),
                           this->settings.process, progress.attempt,
                           std::max(left, Milliseconds(0))},
-      std::min(left, kLongestClaim));
-  // An answer that came while the deadline passed: the claim is held, but
+      std::min(left, kClaimTimeout));
+  // If the deadline passed while the claim was committed, the claim is held but
   // nothing is sent.
   if (answer.is_ok() && answer.document.is_null()) {
     progress.is_claimed = true;
@@ -315,7 +320,7 @@
       fleet::FinishClaim{
           request.key, this->settings.process, progress.attempt, state,
           fleet::KeptAnswer{answer.status, answer.content_type, answer.body}},
-      kLongestFinish);
+      kFinishClaimTimeout);
   if (!kept.is_ok()) {
     LogEvent(LogLevel::kWarning, "claim-not-finished",
              {{"key", request.key.value()},
@@ -325,8 +330,8 @@
   }
 }
 
-// One try at one minion. `final_answer` is set when the claim says that nothing
-// is to be sent.
+// Tries the request once at one minion. Sets `final_answer` if the claim shows
+// that nothing must be sent.
 TryResult Entry::TryOnce(const CallerRequest& request,
                          Progress& progress,
                          const SendTo& send,
@@ -335,11 +340,11 @@
   const bool is_repeatable = progress.info.is_repeatable;
   std::uint32_t most_answer_bytes = this->settings.doors.most_body_bytes;
   if (!is_repeatable) {
-    most_answer_bytes = std::min(most_answer_bytes, kMostKeptAnswerBytes);
+    most_answer_bytes = std::min(most_answer_bytes, kMaxStoredAnswerBytes);
   }
   TryResult result;
-  // The connection stands before the claim is made, so that a claim is seldom
-  // made for nothing; for a request that must not run twice it is a new one,
+  // The connection is opened before the claim is made, so that few claims are
+  // made in vain. A request that must not run twice gets a new connection,
   // which no minion is about to close.
   http::MinionClient::Connection connection =
       this->client.Connect(address, !is_repeatable, progress.info.deadline);
@@ -411,15 +416,15 @@
 
 bool Entry::UpdateView(const fleet::View& view, bool is_delta) {
   const std::lock_guard lock(this->mutex);
-  const bool is_taken = this->router.Update(
+  const bool is_applied = this->router.Update(
       is_delta ? fleet::ApplyDelta(this->router.view(), view) : view);
-  if (is_taken) {
+  if (is_applied) {
     this->WakeReady();
   }
-  return is_taken;
+  return is_applied;
 }
 
-std::uint32_t Entry::MostBodyBytes(const ServiceName& name) const {
+std::uint32_t Entry::MaxBodyBytes(const ServiceName& name) const {
   const std::lock_guard lock(this->mutex);
   const fleet::Service* service = this->router.FindService(name);
   const std::uint32_t most = this->settings.doors.most_body_bytes;
@@ -433,10 +438,10 @@
 
 std::vector<fleet::Decision> Entry::FindDecisionsAbout(
     const std::string& request_label) const {
-  constexpr std::size_t kMostShown = 20;
+  constexpr std::size_t kMaxShown = 20;
   const std::lock_guard lock(this->mutex);
   return this->router.decisions().FindAbout(fleet::SubjectKind::kRequest,
-                                            request_label, kMostShown);
+                                            request_label, kMaxShown);
 }
 
 std::size_t Entry::CountOpen() const {
@@ -444,8 +449,9 @@
   return this->router.CountOpen();
 }
 
-// Looks after waiting requests whose minions' pauses end by time alone. While
-// nothing waits it sleeps, so that an idle entry costs nothing.
+// Wakes waiting requests whose minions' pauses end without any other event.
+// While no request waits the thread sleeps, so that an idle entry uses no
+// processor time.
 void Entry::WakeLoop() {
   std::unique_lock lock(this->mutex);
   while (!this->is_stopping) {
@@ -458,8 +464,8 @@
   }
 }
 
-// Asks each minion now and then how it is: its own word that it leaves reaches
-// an entry that is cut off from the controllers too.
+// Probes each minion's health at an interval: this way an entry that is
+// partitioned from the controllers also learns that a minion is leaving.
 void Entry::ProbeLoop() {
   const Milliseconds interval = this->settings.routing.probe_interval;
   if (interval == Milliseconds(0)) {
@@ -491,8 +497,8 @@
   }
 }
 
-// Writes the lines of decisions taken since the last call. The lock is held
-// only to take them, not while the log is written.
+// Logs the decisions made since the last call. The lock is held only to copy
+// them, not while the log is written.
 void Entry::LogNewDecisions() {
   std::vector<fleet::Decision> decisions;
   {
--- a/services/sumacd/main.cc
+++ b/services/sumacd/main.cc
@@ -19,7 +19,7 @@
 
 constexpr int kExitUsage = 2;
 constexpr int kExitSettings = 3;
-constexpr int kMostHeaps = 4;
+constexpr int kMaxHeaps = 4;
 
 options::options_description DescribeOptions() {
   options::options_description description(
@@ -48,7 +48,7 @@
   return exit_code;
 }
 
-// Runs a process that finds the others from seeds.
+// Runs a process that discovers the others from seeds.
 int RunNode(const std::string& path, bool is_check) {
   const auto settings = sumac::daemon::NodeSettings::Load(path);
   if (!settings.ok()) {
@@ -87,8 +87,8 @@
 }  // namespace
 
 int main(int argument_count, char** argument_values) {
-  // One heap a thread would cost some 100 KB for each open connection.
-  mallopt(M_ARENA_MAX, kMostHeaps);
+  // One heap per thread would cost about 100 KB for each open connection.
+  mallopt(M_ARENA_MAX, kMaxHeaps);
   const options::options_description description = DescribeOptions();
   options::variables_map arguments;
   try {
--- a/services/sumacd/node_daemon.cc
+++ b/services/sumacd/node_daemon.cc
@@ -41,36 +41,39 @@
 namespace {
 
 constexpr std::uint64_t kFirstIncarnation = 1;
-// The settings file is looked at this often.
+// The interval at which the settings file is checked for changes.
 constexpr Milliseconds kFileCheckInterval{500};
-// An entry that has not reached a leader for this long is not ready.
-constexpr Milliseconds kOutOfTouchTime{3'000};
-// An entry asks for a sign of a leader this often.
+// An entry without a response from a leader for this long reports that it is
+// not ready.
+constexpr Milliseconds kLeaderContactTimeout{3'000};
+// The interval at which an entry probes the leader.
 constexpr Milliseconds kProbeInterval{1'000};
-constexpr Milliseconds kProbeLimit{900};
-// The balancer drops an entry that fails two checks, a second apart.
+constexpr Milliseconds kProbeTimeout{900};
+// How long the health check of a stopping entry fails before the entry stops:
+// the load balancer removes an entry after two failed checks, one second apart.
 constexpr Milliseconds kStopNotice{2'300};
-// A hand-over on a planned stop takes at most this.
+// The maximum time to wait for the hand-over during a planned stop.
 constexpr Milliseconds kHandOverWait{600};
 constexpr Milliseconds kHandOverPoll{10};
-// A controller answers what it has in hand within this before it stops.
+// The maximum time for a stopping controller to answer its open requests.
 constexpr Milliseconds kControllerDrain{1'000};
-// What is left of the time to stop when requests in hand are given up.
+// The part of the stop grace period that remains when open requests are given
+// up.
 constexpr Milliseconds kStopReserve{500};
-// However much the event loop has to do, it looks at its timers and sockets
-// after this many steps, some milliseconds of a third of a core: heartbeats and
-// answers that have come must not wait behind a burst of orders.
-constexpr unsigned kMostEventsBetweenPolls = 500;
-constexpr std::uint64_t kMostCallerBody = 256U << 10;
-constexpr std::uint64_t kMostControlBody = 4U << 20;
+// The maximum number of events that the event loop processes between two polls
+// of its timers and sockets, some milliseconds of a third of a core: heartbeats
+// and responses that have arrived must not wait behind a burst of orders.
+constexpr unsigned kMaxEventsBetweenPolls = 500;
+constexpr std::uint64_t kMaxCallerBodyBytes = 256U << 10;
+constexpr std::uint64_t kMaxControlBodyBytes = 4U << 20;
 
 replication::NodeId NodeOf(const ProcessName& process,
                            std::uint64_t incarnation) {
   return replication::NodeId(StrCat(process.value(), ".", incarnation));
 }
 
-// Makes the data folder of a controller that has none: of a new group at the
-// first start of a seed, else of one that joins under a new name.
+// Creates the data folder of a controller that has none: for a new group at the
+// first start of a seed, else for a replica that joins under a new name.
 absl::Status FormatNodeFolder(const NodeSettings& settings) {
   const std::vector<ProcessName> seeds = settings.SeedProcesses();
   const bool is_seed =
@@ -82,9 +85,9 @@
       identity.first_voters.insert(NodeOf(seed, kFirstIncarnation));
     }
   } else {
-    // NOTE: This disk is new or was lost. What the process acknowledged or
-    // voted before is forgotten, so it must not speak under its old name. The
-    // wall clock is later than any start of this process before.
+    // NOTE: This disk is new or was lost. The votes and acknowledgements of the
+    // process before are lost, so it must not use its old name again. The wall
+    // clock is later than any earlier start of this process.
     const auto incarnation = SystemClock().Now().time_since_epoch().count();
     identity.node =
         NodeOf(settings.process(), static_cast<std::uint64_t>(incarnation));
@@ -97,7 +100,7 @@
       disk, settings.data_folder, identity);
 }
 
-// One running process.
+// Runs one process: owns its parts, its listeners and its loops.
 class NodeDaemon {
  public:
   NodeDaemon(NodeSettings initial,
@@ -123,10 +126,10 @@
                this->timer,
                this->settings.advice_door) {}
 
-  // Builds all parts; on an error nothing listens any more.
+  // Creates all parts and opens the listeners. After an error nothing listens.
   absl::Status Start();
 
-  // Runs until the planned stop is over.
+  // Runs until the planned stop is complete.
   void Run();
 
  private:
@@ -134,15 +137,15 @@
   relay::OwnedWorkerCalls MakeRelayWorkers();
   absl::Status StartEntry();
   std::size_t EntryConnections() const;
-  void ShowConnections(const std::string& kind,
-                       const http::ConnectionBudget& connections);
-  absl::Status OpenDoor(std::unique_ptr<http::AsyncDoor>& door,
-                        http::DoorSettings door_settings,
-                        http::AsyncDoor::Handler handler);
-  absl::Status OpenMetricsDoor();
+  void AddConnectionMetrics(const std::string& kind,
+                            const http::ConnectionBudget& connections);
+  absl::Status OpenHttpListener(std::unique_ptr<http::AsyncDoor>& door,
+                                http::DoorSettings door_settings,
+                                http::AsyncDoor::Handler handler);
+  absl::Status OpenMetricsListener();
   absl::Status ListenToPeers();
-  absl::Status OpenRpcDoor(const std::string& address,
-                           capnp::Capability::Client service);
+  absl::Status OpenRpcListener(const std::string& address,
+                               capnp::Capability::Client service);
   platform::AskLeader AskLeader();
   http::DoorReply ReplyToHealthCheck() const;
   bool IsReady() const;
@@ -152,7 +155,7 @@
   void Reload(const char* cause);
   void StopController();
   void StopEntry();
-  void WaitUpTo(kj::Promise<void> done, Milliseconds limit);
+  void AwaitWithLimit(kj::Promise<void> done, Milliseconds limit);
 
   NodeSettings settings;
   std::string path;
@@ -170,14 +173,14 @@
   std::unique_ptr<JobsLink> link;
   std::optional<platform::CallerDoor> caller_adapter;
   std::optional<platform::ControlDoor> control_adapter;
-  std::unique_ptr<http::AsyncDoor> control_door;
-  std::unique_ptr<http::AsyncDoor> caller_door;
-  std::unique_ptr<http::AsyncDoor> health_door;
-  std::unique_ptr<http::AsyncDoor> metrics_door;
-  std::vector<std::unique_ptr<rpc::Door>> rpc_doors;
+  std::unique_ptr<http::AsyncDoor> control_listener;
+  std::unique_ptr<http::AsyncDoor> caller_listener;
+  std::unique_ptr<http::AsyncDoor> health_listener;
+  std::unique_ptr<http::AsyncDoor> metrics_listener;
+  std::vector<std::unique_ptr<rpc::Door>> rpc_listeners;
   bool is_stopping = false;
   std::int64_t file_changed_at = 0;
-  std::vector<kj::Promise<void>> running;
+  std::vector<kj::Promise<void>> background_loops;
 };
 
 platform::AskLeader NodeDaemon::AskLeader() {
@@ -198,16 +201,16 @@
     TRY(this->StartEntry());
   }
   if (!this->settings.operators_door.empty()) {
-    TRY(this->OpenRpcDoor(
+    TRY(this->OpenRpcListener(
         this->settings.operators_door,
         kj::heap<NodeOperatorService>(this->settings, *this->link,
                                       this->controller.get())));
   }
   if (!this->settings.metrics_door.empty()) {
-    TRY(this->OpenMetricsDoor());
+    TRY(this->OpenMetricsListener());
   }
-  this->running.push_back(this->ReloadLoop().eagerlyEvaluate(nullptr));
-  this->running.push_back(this->SignalLoop().eagerlyEvaluate(nullptr));
+  this->background_loops.push_back(this->ReloadLoop().eagerlyEvaluate(nullptr));
+  this->background_loops.push_back(this->SignalLoop().eagerlyEvaluate(nullptr));
   return absl::OkStatus();
 }
 
@@ -230,19 +233,21 @@
   this->link = std::make_unique<JobsLink>(this->settings.process(), this->peers,
                                           this->timer, this->controller.get());
   TRY(this->ListenToPeers());
-  this->running.push_back(this->controller->Run().eagerlyEvaluate(nullptr));
+  this->background_loops.push_back(
+      this->controller->Run().eagerlyEvaluate(nullptr));
   this->control_adapter.emplace(this->AskLeader(), this->controller->state());
-  return this->OpenDoor(
-      this->control_door,
+  return this->OpenHttpListener(
+      this->control_listener,
       http::DoorSettings{.address = this->settings.control_door,
-                         .most_body_bytes = kMostControlBody,
+                         .most_body_bytes = kMaxControlBodyBytes,
                          .most_connections = this->shares.incoming},
       [this](http::DoorRequest request) {
         return this->control_adapter->Handle(std::move(request));
       });
 }
 
-// The connections of a relay go with it, and share the budget of all.
+// Creates the calls of a relay to workers. The connections close with the relay
+// and share the budget of all connections to workers.
 relay::OwnedWorkerCalls NodeDaemon::MakeRelayWorkers() {
   auto client = std::make_shared<platform::WorkerClient>(
       this->io.provider->getNetwork(), this->timer, &this->worker_connections);
@@ -254,18 +259,18 @@
   this->link = std::make_unique<JobsLink>(this->settings.process(), this->peers,
                                           this->timer, nullptr);
   this->caller_adapter.emplace(this->AskLeader(), this->metrics);
-  this->running.push_back(this->ProbeLoop().eagerlyEvaluate(nullptr));
-  TRY(this->OpenDoor(
-      this->caller_door,
+  this->background_loops.push_back(this->ProbeLoop().eagerlyEvaluate(nullptr));
+  TRY(this->OpenHttpListener(
+      this->caller_listener,
       http::DoorSettings{.address = this->settings.caller_door,
-                         .most_body_bytes = kMostCallerBody,
+                         .most_body_bytes = kMaxCallerBodyBytes,
                          .headers = platform::CallerDoor::Headers(),
                          .most_connections = this->EntryConnections()},
       [this](const http::DoorRequest& request) {
         return this->caller_adapter->Handle(request);
       }));
-  return this->OpenDoor(
-      this->health_door,
+  return this->OpenHttpListener(
+      this->health_listener,
       http::DoorSettings{.address = this->settings.health_door},
       [this](const http::DoorRequest& /*request*/)
           -> kj::Promise<http::DoorReply> {
@@ -273,15 +278,17 @@
       });
 }
 
-// An entry opens connections to its peers only, so its callers get that share
-// too.
+// Returns the maximum number of callers' connections. An entry opens
+// connections only to its peers, so its callers get the share of outgoing
+// connections too.
 std::size_t NodeDaemon::EntryConnections() const {
   return this->shares.incoming + this->shares.outgoing;
 }
 
-absl::Status NodeDaemon::OpenDoor(std::unique_ptr<http::AsyncDoor>& door,
-                                  http::DoorSettings door_settings,
-                                  http::AsyncDoor::Handler handler) {
+absl::Status NodeDaemon::OpenHttpListener(
+    std::unique_ptr<http::AsyncDoor>& door,
+    http::DoorSettings door_settings,
+    http::AsyncDoor::Handler handler) {
   const std::string address = door_settings.address;
   door = std::make_unique<http::AsyncDoor>(
       this->timer, std::move(door_settings), std::move(handler));
@@ -296,20 +303,22 @@
 }
 
 absl::Status NodeDaemon::ListenToPeers() {
-  return this->OpenRpcDoor(this->settings.process().value(),
-                           kj::heap<NodePeerService>(*this->controller));
+  return this->OpenRpcListener(this->settings.process().value(),
+                               kj::heap<NodePeerService>(*this->controller));
 }
 
-absl::Status NodeDaemon::OpenRpcDoor(const std::string& address,
-                                     capnp::Capability::Client service) {
-  this->rpc_doors.push_back(
+absl::Status NodeDaemon::OpenRpcListener(const std::string& address,
+                                         capnp::Capability::Client service) {
+  this->rpc_listeners.push_back(
       TRY(rpc::Door::Create(this->io, address, kj::mv(service))));
   return absl::OkStatus();
 }
 
-// Descriptors in use by kind against their share.
-void NodeDaemon::ShowConnections(const std::string& kind,
-                                 const http::ConnectionBudget& connections) {
+// Adds metrics of the connections of one kind: open, maximum, closed for others
+// and refused.
+void NodeDaemon::AddConnectionMetrics(
+    const std::string& kind,
+    const http::ConnectionBudget& connections) {
   const std::string label = StrCat("{kind=\"", kind, "\"}");
   this->metrics.SetGauge(StrCat("sumac_connections", label), [&connections] {
     return static_cast<double>(connections.open());
@@ -325,15 +334,16 @@
       [&connections] { return static_cast<double>(connections.refused()); });
 }
 
-absl::Status NodeDaemon::OpenMetricsDoor() {
+absl::Status NodeDaemon::OpenMetricsListener() {
   if (this->settings.is_controller()) {
-    this->ShowConnections("workers", this->worker_connections);
-    this->ShowConnections("control", this->control_door->connections());
+    this->AddConnectionMetrics("workers", this->worker_connections);
+    this->AddConnectionMetrics("control",
+                               this->control_listener->connections());
   } else {
-    this->ShowConnections("callers", this->caller_door->connections());
+    this->AddConnectionMetrics("callers", this->caller_listener->connections());
   }
-  return this->OpenDoor(
-      this->metrics_door,
+  return this->OpenHttpListener(
+      this->metrics_listener,
       http::DoorSettings{.address = this->settings.metrics_door},
       [this](const http::DoorRequest& /*request*/)
           -> kj::Promise<http::DoorReply> {
@@ -344,7 +354,8 @@
 
 bool NodeDaemon::IsReady() const {
   return !this->is_stopping &&
-         this->clock.SteadyNow() - this->link->last_answer() < kOutOfTouchTime;
+         this->clock.SteadyNow() - this->link->last_answer() <
+             kLeaderContactTimeout;
 }
 
 http::DoorReply NodeDaemon::ReplyToHealthCheck() const {
@@ -353,14 +364,14 @@
   return http::DoorReply{.status = this->IsReady() ? kOk : kUnavailable};
 }
 
-// Asks for a sign of a leader now and then, so that an entry without traffic
-// knows whether it is of use.
+// Probes the leader at an interval while no other call has reached it, so that
+// an entry without traffic knows whether it is ready.
 kj::Promise<void> NodeDaemon::ProbeLoop() {
   const bool is_fresh =
       this->clock.SteadyNow() - this->link->last_answer() < kProbeInterval;
   kj::Promise<void> probed = kj::READY_NOW;
   if (!is_fresh) {
-    probed = this->link->Ask(jobs::ShowWave{}, kProbeLimit).ignoreResult();
+    probed = this->link->Ask(jobs::ShowWave{}, kProbeTimeout).ignoreResult();
   }
   return probed
       .then([this] { return this->timer.afterDelay(ToKj(kProbeInterval)); })
@@ -392,7 +403,8 @@
   });
 }
 
-// Only the seeds may change while a process runs.
+// Reloads the settings file. Only the seeds are applied; all other settings
+// need a restart.
 void NodeDaemon::Reload(const char* cause) {
   const absl::StatusOr<NodeSettings> read = NodeSettings::Load(this->path);
   if (!read.ok()) {
@@ -426,13 +438,13 @@
   LogEvent(LogLevel::kInfo, "stopped", nlohmann::json::object());
 }
 
-void NodeDaemon::WaitUpTo(kj::Promise<void> done, Milliseconds limit) {
+void NodeDaemon::AwaitWithLimit(kj::Promise<void> done, Milliseconds limit) {
   done.exclusiveJoin(this->timer.afterDelay(ToKj(limit)))
       .wait(this->io.waitScope);
 }
 
-// Leadership goes to another controller first; then what is in hand is
-// answered.
+// Hands leadership over to another controller first; then answers the open
+// requests.
 void NodeDaemon::StopController() {
   const ReplicaHost& host = this->controller->replica_host();
   if (host.replica().role() == replication::Role::kLeader &&
@@ -444,17 +456,18 @@
       this->timer.afterDelay(ToKj(kHandOverPoll)).wait(this->io.waitScope);
     }
   }
-  this->WaitUpTo(this->control_door->Drain(), kControllerDrain);
+  this->AwaitWithLimit(this->control_listener->Drain(), kControllerDrain);
 }
 
-// The balancer hears of it first; clients that stay on open connections are
-// served until the door drains.
+// Fails the health check first, so that the load balancer removes this entry.
+// Clients on open connections are served until the listener is drained.
 void NodeDaemon::StopEntry() {
-  this->caller_door->CloseAfterAnswers();
+  this->caller_listener->CloseAfterAnswers();
   this->timer.afterDelay(ToKj(kStopNotice)).wait(this->io.waitScope);
   const Milliseconds left =
       this->settings.platform_times.stop_grace - kStopNotice - kStopReserve;
-  this->WaitUpTo(this->caller_door->Drain(), std::max(left, Milliseconds(0)));
+  this->AwaitWithLimit(this->caller_listener->Drain(),
+                       std::max(left, Milliseconds(0)));
 }
 
 }  // namespace
@@ -471,7 +484,7 @@
   }
   signal(SIGPIPE, SIG_IGN);
   kj::AsyncIoContext io = kj::setupAsyncIo();
-  io.waitScope.setBusyPollInterval(kMostEventsBetweenPolls);
+  io.waitScope.setBusyPollInterval(kMaxEventsBetweenPolls);
   NodeDaemon daemon(settings, path, shares, io);
   absl::Status status = daemon.Start();
   if (!status.ok()) {
--- a/services/sumacd/queries.cc
+++ b/services/sumacd/queries.cc
@@ -110,8 +110,8 @@
   return Answer{.document = ToJson(*found)};
 }
 
-// What the record of a request's claim says, as a decision beside the entries'
-// own.
+// Describes the recorded claim of a request as a decision, shown beside the
+// decisions that entries made.
 std::optional<fleet::Decision> DescribeClaim(const fleet::FleetState& state,
                                              const std::string& key) {
   const auto found = state.record().claims.find(IdempotencyKey(key));
@@ -149,7 +149,7 @@
   }
   const auto& decisions = state.record().decisions;
   for (auto item = decisions.rbegin();
-       item != decisions.rend() && rows.size() < kMostDecisionsShown; ++item) {
+       item != decisions.rend() && rows.size() < kMaxDecisionsShown; ++item) {
     const bool is_about = item->subject_kind == *kind && item->subject == name;
     const bool is_in_pool =
         *kind == fleet::SubjectKind::kPool && item->pool.value() == name;
--- a/tests/services/sumacd/replica_host_test.cc
+++ b/tests/services/sumacd/replica_host_test.cc
@@ -27,17 +27,18 @@
 constexpr const char* kFolder = "data";
 constexpr std::size_t kVoters = 3;
 constexpr kj::Duration kTick = 10 * kj::MILLISECONDS;
-// Long beside what a busy computer takes for a hand-over, so that the one is
-// told from the other.
+// Long compared to a hand-over on a busy computer, so that an election timeout
+// and a hand-over can be told apart.
 constexpr Milliseconds kElectionTimeout{2'000};
-// A leader's silence is noticed one heartbeat before it at the earliest.
+// The others notice a silent leader one heartbeat before the election timeout
+// at the earliest.
 constexpr Milliseconds kHandOverBound{1'200};
-constexpr Milliseconds kPatience{10'000};
+constexpr Milliseconds kMaxWait{10'000};
 
-// Hands messages to a host.
-class HostDoor final : public wire::Peer::Server {
+// Passes the messages of Peer.replicate calls to a host.
+class ReplicateService final : public wire::Peer::Server {
  public:
-  explicit HostDoor(std::unique_ptr<ReplicaHost>& host) : host(host) {}
+  explicit ReplicateService(std::unique_ptr<ReplicaHost>& host) : host(host) {}
 
   kj::Promise<void> replicate(ReplicateContext context) override {
     return ServeReplicate(*this->host, context);
@@ -47,7 +48,7 @@
   std::unique_ptr<ReplicaHost>& host;
 };
 
-// A replica with its disk, its state machine and its door.
+// A replica with its disk, its state machine and its listener.
 struct Member {
   std::string address;
   std::shared_ptr<SwitchedDisk> disk = std::make_shared<SwitchedDisk>();
@@ -56,7 +57,7 @@
   std::unique_ptr<ReplicaHost> host;
   kj::Own<kj::ConnectionReceiver> receiver;
   std::unique_ptr<capnp::TwoPartyServer> server;
-  // The others reach it by this.
+  // The relay through which the other members connect.
   std::unique_ptr<stand_ins::Relay> path;
   kj::Promise<void> listening = nullptr;
   kj::Promise<void> ticking = nullptr;
@@ -85,7 +86,7 @@
         this->parts->io, StrCat("127.0.0.1:", member.receiver->getPort()));
     member.address = member.path->address();
     member.server = std::make_unique<capnp::TwoPartyServer>(
-        kj::heap<HostDoor>(member.host));
+        kj::heap<ReplicateService>(member.host));
   }
 
   void Start(Member& member) {
@@ -103,7 +104,7 @@
         this->network(), this->parts->io.provider->getTimer(), names);
     ReplicaHostSettings settings{.process = ProcessName(member.address)};
     settings.group.election_timeout = kElectionTimeout;
-    auto host = ReplicaHost::CreateOn(
+    auto host = ReplicaHost::CreateWithStore(
         *std::move(store), settings, *member.peers,
         this->parts->io.provider->getTimer(), CallbacksOf(member));
     ASSERT_TRUE(host.ok()) << host.status();
@@ -125,7 +126,7 @@
               member.applied.push_back(payload);
               return fleet::Answer::Success("applied");
             },
-        .after_pass = [] {},
+        .after_pump = [] {},
         .begin_snapshot = [](LogIndex) {}};
   }
 
@@ -137,11 +138,12 @@
         });
   }
 
-  // Waits until `holds`; how long it took, or nothing if it took too long.
+  // Waits until `holds` returns true. Returns how long that took, or nothing if
+  // it took longer than kMaxWait.
   std::optional<Milliseconds> Await(const std::function<bool()>& holds) {
     const SteadyTime began_at = this->clock.SteadyNow();
     while (!holds()) {
-      if (this->clock.SteadyNow() - began_at > kPatience) {
+      if (this->clock.SteadyNow() - began_at > kMaxWait) {
         return std::nullopt;
       }
       this->parts->io.provider->getTimer()
@@ -151,7 +153,8 @@
     return this->clock.SteadyNow() - began_at;
   }
 
-  // The member that may act, once there is one beside `other`.
+  // Waits for a member other than `other` that may act as the leader and
+  // returns it; null if there is none within kMaxWait.
   Member* AwaitLeader(const Member* other = nullptr) {
     Member* leader = nullptr;
     this->Await([&] {
@@ -165,12 +168,12 @@
     return leader;
   }
 
-  // True if the command was acknowledged.
+  // Returns true if the command was acknowledged.
   bool Propose(Member& member, const std::string& command) {
     return member.host->Propose(command).wait(this->scope()).is_ok();
   }
 
-  bool AreAllAlike() {
+  bool HaveAllAppliedTheSame() {
     const auto& members = this->parts->members;
     return std::all_of(members.begin(), members.end(), [&](const auto& member) {
       return member->applied == members.front()->applied;
@@ -189,8 +192,8 @@
   std::unique_ptr<Parts> parts = std::make_unique<Parts>();
 };
 
-// A leader whose disk was full fell silent, and the others waited for their
-// election timeout; what it had been asked came to nothing meanwhile.
+// Guards against a leader with a full disk that falls silent, so that the
+// others wait for their election timeout and the open proposals fail.
 TEST_F(ReplicaHostTest, ALeaderWhoseDiskIsFullHandsOver) {
   Member* first = this->AwaitLeader();
   ASSERT_NE(first, nullptr);
@@ -209,10 +212,10 @@
   EXPECT_TRUE(first->host->is_disk_full());
   EXPECT_FALSE(first->host->MayAct());
   ASSERT_TRUE(this->Propose(*next, "c"));
-  // Whoever asked is not left without an answer until there is room.
+  // The open proposal gets an answer before there is space again.
   ASSERT_TRUE(this->Await([&] { return answer.has_value(); }));
   first->disk->is_full = false;
-  EXPECT_TRUE(this->Await([&] { return this->AreAllAlike(); }));
+  EXPECT_TRUE(this->Await([&] { return this->HaveAllAppliedTheSame(); }));
   EXPECT_FALSE(first->host->is_disk_full());
   const std::vector<std::string> whole{"a", "b", "c"};
   if (answer->is_ok()) {
@@ -235,14 +238,14 @@
   EXPECT_TRUE(this->Await([&] { return voter->host->is_disk_full(); }));
   EXPECT_TRUE(leader->host->MayAct());
   voter->disk->is_full = false;
-  EXPECT_TRUE(this->Await([&] { return this->AreAllAlike(); }));
+  EXPECT_TRUE(this->Await([&] { return this->HaveAllAppliedTheSame(); }));
   EXPECT_FALSE(voter->host->is_disk_full());
   EXPECT_EQ(voter->applied, (std::vector<std::string>{"a", "b", "c"}));
 }
 
-// A controller ended by itself with "snapshot ...: open: Too many open files
-// [4002]" while its log could still be written. The shortage passes, and so
-// does the try: the next snapshot is stored.
+// Guards against a controller that exits because it could not open a snapshot
+// file ("snapshot ...: open: Too many open files [4002]") while its log could
+// still be written. The shortage is temporary: the next snapshot is stored.
 TEST_F(ReplicaHostTest, ASnapshotWithoutADescriptorIsNoReasonToEnd) {
   Member* leader = this->AwaitLeader();
   ASSERT_NE(leader, nullptr);
@@ -257,8 +260,9 @@
   EXPECT_TRUE(leader->host->MayAct());
 }
 
-// Without room anywhere nothing is acknowledged; afterwards all goes on, and
-// what was acknowledged outlives a loss of power of the whole group.
+// While all disks are full nothing is acknowledged. Once there is space again
+// commands are committed, and what was acknowledged survives a loss of power of
+// the whole group.
 TEST_F(ReplicaHostTest, WithoutRoomAnywhereNothingAcknowledgedIsLost) {
   Member* leader = this->AwaitLeader();
   ASSERT_NE(leader, nullptr);
@@ -283,7 +287,7 @@
   Member* next = this->AwaitLeader();
   ASSERT_NE(next, nullptr);
   ASSERT_TRUE(this->Propose(*next, "c"));
-  EXPECT_TRUE(this->Await([&] { return this->AreAllAlike(); }));
+  EXPECT_TRUE(this->Await([&] { return this->HaveAllAppliedTheSame(); }));
   std::vector<std::shared_ptr<SwitchedDisk>> disks;
   for (const auto& member : this->parts->members) {
     disks.push_back(member->disk);
@@ -306,14 +310,14 @@
   EXPECT_GT(holders, kVoters / 2);
 }
 
-// All connections go silent at once, and only new ones work. The group finds
-// out by its own limits, each pair takes one new connection, and nothing
+// All connections fall silent at once and only new ones work. The group detects
+// this by its own timeouts, each pair opens one new connection, and nothing
 // acknowledged is lost.
 TEST_F(ReplicaHostTest, AGroupWhoseConnectionsFallSilentDecidesAgain) {
   Member* leader = this->AwaitLeader();
   ASSERT_NE(leader, nullptr);
   ASSERT_TRUE(this->Propose(*leader, "a"));
-  ASSERT_TRUE(this->Await([&] { return this->AreAllAlike(); }));
+  ASSERT_TRUE(this->Await([&] { return this->HaveAllAppliedTheSame(); }));
   std::size_t opened = 0;
   for (const auto& member : this->parts->members) {
     opened += member->path->accepted();
@@ -321,14 +325,14 @@
   }
   const SteadyTime silent_from = this->clock.SteadyNow();
   bool is_decided = false;
-  while (!is_decided && this->clock.SteadyNow() - silent_from < kPatience) {
+  while (!is_decided && this->clock.SteadyNow() - silent_from < kMaxWait) {
     Member* next = this->AwaitLeader();
     is_decided = next != nullptr && this->Propose(*next, "b");
   }
   const Milliseconds took = this->clock.SteadyNow() - silent_from;
   RecordProperty("decides_again_ms", static_cast<int>(took.count()));
   ASSERT_TRUE(is_decided);
-  EXPECT_TRUE(this->Await([&] { return this->AreAllAlike(); }));
+  EXPECT_TRUE(this->Await([&] { return this->HaveAllAppliedTheSame(); }));
   EXPECT_EQ(this->parts->members.front()->applied.front(), "a");
   std::size_t opened_again = 0;
   for (const auto& member : this->parts->members) {
