--- a/services/sumacd/job_controller.cc
+++ b/services/sumacd/job_controller.cc
@@ -19,19 +19,22 @@
 namespace {
 
 constexpr Milliseconds kTickInterval{20};
-// The group's members are looked after this often.
+// The interval at which the membership of the group of controllers is
+// maintained.
 constexpr Milliseconds kMaintenanceInterval{100};
-// Without news the scheduler looks at its timers this often.
+// The interval of planning passes while nothing changes; the scheduler checks
+// its timers in them.
 constexpr Milliseconds kIdlePlanInterval{100};
-// After a renewal that got no answer, before the next.
+// The pause after a renewal or a commit that failed, before the next attempt.
 constexpr Milliseconds kRenewalPause{150};
-// A new leader asks all workers what they run, in slices: a thousand calls and
-// their connections at once keep its loop from its heartbeats for longer than
-// its followers wait.
+// A new leader asks all workers what they run. It starts these calls in
+// batches, since a thousand calls and their connections at once would delay its
+// heartbeats beyond the election timeout of its followers.
 constexpr std::size_t kRenewalsOfSlice = 50;
 constexpr Milliseconds kSlicePause{10};
 
-// Where a job is, in a request's path: its queue and its id.
+// The queue and the id of a job, as given by the path of a request. The id is
+// empty if the path names only a queue.
 struct JobAddress {
   const jobs::QueueDeclaration* queue = nullptr;
   JobId job;
@@ -314,8 +317,8 @@
   return answer;
 }
 
-// A scheduler takes in all workers when it begins, and from then on those that
-// change.
+// Remembers the workers that a command affects for the next planning pass. A
+// new scheduler reads all workers itself.
 void JobController::NoteChangedWorker(const jobs::Command& command) {
   if (!this->scheduler) {
     return;
@@ -323,8 +326,8 @@
   this->changed_workers.merge(this->jobs_state.FindAffectedWorkers(command));
 }
 
-// The active jobs that a command may finish; while another controller leads,
-// none: it writes the lines about them.
+// Returns the active jobs that a command may finish; none while another
+// controller leads, since only the leader logs finished jobs.
 std::vector<JobId> JobController::ActiveJobsOf(
     const jobs::Command& command) const {
   std::vector<JobId> jobs;
@@ -418,7 +421,8 @@
                     request);
 }
 
-// The refusal of one more job of the queue, or nothing if it is taken.
+// Returns the refusal of a new job of the queue, or nothing if the job is
+// admitted.
 std::optional<fleet::Answer> JobController::RefuseIfOverloaded(
     const jobs::QueueDeclaration& queue,
     const JobId& job,
@@ -476,12 +480,13 @@
                          .message = "the path holds no job id"};
   }
   if (this->jobs_state.FindJob(address->job) != nullptr) {
-    // A resend. The job is on record, so its answer needs no further commit; in
-    // a rush on a slow leader resends would double the work.
+    // The request was sent again. The job is committed, so no further commit is
+    // needed; under peak load on a slow leader, committing repeated requests
+    // would double the work.
     return fleet::Answer::Success("accepted before");
   }
-  // NOTE: A refusal promises that the job never runs, so it may not be given to
-  // one that is on its way.
+  // NOTE: A refusal promises that the job never runs, so a job whose submission
+  // is being committed must not be refused.
   if (!this->open_submissions.contains(address->job)) {
     if (auto refusal = this->RefuseIfOverloaded(*address->queue, address->job,
                                                 request.spec)) {
@@ -541,7 +546,7 @@
     return UnknownJob();
   }
   if (!job->is_active()) {
-    // Nothing of it will run any more, and that is on record.
+    // It is committed that none of the job's tasks will run any more.
     return fleet::Answer::Success("it has finished");
   }
   return this->Propose(jobs::CancelJob{address->job});
@@ -554,16 +559,17 @@
       std::holds_alternative<jobs::Declare>(request.command) &&
       this->jobs_state.declaration().version() == 0;
   if (is_group_small && is_first_declaration) {
-    // NOTE: Until the group has grown to its full size, it could not bear the
-    // losses that it is declared to bear. Nothing else is accepted before the
-    // first declaration.
+    // NOTE: Until the group has grown to its full size, it can't tolerate as
+    // many failures as declared. Nothing else is accepted before the first
+    // declaration.
     return fleet::Answer{.code = ResultCode::kNothingDeclared,
                          .message = "the group of controllers still grows"};
   }
   if (const auto* declare = std::get_if<jobs::Declare>(&request.command)) {
-    // Reading a document takes every controller some 3 ms, and operators send
-    // each again until they have its answer: 14 in two seconds took a tenth of
-    // a busy leader's loop. The door has checked that it is valid.
+    // Parsing a document takes every controller some 3 ms, and operators resend
+    // each document until they get its answer: 14 in two seconds took a tenth
+    // of the loop time of a busy leader. The operators' listener has already
+    // validated the document.
     if (auto answer = this->jobs_state.AnswerIfNotNewer(*declare)) {
       return *std::move(answer);
     }
@@ -597,8 +603,8 @@
       request.kind, request.name, this->clock.SteadyNow());
 }
 
-// Takes in the workers that changed since the last pass: renews those that are
-// new and stops it for those that are gone.
+// Updates the scheduler with the workers that changed since the last planning
+// pass. Starts renewals for new workers and stops them for removed ones.
 void JobController::SyncWorkers() {
   const std::set<WorkerId> changed = std::exchange(this->changed_workers, {});
   if (changed.empty()) {
@@ -638,8 +644,8 @@
   if (!this->relayed || !this->settings.policy.relays) {
     return;
   }
-  // Half as many end it, so that workers that come and go do not open and close
-  // relays.
+  // Relays are given up only below half of the threshold, so that workers that
+  // come and go don't open and close relays repeatedly.
   const std::size_t workers = this->jobs_state.workers().size();
   const std::size_t wanted = this->settings.policy.relays_from_workers;
   this->uses_relays = workers >= (this->uses_relays ? wanted / 2 : wanted);
@@ -738,8 +744,8 @@
   return this->scheduler->HandleReport(worker, report, now);
 }
 
-// The worker is told that its ends are known only with the next renewal, after
-// they are committed.
+// Commits the ends that a worker reported. Only a renewal after the commit
+// acknowledges them to the worker.
 kj::Promise<void> JobController::RecordEnds(const WorkerId& worker,
                                             scheduler::EndsToRecord ends) {
   if (ends.ends.empty()) {
@@ -765,7 +771,7 @@
   }));
 }
 
-// All ends that came while the last commit was under way share the next one.
+// Commits all ends that were reported during the last commit with one command.
 void JobController::CommitEnds() {
   if (!this->scheduler || this->waiting_ends.empty()) {
     return;
@@ -787,8 +793,8 @@
             }
             this->is_ends_commit_open = false;
             if (!answer.is_ok()) {
-              // Leadership is in doubt; the same ends are tried again, and
-              // counted once.
+              // Leadership is unconfirmed. The same ends are proposed again; if
+              // they are committed twice, they are counted once.
               LogEvent(LogLevel::kWarning, "ends-not-recorded",
                        {{"code", static_cast<int>(answer.code)}});
               std::move(batch.begin(), batch.end(),
@@ -870,7 +876,8 @@
       std::chrono::duration_cast<std::chrono::microseconds>(took));
 }
 
-// A report beside the renewals; what it tells is taken in like theirs.
+// Requests a report outside of the renewals and handles it like the report of a
+// renewal.
 void JobController::RequestReport(const scheduler::RenewOrder& order) {
   const Term term = this->term_watch.term();
   this->tasks.add(this->relayed->RequestReport(order).then(
@@ -878,7 +885,7 @@
           const scheduler::RenewAnswer& answer) -> kj::Promise<void> {
         const bool is_ours = this->scheduler && this->term_watch.term() == term;
         if (!is_ours || answer.result != scheduler::OrderResult::kDone) {
-          // The next renewal tells the same.
+          // The next renewal reports the same.
           return kj::READY_NOW;
         }
         scheduler::EndsToRecord ends =
@@ -912,8 +919,8 @@
 }
 
 void JobController::SendOrder(const scheduler::Order& order) {
-  // NOTE: The lease is checked for each order, right before it leaves: a
-  // process that was frozen must send nothing when it goes on.
+  // NOTE: The lease is checked right before each order is sent, since a process
+  // that was suspended must send nothing when it resumes.
   if (!this->host->MayAct()) {
     this->scheduler->HandleOrderAnswer(
         order, {.result = scheduler::OrderResult::kNotSent},
--- a/services/sumacd/job_controller.h
+++ b/services/sumacd/job_controller.h
@@ -41,12 +41,12 @@
 
 namespace sumac::daemon {
 
-// A controller of jobs: a replica of the jobs state and, while it leads, the
-// scheduler above it with its calls to the workers. Belongs to the core's event
+// A controller of jobs. It holds a replica of the jobs state and, while it
+// leads, schedules the jobs and calls the workers. Runs on the core's event
 // loop.
 class JobController : private kj::TaskSet::ErrorHandler {
  public:
-  // Makes the connections to workers of one relay.
+  // Creates the connections to workers that one relay uses.
   using RelayWorkers = std::function<relay::OwnedWorkerCalls()>;
 
   // Opens the data folder and starts the replica.
@@ -63,10 +63,10 @@
   // Runs until the process ends.
   kj::Promise<void> Run();
 
-  // Answers a request if this controller leads, else kNotLeader.
+  // Answers a request if this controller leads; answers kNotLeader otherwise.
   kj::Promise<fleet::Answer> Ask(const jobs::Request& request);
 
-  // Takes in a message of another replica; see ReplicaHost.
+  // Handles a message of another replica; see ReplicaHost.
   kj::Promise<std::vector<replication::Message>> Receive(
       replication::Message message) {
     const auto measured = this->load.work_times.Measure(Work::kReplicate);
@@ -77,8 +77,8 @@
   }
   absl::Status HandOver() { return this->host->HandOver(); }
 
-  // Makes calls to workers for the leader of `epoch` from now on. kWrongState
-  // while this controller leads or knows a later leadership.
+  // Opens a relay that makes calls to workers for the leader of `epoch`.
+  // Returns kWrongState while this controller leads or knows a later epoch.
   absl::StatusOr<wire::Relay::Client> OpenRelay(
       LeaderEpoch epoch,
       wire::RelayAnswers::Client answers);
@@ -89,7 +89,8 @@
   const ReplicaHost& replica_host() const { return *this->host; }
 
  private:
-  // Ends that wait to be committed together.
+  // Ends of runs that a worker reported and that wait to be committed together
+  // with those of other workers.
   struct WaitingEnds {
     WorkerId worker;
     scheduler::EndsToRecord ends;
@@ -169,15 +170,18 @@
   std::unique_ptr<SnapshotWriter> snapshot_writer;
 
   TermWatch term_watch;
-  // Present once the epoch of this leadership is committed.
+  // The scheduler, from the commit of this leadership's epoch until the
+  // leadership ends.
   std::optional<scheduler::Scheduler> scheduler;
   std::unique_ptr<InstanceKeeper> keeper;
-  // Present as long as the scheduler.
+  // The calls to workers, directly or through relays; present as long as the
+  // scheduler is.
   std::optional<relay::RelayedCalls> relayed;
-  // It has enough workers for relays.
+  // True if there are enough workers to use relays.
   bool uses_relays = false;
   std::optional<WorkerRenewals> renewals;
-  // Jobs whose acceptance was proposed and is not decided; resends stand twice.
+  // Jobs whose submission was proposed and has no outcome yet. A job that was
+  // sent again meanwhile is contained once for each request.
   std::multiset<JobId> open_submissions;
   SteadyTime last_maintenance{};
   SteadyTime last_plan{};
@@ -185,7 +189,8 @@
   CommitRounds commit_rounds;
   scheduler::Backlog backlog;
   scheduler::RefusedCallers refused_callers;
-  // Workers of which something was committed since the last pass.
+  // Workers that were affected by commands committed since the last planning
+  // pass.
   std::set<WorkerId> changed_workers;
   bool has_applied = false;
   bool is_plan_scheduled = false;
