--- a/services/sumacd/leader_link.h
+++ b/services/sumacd/leader_link.h
@@ -21,36 +21,36 @@
 
 namespace sumac::daemon {
 
-// Brings commands and questions from any process to whichever controller leads.
-// It follows hints and tries the controllers in turn until the limit is over.
-// All commands may be sent again after a lost answer: operators' carry a
-// request id, claims the number of their try, and the rest change nothing the
-// second time. Belongs to the core's event loop.
+// Sends commands and queries from any process to the controller that leads.
+// Follows hints to the leader and tries the controllers in turn until the time
+// limit is over. All commands may be sent again after a lost answer: commands
+// of operators carry a request id, claims carry their attempt number, and all
+// others are idempotent. Runs on the core's event loop.
 class LeaderLink {
  public:
-  // `local` is this process's controller, or nothing.
+  // `local` is this process's controller, or null if it has none.
   LeaderLink(const Settings& settings,
              Peers& peers,
              kj::Timer& timer,
              Controller* local);
 
-  // Commits a command. When the limit is over, kNoLeader if it was certainly
-  // not committed, else kTimeout.
+  // Commits a command. After the time limit the answer is kNoLeader if the
+  // command was certainly not committed, kTimeout otherwise.
   kj::Promise<fleet::Answer> Propose(fleet::Command command,
                                      Milliseconds limit);
 
-  // Asks the leader one of the questions of Queries.
+  // Sends the leader one of the queries of queries.h.
   kj::Promise<fleet::Answer> Read(std::string kind,
                                   std::string name,
                                   Milliseconds limit);
 
-  // Passes renewals on; orders that are not confirmed when no leader was
-  // reached.
+  // Forwards announcements of targets to the leader and returns its orders;
+  // unconfirmed orders if no leader was reached.
   kj::Promise<std::vector<fleet::TargetOrders>> Announce(
       std::vector<fleet::Announcement> announcements,
       Milliseconds limit);
 
-  // The leader as last heard; empty if unknown.
+  // Returns the last known leader, or an empty name if it is unknown.
   const ProcessName& leader() const { return this->search.leader(); }
 
  private:
--- a/services/sumacd/leader_load.cc
+++ b/services/sumacd/leader_load.cc
@@ -13,7 +13,8 @@
 namespace sumac::daemon {
 namespace {
 
-// A leader says this often how busy it is: some ten lines of a rush.
+// The interval of the log lines about the load; a load peak has some ten of
+// them.
 constexpr Milliseconds kLineInterval{2'000};
 
 double InSeconds(Milliseconds time) {
@@ -89,8 +90,8 @@
   this->logged_process_time = ProcessProcessorTime();
 }
 
-// The parts of the loop's work, and what of its processor time none of them
-// names.
+// Returns the time spent on each part of the loop's work since the last log
+// line, and the loop's processor time that belongs to none of the parts.
 nlohmann::json LeaderLoad::DescribeWork() const {
   nlohmann::json busy = nlohmann::json::object();
   std::chrono::duration<double> named{0};
--- a/services/sumacd/leader_load.h
+++ b/services/sumacd/leader_load.h
@@ -24,49 +24,50 @@
 
 namespace sumac::daemon {
 
-// What a leader's line about its load tells beside what LeaderLoad knows.
+// The values of a leader's log line about its load that LeaderLoad does not
+// measure itself.
 struct LeaderQueues {
-  // Ends of runs that wait for their commit.
+  // The number of ends of runs that wait to be committed.
   std::size_t waiting_ends = 0;
   std::size_t active_jobs = 0;
   std::size_t waiting_jobs = 0;
-  // Of these, by whether they can still be in time.
+  // The waiting jobs by whether they can still finish in time.
   scheduler::LatenessCounts waiting;
-  // Ordered since the leadership began.
+  // The starts ordered since the leadership began.
   scheduler::LatenessCounts starts;
-  // Between two turns of the scheduler.
+  // The pause between two planning passes.
   Milliseconds pass_pause{0};
-  // Controllers that make calls to workers for this one, and what they did
-  // since the leadership began.
+  // The number of controllers that make calls to workers for this one, and the
+  // calls that they made since the leadership began.
   std::size_t relays = 0;
   relay::RelayCounts relayed;
 };
 
-// Work that is counted by its pieces, since each piece has its price.
+// Kinds of work that are counted one by one, since each costs processor time.
 enum class Piece { kRenewal, kReport, kStart, kStop, kMove, kWorkerEnd };
 inline constexpr std::array<std::string_view, 6> kPieceNames = {
     "renewals", "reports", "starts", "stops", "moves", "workers_ended"};
 
-// How busy a controller's event loop is, and how much new work it may take for
-// that. Says so in its metrics and, while it leads, in a line now and then.
-// Belongs to the core's event loop.
+// Measures how busy a controller's event loop is and limits the new work
+// accordingly. Exports metrics and, while the controller leads, logs the load
+// at an interval. Runs on the core's event loop.
 class LeaderLoad {
  public:
   LeaderLoad(kj::AsyncIoProvider& provider, http::Metrics& metrics);
 
-  // Measures how late the loop reads; called at each tick.
+  // Measures how late the loop reads its sockets; to be called at each tick.
   void Measure();
 
-  // Begins the span of the first line, with a new leadership.
+  // Begins the interval of the first log line of a new leadership.
   void BeginLeadership(SteadyTime now);
-  // Writes the line if it is due.
+  // Logs the load if the interval since the last log line is over.
   void LogIfDue(const LeaderQueues& queues, SteadyTime now);
 
-  // Decides about one new job; see Admission.
+  // Decides whether one new job is admitted; see Admission.
   bool TakesJob() { return this->admission.AdmitJob(); }
   void CountTakenJob() { ++this->taken_jobs; }
   void CountRefusal(scheduler::RefusalReason reason);
-  // Counts a turn of the scheduler.
+  // Counts a planning pass.
   void CountTurn() { ++this->turns; }
   void CountPiece(Piece piece) {
     ++this->pieces[static_cast<std::size_t>(piece)];
@@ -74,17 +75,17 @@
   Milliseconds RetryAfter() const { return this->admission.RetryAfter(); }
   Milliseconds lateness() const { return this->admission.lateness(); }
 
-  // How many starts the next pass of the scheduler may order.
+  // Returns how many starts the next planning pass may order.
   scheduler::StartAllowance AllowStarts() const {
     return this->admission.AllowStarts(this->open_starts);
   }
-  // Counts a start as unanswered until the result goes.
+  // Counts a start as unanswered until the returned guard is destroyed.
   auto CountStart() {
     ++this->open_starts;
     return kj::defer([this] { --this->open_starts; });
   }
 
-  // The parts of the loop's work.
+  // The time that the loop spends on each part of its work.
   WorkTimes work_times;
 
  private:
@@ -95,16 +96,16 @@
   http::Metrics& metrics;
   LoopProbe probe;
   scheduler::Admission admission;
-  // Starts that were sent and are not answered.
+  // The number of starts that were sent and are not answered yet.
   std::size_t open_starts = 0;
-  // Since the last line.
+  // Values since the last log line.
   SteadyTime span_began{};
   Milliseconds most_late{0};
   std::uint64_t turns = 0;
   std::uint64_t taken_jobs = 0;
   std::map<scheduler::RefusalReason, std::uint64_t> refused_jobs;
   std::array<std::uint64_t, kPieceNames.size()> pieces{};
-  // As they were then.
+  // Running totals at the time of the last log line.
   WorkTimes logged_work;
   scheduler::LatenessCounts logged_starts;
   relay::RelayCounts logged_relayed;
--- a/services/sumacd/leader_search.cc
+++ b/services/sumacd/leader_search.cc
@@ -11,12 +11,12 @@
 namespace sumac::daemon {
 namespace {
 
-// One try at one controller takes at most this, so that a silent one does not
-// use up the limit.
+// The maximum time of one attempt, so that a controller that doesn't answer
+// does not use up the whole time limit.
 constexpr Milliseconds kLongestAttempt{700};
-// Between two rounds without a leader.
+// The pause before the next attempt while no leader is known.
 constexpr Milliseconds kPause{50};
-// Before asking a controller that another one named.
+// The pause before the controller is asked that another one named as leader.
 constexpr Milliseconds kHintPause{1};
 
 bool IsFinal(const fleet::Answer& answer) {
@@ -26,7 +26,7 @@
          answer.code != ResultCode::kNoLeader;
 }
 
-// True if the request was turned away for the moment and has not run.
+// True if the request was refused temporarily and has not run.
 bool IsRefusal(const fleet::Answer& answer) {
   constexpr int kTooMany = 429;
   constexpr int kUnavailable = 503;
@@ -35,9 +35,10 @@
          (info.http_status == kTooMany || info.http_status == kUnavailable);
 }
 
-// NOTE: A controller speaks for itself when it refuses. One that was asked
-// before and lost its place may have the request in its log, and the next
-// leader, which does not know it yet, may still come to carry it out.
+// NOTE: A refusal holds only for the controller that gives it. A controller
+// that was asked before and lost its leadership may have the request in its
+// log, and the next leader, which refuses because it has not applied the
+// request yet, may still carry it out.
 fleet::Answer OutcomeOpen(const std::string& refusal) {
   return {.code = ResultCode::kTimeout,
           .message = StrCat("an earlier try got no answer; then: ", refusal)};
@@ -102,7 +103,7 @@
 void LeaderSearch::NoteAnswer(const ProcessName& process,
                               const fleet::Answer& answer) {
   if (answer.code == ResultCode::kNotLeader) {
-    // The message names the leader; a controller that names itself has no lease
+    // The message names the leader. A controller that names itself has no lease
     // yet.
     const bool is_hint = answer.message != process.value();
     this->known_leader = ProcessName(is_hint ? answer.message : "");
--- a/services/sumacd/leader_search.h
+++ b/services/sumacd/leader_search.h
@@ -15,32 +15,33 @@
 
 namespace sumac::daemon {
 
-// Finds the controller that leads: follows the hints of others and tries the
-// controllers in turn until one answers for good or the limit is over. Belongs
-// to the core's event loop.
+// Finds the controller that leads. Follows the hints of other controllers and
+// tries all controllers in turn until one gives a final answer or the time
+// limit is over. Runs on the core's event loop.
 class LeaderSearch {
  public:
-  // One try at one controller, for up to the limit. The answer's code tells how
-  // to go on: kNotLeader (the message may name the leader), kNoLeader,
-  // kUnreachable and kTimeout lead to another try, all others are final.
+  // Sends the request to one controller with a time limit. Another attempt
+  // follows the codes kNotLeader (the message may name the leader), kNoLeader,
+  // kUnreachable and kTimeout; all other codes are final.
   using Attempt = std::function<kj::Promise<fleet::Answer>(const ProcessName&,
                                                            Milliseconds)>;
 
   LeaderSearch(Peers& peers, kj::Timer& timer) : peers(peers), timer(timer) {}
 
-  // The first final answer. When the limit is over the code is kNoLeader, or
-  // kTimeout if some try may have been carried out without an answer.
+  // Returns the first final answer. After the time limit the code is kNoLeader,
+  // or kTimeout if an attempt without an answer may have been carried out.
   kj::Promise<fleet::Answer> Run(Attempt attempt, Milliseconds limit);
 
-  // The leader as last heard; empty if unknown.
+  // Returns the last known leader, or an empty name if it is unknown.
   const ProcessName& leader() const { return this->known_leader; }
 
  private:
-  // What the tries so far have shown.
+  // The results of the attempts so far.
   struct Progress {
     SteadyTime deadline{};
     std::string last_error;
-    // Some try got no answer, so it may have been carried out.
+    // True if an attempt got no answer, so that the request may have been
+    // carried out.
     bool is_open = false;
   };
 
