--- a/services/sumacd/instance_facts.cc
+++ b/services/sumacd/instance_facts.cc
@@ -16,7 +16,8 @@
   for (const auto& [id, session] : scheduler.sessions()) {
     const jobs::Worker& worker = session.worker();
     maintenance::InstanceFacts& instance = facts[worker.instance];
-    // Of two lives on one instance only one that answers is the present one.
+    // Of two incarnations on one instance, the one that answers is the current
+    // one.
     const bool is_present =
         instance.worker.value().empty() ||
         (instance.is_only_announced && session.is_adopted());
@@ -32,7 +33,7 @@
       ++(run.is_budgeted ? instance.budgeted_runs : instance.other_runs);
     }
     if (!session.is_answering()) {
-      // Something may run there unseen.
+      // A worker that doesn't answer may have runs that are not known here.
       ++instance.other_runs;
     }
     const std::int64_t all = worker.capacity.millicores;
--- a/services/sumacd/instance_facts.h
+++ b/services/sumacd/instance_facts.h
@@ -11,7 +11,8 @@
 
 namespace sumac::daemon {
 
-// What the scheduler's workers tell the planners of instances, by instance.
+// Collects the facts about instances that the planners need from the
+// scheduler's sessions with workers, by instance.
 std::map<InstanceName, maintenance::InstanceFacts> GatherInstanceFacts(
     const scheduler::Scheduler& scheduler);
 
--- a/services/sumacd/instance_keeper.cc
+++ b/services/sumacd/instance_keeper.cc
@@ -13,24 +13,30 @@
 namespace sumac::daemon {
 namespace {
 
+// The minimum interval of planning passes.
 constexpr Milliseconds kPlanInterval{50};
-// While commands of its own are being committed, which is nearly always in a
-// rush: a look costs the loop more than a millisecond then, and what it wants
-// hardly changes before they are on record.
+// The minimum interval while commands of the planners are being committed,
+// which under peak load is nearly always. A pass then costs the loop more than
+// a millisecond, and its decisions hardly change before these commands are
+// committed.
 constexpr Milliseconds kBusyPlanInterval{200};
-// The list is fetched this often while a wave is under way. Each fetch has a
-// price, and what changes fast is seen from the workers.
+// The interval at which the list is fetched while a wave is running. Each fetch
+// costs processor time, and fast changes are noticed through the workers.
 constexpr Milliseconds kListInterval{2'000};
-// Without a wave it only shows instances that others added or took away.
+// The interval without a wave, when the list only shows instances that were
+// added or removed by others.
 constexpr Milliseconds kQuietListInterval{15'000};
-// For as many instances; with more the planners look the more seldom, so that
-// they take the same part of the loop, some 3 % at 350 instances. Moves and
-// maintenance take seconds.
+// The number of instances up to which kPlanInterval and kLifeCheckInterval
+// apply. With more instances they grow in proportion, so that planning takes a
+// constant share of the loop, some 3 % at 350 instances. Moves and maintenance
+// take seconds, so longer intervals do no harm.
 constexpr std::int64_t kInstancesOfInterval = 400;
-// While a worker fails to answer, the list tells whether its instance is up.
+// The interval at which the list is fetched while a worker does not answer, to
+// find out whether its instance is up.
 constexpr Milliseconds kLifeCheckInterval{250};
-// A longer list is fetched the more seldom, but often enough that what ran on
-// an instance that is down starts elsewhere long before its lease is over.
+// The maximum of that interval for long lists; short enough that the tasks of
+// an instance that is down start elsewhere long before the worker's lease
+// expires.
 constexpr Milliseconds kLongestLifeCheckInterval{1'000};
 
 std::string_view NameOfResult(maintenance::InstanceResult result) {
@@ -60,7 +66,7 @@
                     kLifeCheckInterval, kLongestLifeCheckInterval);
 }
 
-// What the list says of these instances.
+// Returns the status of these instances according to the list.
 std::map<InstanceName, scheduler::InstanceStatus> LivesOf(
     const maintenance::InstanceListing& listing,
     const std::set<InstanceName>& instances) {
@@ -68,8 +74,8 @@
   for (const InstanceName& name : instances) {
     scheduler::InstanceStatus& life = lives[name];
     const maintenance::ListedInstance* row = listing.Find(name);
-    // One that only the last list lacks, or whose row tells nothing, may be up
-    // as before.
+    // An instance that only the last list lacks, or whose row has no known
+    // state, may still be up.
     const bool is_unclear =
         row == nullptr ? listing.rows().contains(name)
                        : row->state == maintenance::InstanceState::kUnknown;
@@ -114,8 +120,8 @@
   }
   this->last_plan = now;
   if (!this->calls.list) {
-    // The platform has no door for instances; a look-up of no address would
-    // also run on a thread that outlives a planned stop.
+    // The platform has no interface for instances. Resolving an empty address
+    // would also run on a thread that outlives a planned stop.
     return;
   }
   this->RefreshList(now);
@@ -140,12 +146,13 @@
   }
 }
 
-// Adds what the capacity planner decides to what the wave planner did.
+// Adds the decisions of the capacity planner to those of the maintenance
+// planner.
 void InstanceKeeper::PlanCapacity(
     std::map<InstanceName, maintenance::InstanceFacts>& facts,
     maintenance::MaintenanceOutput& wave_output,
     SteadyTime now) {
-  // An instance that is moving without a worker is nobody's to count.
+  // An instance that is moving and has no worker counts for no pool.
   std::erase_if(facts, [](const auto& instance) {
     return instance.second.is_moving && instance.second.worker.value().empty();
   });
@@ -178,9 +185,10 @@
              : this->waves.HandleOrderResult(this->state, order, result, now);
 }
 
-// NOTE: The planners look on while their commands are being committed, and want
-// the same until it is on record: in a rush commits take so long that waiting
-// for them would put the moves off that the rush needs.
+// Commits commands, except those that are being committed already. NOTE: The
+// planners run on while their commands are being committed, and give the same
+// commands again until then. Under peak load commits take so long that waiting
+// for them would delay the moves that the load requires.
 void InstanceKeeper::Commit(std::vector<jobs::Command> commands) {
   for (jobs::Command& command : commands) {
     const std::string key = ToCbor(jobs::StampedCommand{{}, command});
@@ -258,8 +266,9 @@
 }
 
 void InstanceKeeper::CheckLives() {
-  // A row that can't be read may be that of any worker, and a platform without
-  // any instance has lost its list, not its instances.
+  // A row that doesn't name its instance may belong to any worker, and a
+  // platform that lists no instance at all has lost its list, not its
+  // instances.
   if (this->listing.has_nameless_rows() || this->listing.rows().empty()) {
     return;
   }
@@ -269,7 +278,7 @@
                                        this->last_list);
 }
 
-// One line a list: how many instances of each pool are in which state.
+// Logs one line for each list: the number of instances by pool and state.
 void InstanceKeeper::LogList() const {
   std::map<std::pair<std::string_view, maintenance::InstanceState>, std::size_t>
       instances;
--- a/services/sumacd/instance_keeper.h
+++ b/services/sumacd/instance_keeper.h
@@ -22,18 +22,19 @@
 
 namespace sumac::daemon {
 
-// What a leader does about instances: it keeps the platform's list fresh while
-// that is of use, and carries out what the maintenance planner decides. Lives
-// as long as one leadership and belongs to the core's event loop.
+// Manages instances for a leader: fetches the platform's list of instances at
+// an interval that depends on the need for it, and carries out the decisions of
+// the maintenance and capacity planners. Exists for one leadership and runs on
+// the core's event loop.
 class InstanceKeeper : private kj::TaskSet::ErrorHandler {
  public:
-  // What the keeper needs of its controller.
+  // The functions of the controller that the keeper uses.
   struct Host {
     // Commits a command.
     std::function<kj::Promise<fleet::Answer>(jobs::Command)> propose;
     // True while this leader's lease holds.
     std::function<bool()> may_act;
-    // Counts an order about an instance that leaves.
+    // Counts an order about an instance that is sent to the platform.
     std::function<void()> count_order = [] {};
   };
 
@@ -46,7 +47,8 @@
                  ProcessName holder,
                  SteadyTime now);
 
-  // Looks at waves and instances; called often.
+  // Runs the planners of waves and instances and refreshes the list if they are
+  // due; to be called often.
   void Plan(WallTime wall_now, SteadyTime now);
 
  private:
@@ -75,10 +77,11 @@
   SteadyTime last_list{};
   bool is_listing = false;
   std::vector<maintenance::ListedInstance> pages;
-  // Rows of these pages that don't tell which instance they are about.
+  // The number of rows of these pages that don't name their instance.
   std::size_t nameless_rows = 0;
   maintenance::InstanceListing listing;
-  // Commands that are being committed, as their bytes; none is proposed twice.
+  // The encoded commands that are being committed, so that none of them is
+  // proposed twice.
   std::set<std::string> open_commands;
   kj::TaskSet tasks;
 };
