--- a/services/sumacd/term_watch.cc
+++ b/services/sumacd/term_watch.cc
@@ -12,8 +12,8 @@
     return false;
   }
   if (!is_committed) {
-    // The lease may come back in the same term, and without an epoch nothing
-    // would decide in it.
+    // The lease may be regained in the same term, and without an epoch nothing
+    // would be scheduled in it.
     this->End();
   }
   return is_committed;
--- a/services/sumacd/term_watch.h
+++ b/services/sumacd/term_watch.h
@@ -6,25 +6,28 @@
 
 namespace sumac::daemon {
 
-// Follows in which term a controller decides. Pure.
+// Tracks the term in which a controller acts as leader. Its epoch must be
+// committed before it does so. Pure.
 class TermWatch {
  public:
-  // The term in which it decides, or began to; 0 while it does neither.
+  // Returns the term in which the controller acts or has proposed its epoch; 0
+  // if there is none.
   Term term() const { return this->current; }
-  // True if it neither decides nor began to.
+  // True if the controller neither acts nor has proposed its epoch.
   bool is_idle() const { return this->current == Term(0); }
 
-  // True if what it began is over, now that its replica leads `term` or does
-  // not lead.
+  // True if the tracked leadership is over, given whether the replica leads and
+  // its current term.
   bool IsOver(bool is_leader, Term term) const;
 
-  // Takes in that the epoch of a term was asked for.
+  // Records that the epoch of a term was proposed.
   void Begin(Term term) { this->current = term; }
-  // Takes in that it decides no more.
+  // Records that the leadership ended.
   void End() { this->current = Term(0); }
 
-  // Takes in how asking for the epoch of `term` ended; true if it decides from
-  // now on. After a refusal it is idle again and may ask anew.
+  // Handles the result of proposing the epoch of `term`. Returns true if the
+  // controller acts as leader from now on. After a refusal it is idle and may
+  // propose the epoch again.
   bool TakeEpoch(Term term, bool is_committed);
 
  private:
--- a/services/sumacd/worker_renewals.cc
+++ b/services/sumacd/worker_renewals.cc
@@ -10,12 +10,12 @@
 namespace sumac::daemon {
 namespace {
 
-// Without a lease of its own a leader sends nothing; it may come back in a
-// moment.
+// The pause before the next attempt while the leader's own lease doesn't hold.
+// The leader sends nothing then, but may regain the lease shortly.
 constexpr Milliseconds kNoLeasePause{150};
-// A renewal waits this long at most for ends to be on record: a commit that
-// takes longer than a lease must not end the lease of a worker that is sound.
-// Leases of 6 s outlast ten such waits.
+// The maximum time that a renewal waits until ends are committed. A commit that
+// takes longer than a lease must not end the lease of a healthy worker. Leases
+// of 6 s outlast ten such waits.
 constexpr Milliseconds kLongestRecordWait{500};
 
 }  // namespace
@@ -94,7 +94,7 @@
   }));
 }
 
-// Until all ends are on record, or long enough.
+// Waits until all ends are committed, or for the maximum time.
 kj::Promise<void> WorkerRenewals::AwaitSettled(OpenRecords& open) {
   if (open.count == 0) {
     return kj::READY_NOW;
--- a/services/sumacd/worker_renewals.h
+++ b/services/sumacd/worker_renewals.h
@@ -19,35 +19,35 @@
 
 namespace sumac::daemon {
 
-// What one answer to a renewal leads to.
+// What follows from one answer to a renewal.
 struct RenewalOutcome {
-  // Fulfilled once the ends that the answer listed are on record; nothing if it
-  // listed none.
+  // Fulfilled once the ends in the answer are committed; nothing if the answer
+  // has none.
   kj::Maybe<kj::Promise<void>> recorded;
-  // Before the next renewal.
+  // The pause before the next renewal.
   Milliseconds pause{0};
 };
 
-// Renews the leases of workers one after the other, each worker in a loop of
-// its own. Lives as long as one leadership and belongs to the core's event
-// loop.
+// Renews the leases of workers again and again, each in a loop of its own.
+// Exists for one leadership and runs on the core's event loop.
 class WorkerRenewals : private kj::TaskSet::ErrorHandler {
  public:
-  // What the loops need of their controller.
+  // The functions of the controller that the loops use.
   struct Host {
     // True while this leader's lease holds.
     std::function<bool()> may_act;
-    // The next renewal for a worker, or nothing if it is not known any more.
+    // Returns the next renewal for a worker, or nothing if the worker is not
+    // known any more.
     std::function<std::optional<scheduler::RenewOrder>(const WorkerId&)> next;
     // Sends a renewal.
     std::function<kj::Promise<scheduler::RenewAnswer>(
         const scheduler::RenewOrder&)>
         renew;
-    // Takes in the answer to a renewal.
+    // Handles the answer to a renewal.
     std::function<RenewalOutcome(const WorkerId&,
                                  const scheduler::RenewAnswer&)>
         take;
-    // The worker is not renewed any more.
+    // Called when the renewals of a worker end.
     std::function<void(const WorkerId&)> forget;
   };
 
@@ -57,16 +57,16 @@
   WorkerRenewals(const WorkerRenewals&) = delete;
   WorkerRenewals& operator=(const WorkerRenewals&) = delete;
 
-  // Begins to renew a worker after a pause, unless it is renewed already.
+  // Starts the renewals of a worker after a pause, unless they are running.
   void Begin(const WorkerId& worker, Milliseconds pause = Milliseconds(0));
-  // Ends the loops of the workers for which `is_known` is false.
+  // Ends the renewals of the workers for which `is_known` is false.
   void DropUnknown(const std::function<bool(const WorkerId&)>& is_known);
 
  private:
-  // Ends of one worker that are not on record yet.
+  // The reports of one worker whose ends are not committed yet.
   struct OpenRecords {
     std::size_t count = 0;
-    // Fulfilled once there are none.
+    // Fulfilled once the count is 0.
     kj::Own<kj::PromiseFulfiller<void>> settled;
   };
   struct Renewal {
