--- a/services/sumacd/job_queries.cc
+++ b/services/sumacd/job_queries.cc
@@ -12,7 +12,7 @@
 namespace sumac::daemon {
 namespace {
 
-// Jobs in one answer; an answer must stay within one message.
+// The maximum number of jobs in one answer, which must fit into one message.
 constexpr std::size_t kMostJobsShown = 500;
 
 using Rows = nlohmann::json;
@@ -39,7 +39,7 @@
           {"accepted_at_ms", job.accepted_at.time_since_epoch().count()}};
 }
 
-// Every run of the job that the leader knows of.
+// Describes every run of the job that the leader knows.
 Rows DescribeRuns(const JobSources& sources, const JobId& job) {
   Rows rows = Rows::array();
   for (const auto& [worker, session] : sources.scheduler.sessions()) {
@@ -55,7 +55,8 @@
   return rows;
 }
 
-// The crashes under the job's tasks, as decisions about it.
+// Describes the worker crashes while the job's tasks were running, as decisions
+// about the job.
 Rows DescribeCrashes(const jobs::Job& job) {
   Rows rows = Rows::array();
   for (const jobs::TaskCrashes& task : job.crashes) {
@@ -86,7 +87,7 @@
   return rows;
 }
 
-// What was decided about a job: the crashes that were counted, and its end.
+// Lists the decisions about a job: the crashes that were counted, and its end.
 fleet::Answer ShowWhyJob(const JobSources& sources, const std::string& name) {
   const jobs::Job* job = sources.state.FindJob(JobId(name));
   if (job == nullptr) {
@@ -106,7 +107,8 @@
   return {.document = std::move(rows)};
 }
 
-// The workers that crashed under a step's tasks, for people.
+// Returns a readable text about the worker crashes while a step's tasks were
+// running.
 std::string CrashesOf(const JobSources& sources, const jobs::StepId& step) {
   const jobs::Job* job = sources.state.FindJob(step.job);
   std::string text;
@@ -214,7 +216,8 @@
   return {.document = std::move(rows)};
 }
 
-// The steps that have no place, of one job or of all, as of the last review.
+// Lists the waiting steps of one job or of all jobs, with the causes found by
+// the last review.
 fleet::Answer ShowWaiting(const JobSources& sources,
                           const std::string& name,
                           SteadyTime now) {
--- a/services/sumacd/job_queries.h
+++ b/services/sumacd/job_queries.h
@@ -11,16 +11,16 @@
 
 namespace sumac::daemon {
 
-// What a leader's answers are read from.
+// The state of a leader that queries read.
 struct JobSources {
   const jobs::JobsState& state;
   const scheduler::Scheduler& scheduler;
   const replication::Replica& replica;
 };
 
-// Answers an operator's question: kind is jobs, workers, waves, queues, pools
-// or controllers; a name picks one job or worker. kBadArgument for another
-// kind, kUnknownName for a name that is not known.
+// Answers an operator's query. The kind is jobs, why-job, workers, waiting,
+// waves, queues, pools or controllers; a name selects one job or worker.
+// Returns kBadArgument for another kind and kUnknownName for an unknown name.
 fleet::Answer AnswerQuery(const JobSources& sources,
                           const std::string& kind,
                           const std::string& name,
--- a/services/sumacd/jobs_link.cc
+++ b/services/sumacd/jobs_link.cc
@@ -22,7 +22,7 @@
   if (this->local != nullptr && this->local->is_leading()) {
     return this->local->Ask(request);
   }
-  // Encoded once, for all tries.
+  // The request is encoded once for all attempts.
   auto bytes = std::make_shared<std::string>(ToCbor(request));
   auto kept = std::make_shared<jobs::Request>(std::move(request));
   return this->search
--- a/services/sumacd/jobs_link.h
+++ b/services/sumacd/jobs_link.h
@@ -17,21 +17,22 @@
 
 namespace sumac::daemon {
 
-// Brings requests about jobs from any process to whichever controller leads.
-// Belongs to the core's event loop.
+// Sends requests about jobs from any process to the controller that leads. Runs
+// on the core's event loop.
 class JobsLink {
  public:
-  // `local` is this process's controller, or nothing.
+  // `local` is this process's controller, or null if it has none.
   JobsLink(ProcessName self,
            Peers& peers,
            kj::Timer& timer,
            JobController* local);
 
-  // The leader's answer. When the limit is over, kNoControllerInTime if the
-  // request was certainly not taken, else kSubmissionUnknown.
+  // Returns the leader's answer. After the time limit the code is
+  // kNoControllerInTime if the request was certainly not carried out,
+  // kSubmissionUnknown otherwise.
   kj::Promise<fleet::Answer> Ask(jobs::Request request, Milliseconds limit);
 
-  // When a leader last answered; the epoch if none did.
+  // Returns when a leader last answered; the clock's epoch if none did.
   SteadyTime last_answer() const { return this->answered_at; }
 
  private:
--- a/services/sumacd/platform_teller.cc
+++ b/services/sumacd/platform_teller.cc
@@ -9,7 +9,8 @@
 namespace sumac::daemon {
 namespace {
 
-// An operation is told again after this, until the platform reports its end.
+// The interval at which an operation is sent again until the platform reports
+// its end.
 constexpr Milliseconds kTellAgainAfter{500};
 
 }  // namespace
--- a/services/sumacd/platform_teller.h
+++ b/services/sumacd/platform_teller.h
@@ -16,23 +16,24 @@
 
 namespace sumac::daemon {
 
-// Tells the platform operations from a thread of its own, so that a slow
-// platform holds up nothing, and passes on what it answers. An operation is
-// told again after a while until the controllers no longer ask for it.
+// Sends operations to the platform on a thread of its own, so that a slow
+// platform delays nothing else, and forwards the platform's reports. An
+// operation is sent again at an interval as long as the controller requests it.
 class PlatformTeller {
  public:
   using OnReport = std::function<void(const fleet::RecordPlatformReport&)>;
 
-  // `on_report` is called on the teller's thread.
+  // `on_report` is called on the thread of this object.
   PlatformTeller(http::PlatformClient client, OnReport on_report);
   ~PlatformTeller();
   PlatformTeller(const PlatformTeller&) = delete;
   PlatformTeller& operator=(const PlatformTeller&) = delete;
 
-  // Ends the thread; nothing is told afterwards.
+  // Ends the thread; nothing is sent to the platform afterwards.
   void Stop();
 
-  // Asks for these steps to be told; ones told a moment ago are passed over.
+  // Queues these steps to be sent, except those that were queued within the
+  // resend interval.
   void Tell(const std::vector<fleet::PlatformStep>& steps, SteadyTime now);
 
  private:
