--- a/services/sumacd/commit_rounds.h
+++ b/services/sumacd/commit_rounds.h
@@ -9,20 +9,21 @@
 
 namespace sumac::daemon {
 
-// Lets commands that come close to each other go to the other controllers in
-// one message each and to the disk in one write. Belongs to the core's event
-// loop.
+// Batches commands that are proposed shortly after each other, so that they
+// need one message to each other controller and one write to the disk. Runs on
+// the core's event loop.
 class CommitRounds {
  public:
   explicit CommitRounds(kj::Timer& timer) : timer(timer) {}
 
-  // Waits for the next round, which comes within `pause`; all that wait for it
-  // go on in one turn of the event loop, in the order in which they came.
+  // Waits for the next round, which begins after `pause` or earlier. All that
+  // wait for it resume in one iteration of the event loop, in the order of
+  // their calls.
   kj::Promise<void> AwaitNext(Milliseconds pause);
 
  private:
   kj::Timer& timer;
-  // The last round, and whether it has come.
+  // The last round; `is_over` is true once it has begun.
   kj::Maybe<kj::ForkedPromise<void>> round;
   bool is_over = true;
 };
--- a/services/sumacd/loop_probe.h
+++ b/services/sumacd/loop_probe.h
@@ -12,20 +12,19 @@
 
 namespace sumac::daemon {
 
-// Measures how long what has come to the process waits until its event loop
-// reads it: a byte is sent through a pipe of its own. Timers don't tell, since
-// the loop looks at them between any two sockets. Belongs to the core's event
-// loop.
+// Measures how long received data waits until the process's event loop reads
+// it, by sending a byte through a pipe. Timers don't show this, since the loop
+// checks them between any two sockets. Runs on the core's event loop.
 class LoopProbe : private kj::TaskSet::ErrorHandler {
  public:
   explicit LoopProbe(kj::AsyncIoProvider& provider);
 
-  // Sends a byte, unless the last one has not arrived yet, and tells the
-  // thread's time limits how late the loop reads (ReadLateness).
+  // Sends a byte, unless the last one has not arrived yet, and publishes the
+  // lateness to the time limits of this thread (ReadLateness).
   void Send();
 
-  // How late the last byte arrived, or how long the one that is on its way has
-  // been waiting if that is more.
+  // Returns how late the last byte arrived, or how long the byte in the pipe
+  // has been waiting if that is longer.
   Milliseconds Lateness() const;
 
  private:
--- a/services/sumacd/processor_time.h
+++ b/services/sumacd/processor_time.h
@@ -7,8 +7,8 @@
 
 namespace sumac::daemon {
 
-// The processor time that something has used, as the operating system counts
-// it; zero where it does not.
+// Returns the processor time that the given clock counts, or 0 if the operating
+// system doesn't provide it.
 inline std::chrono::nanoseconds ReadProcessorTime(clockid_t which) {
   std::timespec reading{};
   if (clock_gettime(which, &reading) != 0) {
@@ -18,12 +18,12 @@
          std::chrono::nanoseconds(reading.tv_nsec);
 }
 
-// Of the calling thread.
+// Returns the processor time of the calling thread.
 inline std::chrono::nanoseconds ThreadProcessorTime() {
   return ReadProcessorTime(CLOCK_THREAD_CPUTIME_ID);
 }
 
-// Of all threads of this process.
+// Returns the processor time of all threads of this process.
 inline std::chrono::nanoseconds ProcessProcessorTime() {
   return ReadProcessorTime(CLOCK_PROCESS_CPUTIME_ID);
 }
--- a/services/sumacd/work_times.h
+++ b/services/sumacd/work_times.h
@@ -13,39 +13,39 @@
 
 namespace sumac::daemon {
 
-// The parts of a controller's work that are measured apart.
+// The parts of a controller's work that are measured separately.
 enum class Work {
   // Answering requests of other processes.
   kAnswer,
   // Applying committed commands.
   kApply,
-  // Taking in workers' reports.
+  // Handling reports of workers.
   kReport,
-  // Deciding about waves and moves.
+  // Planning waves and moves of instances.
   kInstances,
-  // Deciding about starts and stops.
+  // Planning starts and stops of tasks.
   kSchedule,
-  // Encoding orders and handing them to their connections.
+  // Encoding orders and sending them.
   kOrder,
-  // Asking workers for renewals, without taking in what they report.
+  // Sending renewals to workers, without handling their reports.
   kRenewal,
-  // Taking in what other replicas send, and heartbeats.
+  // Handling messages of other replicas, and heartbeats.
   kReplicate,
   // Copying the state for a snapshot.
   kSnapshot,
 };
 
-// How long one event loop was busy with each part of its work. The loop has a
-// thread of its own, so the time that passes is the time it computes, unless
-// the machine takes the processor away.
+// Measures how long one event loop was busy with each part of its work. The
+// loop has a thread of its own, so the elapsed time equals its processor time
+// unless the thread is preempted.
 class WorkTimes {
  public:
   static constexpr std::array<std::string_view, 9> kNames = {
       "answer", "apply",   "report",    "instances", "schedule",
       "order",  "renewal", "replicate", "snapshot"};
 
-  // Adds the time until the scope ends to a part, without that of scopes
-  // within, and counts it.
+  // Returns a guard that adds the time until its destruction to a part, except
+  // the time of nested guards, and counts the measurement.
   [[nodiscard]] auto Measure(Work work) {
     const auto began = std::chrono::steady_clock::now();
     const auto within_outer = std::exchange(this->within, {});
@@ -57,17 +57,17 @@
     });
   }
 
-  // The time spent on the part with this place in kNames.
+  // Returns the time spent on the part with this index in kNames.
   std::chrono::duration<double> Spent(std::size_t part) const {
     return this->spent.at(part);
   }
-  // How often it was measured.
+  // Returns how often the part with this index in kNames was measured.
   std::uint64_t Count(std::size_t part) const { return this->counts.at(part); }
 
  private:
   std::array<std::chrono::steady_clock::duration, kNames.size()> spent{};
   std::array<std::uint64_t, kNames.size()> counts{};
-  // Of the scopes that ended within the innermost open one.
+  // The time of the guards that were destroyed within the innermost active one.
   std::chrono::steady_clock::duration within{};
 };
 
