--- a/tests/services/sumacd/commit_rounds_test.cc
+++ b/tests/services/sumacd/commit_rounds_test.cc
@@ -9,8 +9,8 @@
 namespace sumac::daemon {
 namespace {
 
-// Commands that come while a round is gathered go with it, in their order, and
-// one that comes after it waits for the next.
+// Commands that arrive before a round begins are part of it, in their order; a
+// later one waits for the next round.
 TEST(CommitRoundsTest, WhatComesWhileARoundIsGatheredGoesWithIt) {
   auto io = kj::setupAsyncIo();
   kj::TimerImpl timer(kj::origin<kj::TimePoint>());
--- a/tests/services/sumacd/instance_keeper_test.cc
+++ b/tests/services/sumacd/instance_keeper_test.cc
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-// Instances came to a pool five seconds after its turn had begun, while up to
-// 580 of its jobs waited. The lines about the leader's load show for these
-// seconds no time at all spent on instances: their planner didn't look while a
-// command of its own was being committed, each answer to an order was one, and
-// a busy leader gathers commits, so that one was open nearly all the time.
+// Guards against planners of instances that don't run while one of their
+// commands is being committed. Each answer to an order leads to such a command,
+// and a busy leader batches commits, so that a commit was open nearly all the
+// time. A pool got its instances five seconds late, while up to 580 of its jobs
+// waited.
 #include "services/sumacd/instance_keeper.h"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
 namespace {
 
 constexpr Milliseconds kBeforeOrders{4'000};
-// Beyond the time between two looks, also while a commit is open.
+// Longer than the interval of planning passes, also while a commit is open.
 constexpr Milliseconds kTurn{250};
 
 class InstanceKeeperTest : public testing::Test {
@@ -42,7 +42,7 @@
                   return kj::Promise<maintenance::InstanceResult>(
                       kj::NEVER_DONE);
                 }},
-        // What is proposed here is not committed for long.
+        // Commands that are proposed here are never committed.
         InstanceKeeper::Host{.propose =
                                  [this](jobs::Command command) {
                                    this->proposed.push_back(std::move(command));
@@ -68,7 +68,8 @@
     return this->fleet.scheduler->sessions().at(WorkerId(worker)).is_cordoned;
   }
 
-  // kj's destructors may throw, and those of a test must not.
+  // Kept behind a pointer, since destructors of kj may throw and those of a
+  // test must not.
   struct Loop {
     kj::EventLoop loop;
     kj::WaitScope scope{loop};
@@ -93,8 +94,8 @@
   EXPECT_TRUE(this->IsCordoned("w1"));
 }
 
-// A leader that reads lists of the instances of a fleet, one of whose workers
-// is silent.
+// A leader that fetches lists of the instances of a fleet in which the worker
+// w0 does not answer.
 class ListedFleet {
  public:
   explicit ListedFleet(std::size_t workers)
@@ -125,7 +126,8 @@
       this->scope.poll();
     }
   }
-  // Lists of late show these rows.
+  // Lets the platform list these rows, and returns whether w0 still has a
+  // session after the next lists.
   bool IsAlive(std::vector<maintenance::ListedInstance> rows) {
     this->listed = std::move(rows);
     this->PassTime(kTurn);
@@ -164,7 +166,8 @@
   return fleet.lists;
 }
 
-// One pace for all sizes let the lists of a large fleet crowd out other work.
+// With the same interval for all sizes, the lists of a large fleet would leave
+// too little time for other work.
 TEST(InstanceListingPaceTest,
      ALongListIsFetchedMoreSeldomWhileAWorkerIsSilent) {
   EXPECT_EQ(CountLists(3), 20);
--- a/tests/services/sumacd/instance_orders_test.cc
+++ b/tests/services/sumacd/instance_orders_test.cc
@@ -1,17 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-// Long-running tasks of a step that may miss some were ended by orders about
-// their instances while as many others of the step were away already. It came
-// right after a change of leader in the middle of a maintenance wave: the new
-// leader started tasks on instances that the one before had emptied, and three
-// seconds later it ended these tasks with orders of that wave.
-//
-// In the log of one such day a leader writes "run-evacuated" for the three
-// tasks of i-54cc61e543 from 15.2 to 18.5 s; another leads from 19.5 s and
-// writes "run-ordered" for task .19 there at 22.1 s; 0.8 s later
-// "instance-ordered", result done, for the same instance and 30 more within
-// 0.7 s, and "run-gone" for that task. An order on record put its instance
-// under a cordon only when it was sent, a new leader sends none for three
-// seconds, and the emptied instance was the best place there was until then.
+// Guards against orders about instances that end long-running tasks beyond the
+// disruption budget of their step after a change of leader in the middle of a
+// maintenance wave. The previous leader has drained an instance and committed
+// its order. If the new leader cordons that instance only when it sends the
+// order, which it does not do for three seconds, the empty instance is the best
+// place until then: the new leader starts tasks there and ends them with the
+// order.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -36,15 +30,16 @@
 const InstanceName kEmptied("m0");
 const std::string kEmptiedWorker("w0");
 constexpr Milliseconds kTurn{50};
-// Longer than a new leader gives no orders, and than its first orders take.
+// Longer than the time in which a new leader sends no orders and the time that
+// its first orders take.
 constexpr Milliseconds kFirstSeconds{5'000};
 
-// Leaders of a fake fleet whose planners look at its instances every turn. The
-// orders that they give are kept and not carried out.
+// Leaders of a fake fleet that run the planners of instances in every step of
+// time. Their orders are recorded and not carried out.
 class InstanceOrdersTest : public testing::Test {
  protected:
   InstanceOrdersTest() : fleet(3) {
-    // The pool needs all that it has, so nothing is moved.
+    // The pool needs all of its instances, so none is moved.
     this->demand[ServiceName("previews")].min_instances = 3;
     this->fleet.long_running_work = Milliseconds(3'600'000);
     this->BeginPlanners();
@@ -57,7 +52,8 @@
                            this->fleet.state.epoch(), this->fleet.now);
   }
 
-  // As a leader does it: first the planners of instances, then the scheduler.
+  // Runs the planners of instances and then the scheduler, in the order of a
+  // leader.
   void PassTime(Milliseconds time) {
     for (Milliseconds passed{0}; passed < time; passed += kTurn) {
       this->Look();
@@ -98,7 +94,8 @@
 
   WallTime wall() const { return WallTime(this->fleet.now.time_since_epoch()); }
 
-  // Three tasks that last, one on each worker; one may be away at a time.
+  // Submits three long-running tasks, one for each worker, with a disruption
+  // budget of one.
   void SubmitLasting() {
     this->fleet.Submit("lasting", jobs::StepSpec{.count = 3,
                                                  .most_per_worker = 1,
@@ -106,7 +103,7 @@
                                                  .has_disruption_budget = true,
                                                  .disruption_budget = 1});
   }
-  // One of them has left the first worker, whose maintenance is on record.
+  // Commits an order for the maintenance of the first worker's instance.
   void LetTheFirstWorkerBeEmptied() {
     this->fleet.Commit(
         jobs::StartWave{kWave, {kEmptied}, Milliseconds(20'000), 1});
@@ -125,7 +122,8 @@
   std::optional<maintenance::CapacityPlanner> capacity;
   std::map<ServiceName, jobs::ServiceDemand> demand;
   std::vector<maintenance::InstanceOrder> orders;
-  // What ran on the instances of the orders when these were given.
+  // The number of tasks that ran on the instances of the orders when these were
+  // given.
   std::size_t ended_tasks = 0;
 };
 
@@ -147,13 +145,13 @@
   ASSERT_EQ(this->RunsOfTheFirstWorker(), 1U);
   this->LetTheFirstWorkerBeEmptied();
   this->ChangeLeader();
-  // There is no place but this one, so nothing can leave it.
+  // There is no free place elsewhere, so the task can't be moved.
   this->PassTime(kFirstSeconds);
   EXPECT_EQ(this->ended_tasks, 0U);
   EXPECT_TRUE(this->orders.empty());
 }
 
-// The order of the leader before may be carried out any moment.
+// The order of the previous leader may be carried out at any time.
 TEST_F(InstanceOrdersTest, ANewLeaderLeavesAnInstanceEmptyThatMayBeMoved) {
   this->PassTime(Milliseconds(500));
   this->fleet.Commit(
@@ -165,7 +163,8 @@
   EXPECT_EQ(this->RunsOfTheFirstWorker(), 0U);
 }
 
-// An instance that was off when its move was recorded has a worker since then.
+// The instance was down when its move was recorded, so its worker started
+// later.
 TEST_F(InstanceOrdersTest, AWorkerOnAnInstanceThatWasOffIsUsed) {
   this->PassTime(Milliseconds(500));
   this->fleet.Commit(jobs::RecordMoves{.instances = {kEmptied}});
@@ -175,7 +174,8 @@
   EXPECT_EQ(this->RunsOfTheFirstWorker(), 1U);
 }
 
-// Where the order was carried out another worker runs, and can be used.
+// After the order was carried out another worker runs on the instance and can
+// be used.
 TEST_F(InstanceOrdersTest, AWorkerThatBeganAfterTheMoveIsUsed) {
   this->PassTime(Milliseconds(500));
   this->fleet.Commit(jobs::RecordMoves{
--- a/tests/services/sumacd/leader_search_test.cc
+++ b/tests/services/sumacd/leader_search_test.cc
@@ -12,7 +12,8 @@
 namespace sumac::daemon {
 namespace {
 
-// Long enough for a few rounds over all controllers; only codes are checked.
+// The time limit of a request; long enough to ask all controllers several
+// times. Only codes are checked.
 constexpr Milliseconds kLimit{200};
 
 class LeaderSearchTest : public testing::Test {
@@ -56,7 +57,7 @@
   EXPECT_EQ(this->asked.size(), 3U);
 }
 
-// Nobody took the request, so it may be called refused.
+// No controller accepted the request, so it has certainly not run.
 TEST_F(LeaderSearchTest, WithoutALeaderNothingWasTaken) {
   const fleet::Answer answer =
       this->Run([](const ProcessName& /*process*/,
@@ -67,8 +68,8 @@
   EXPECT_GT(this->asked.size(), 3U);
 }
 
-// One try got no answer and may have been carried out, whatever the others
-// said.
+// The request may have been carried out by the attempt that got no answer,
+// whatever the other controllers answered.
 TEST_F(LeaderSearchTest, AnUnansweredTryLeavesTheOutcomeOpen) {
   for (const ResultCode unanswered :
        {ResultCode::kTimeout, ResultCode::kUnreachable}) {
@@ -85,11 +86,11 @@
   }
 }
 
-// A caller got 503 for a job 0.1 s after it had asked, and 25 s later the job
-// ran. Its entry had asked a leader that lost its place before it could say how
-// the submission ended; the next leader, which did not know the job yet, was
-// overloaded, and its refusal was passed on as the answer. A refusal says that
-// the request has not run, and holds for the controller that gives it.
+// Guards against a caller that gets 503 for a job that runs all the same. The
+// entry asked a leader that lost its leadership before it answered. The next
+// leader was overloaded and did not know the job yet; its refusal was returned
+// after 0.1 s, and the job ran 25 s later. A refusal means that the request has
+// not run, but only at the controller that gives it.
 TEST_F(LeaderSearchTest, ARefusalAfterAnUnansweredTryLeavesTheOutcomeOpen) {
   for (const ResultCode unanswered :
        {ResultCode::kTimeout, ResultCode::kUnreachable}) {
@@ -108,7 +109,7 @@
   }
 }
 
-// Without an open try it is the answer, at once.
+// Without an unanswered attempt, a refusal by the leader is returned at once.
 TEST_F(LeaderSearchTest, ARefusalOfTheLeaderIsTheAnswer) {
   const fleet::Answer answer =
       this->Run([this](const ProcessName& /*process*/,
--- a/tests/services/sumacd/term_watch_test.cc
+++ b/tests/services/sumacd/term_watch_test.cc
@@ -17,9 +17,10 @@
   EXPECT_TRUE(watch.IsOver(false, Term(3)));
 }
 
-// A leader asked for its epoch in the moment in which its lease ran out, or
-// while it handed over to a controller that did not take it, and was refused.
-// It stayed the leader of the same term, and nothing decided until the next.
+// Guards against a leader that never schedules. Its epoch was refused because
+// its lease expired at that moment, or because it was handing over to a
+// controller that did not take over. It stayed the leader of the same term, and
+// nothing was scheduled until the next term.
 TEST(TermWatchTest, AfterARefusalTheEpochIsAskedForAgainInTheSameTerm) {
   TermWatch watch;
   watch.Begin(Term(3));
--- a/tests/services/sumacd/worker_renewals_test.cc
+++ b/tests/services/sumacd/worker_renewals_test.cc
@@ -1,12 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-// A leader that carries more than it can commits slowly. Its loop for a worker
-// renewed the lease, took in the ends that the answer listed, and then waited
-// until they were on record before it renewed again. Once a record took longer
-// than a lease, the lease of a sound worker ended on both sides: lasting tasks
-// there died outside every disruption budget, and a task that had ended done
-// since the last renewal, of which the leader had not asked yet, was started
-// again elsewhere. With a record of 8 s and leases of 6 s the worker below went
-// 8,120 ms without a renewal, and two tasks were started three times in all.
+// Guards against renewals that wait for slow commits. An overloaded leader
+// commits slowly. If the loop of a worker waits with the next renewal until the
+// ends in the last answer are committed, and the commit takes longer than a
+// lease, the lease of a healthy worker expires on both sides. Long-running
+// tasks there then end outside of all disruption budgets, and a task that
+// succeeded after the last renewal is started again elsewhere, since the leader
+// has not received its end. With a commit of 8 s and leases of 6 s the worker
+// below got no renewal for 8,120 ms, and two tasks were started three times in
+// all.
 #include "services/sumacd/worker_renewals.h"
 
 #include <gtest/gtest.h>
@@ -26,7 +27,7 @@
 constexpr Milliseconds kStep{10};
 constexpr Milliseconds kEndsPause{15};
 
-// The loops above a fake fleet, on its clock.
+// Renewals of the workers of a fake fleet, on the fleet's clock.
 class WorkerRenewalsTest : public testing::Test {
  protected:
   struct Parts {
@@ -58,7 +59,7 @@
     this->renewals->Begin(WorkerId("w0"));
   }
 
-  // A worker keeps its answer back for a while, as it may.
+  // Returns the worker's answer after 100 ms; workers may delay their answers.
   kj::Promise<scheduler::RenewAnswer> Renew(
       const scheduler::RenewOrder& order) {
     const Milliseconds gap = this->fleet.now - this->last_renewal;
