--- a/services/sumacd/instance_keeper.cc
+++ b/services/sumacd/instance_keeper.cc
@@ -185,10 +185,11 @@
              : this->waves.HandleOrderResult(this->state, order, result, now);
 }
 
-// Commits commands, except those that are being committed already. NOTE: The
-// planners run on while their commands are being committed, and give the same
-// commands again until then. Under peak load commits take so long that waiting
-// for them would delay the moves that the load requires.
+// Commits commands, except those that are being committed already.
+//
+// NOTE: The planners run on while their commands are being committed, and give
+// the same commands again until then. Under peak load commits take so long that
+// waiting for them would delay the moves that the load requires.
 void InstanceKeeper::Commit(std::vector<jobs::Command> commands) {
   for (jobs::Command& command : commands) {
     const std::string key = ToCbor(jobs::StampedCommand{{}, command});
--- a/services/sumacd/job_controller.h
+++ b/services/sumacd/job_controller.h
@@ -109,17 +109,25 @@
   void taskFailed(kj::Exception&& exception) override;
 
   void RegisterMetrics();
+  // Calls Tick at a fixed interval.
   kj::Promise<void> TickLoop();
   void Tick();
+  // Begins and ends the leadership according to the state of the replica, and
+  // maintains the membership while it lasts.
   void FollowLeadership(SteadyTime now);
+  // Proposes the epoch of a new leadership.
   void BeginLeadership();
+  // Creates the scheduler once the epoch is committed.
   void StartDeciding();
   void EndLeadership();
+  // Applies a committed command to the jobs state.
   fleet::Answer Apply(const std::string& payload);
   void NoteChangedWorker(const jobs::Command& command);
   std::vector<JobId> ActiveJobsOf(const jobs::Command& command) const;
   void LogFinished(const std::vector<JobId>& touched);
+  // Schedules a planning pass if commands were applied since the last call.
   void AfterPass();
+  // Commits a command and returns the result of applying it.
   kj::Promise<fleet::Answer> Propose(jobs::Command command);
   void ProposeInBackground(jobs::Command command);
 
@@ -136,11 +144,17 @@
   kj::Promise<fleet::Answer> Serve(const jobs::Show& request);
 
   void SyncWorkers();
+  // Creates the calls to workers of this leadership.
   void BeginRelays();
+  // Opens relays on the other members of the group, or closes all of them if
+  // there are too few workers.
   void SyncRelays(SteadyTime now);
+  // Starts the renewals of all workers.
   void BeginRenewals();
+  // Handles the answer to a renewal.
   RenewalOutcome TakeRenewal(const WorkerId& worker,
                              const scheduler::RenewAnswer& answer);
+  // Updates the scheduler with a report and returns the ends to commit.
   scheduler::EndsToRecord TakeReport(const WorkerId& worker,
                                      const scheduler::RenewReport& report,
                                      SteadyTime now);
@@ -148,8 +162,13 @@
                                scheduler::EndsToRecord ends);
   void ScheduleEnds();
   void CommitEnds();
+  // Runs a planning pass after the current pause between passes, unless one is
+  // scheduled already.
   void SchedulePlan();
+  // Runs a planning pass: plans instances and tasks, sends the orders and
+  // proposes the commands.
   void Plan();
+  // Records the duration of a planning pass.
   void NotePass(std::chrono::steady_clock::duration took);
   void SendOrder(const scheduler::Order& order);
   void RequestReport(const scheduler::RenewOrder& order);
