--- a/services/sumacd/job_controller.cc
+++ b/services/sumacd/job_controller.cc
@@ -30,8 +30,8 @@
 // A new leader asks all workers what they run. It starts these calls in
 // batches, since a thousand calls and their connections at once would delay its
 // heartbeats beyond the election timeout of its followers.
-constexpr std::size_t kRenewalsOfSlice = 50;
-constexpr Milliseconds kSlicePause{10};
+constexpr std::size_t kRenewalsPerBatch = 50;
+constexpr Milliseconds kBatchPause{10};
 
 // The queue and the id of a job, as given by the path of a request. The id is
 // empty if the path names only a queue.
@@ -45,9 +45,10 @@
           .message = "no job with this id is known"};
 }
 
-absl::StatusOr<JobAddress> Resolve(const jobs::JobsDeclaration& declaration,
-                                   const std::string& host,
-                                   const std::string& path) {
+absl::StatusOr<JobAddress> ResolveJobAddress(
+    const jobs::JobsDeclaration& declaration,
+    const std::string& host,
+    const std::string& path) {
   if (declaration.version() == 0) {
     return MakeError(ResultCode::kNothingDeclared,
                      "no declaration is in force yet");
@@ -70,11 +71,11 @@
     http::Metrics& metrics,
     jobs::DeclarationDecoder decoder,
     scheduler::WorkerCalls worker_calls,
-    RelayWorkers relay_workers,
+    RelayCallsFactory create_relay_calls,
     maintenance::InstanceCalls instance_calls) {
   std::unique_ptr<JobController> controller(
       new JobController(settings, provider, metrics, std::move(decoder), peers,
-                        std::move(worker_calls), std::move(relay_workers),
+                        std::move(worker_calls), std::move(create_relay_calls),
                         std::move(instance_calls)));
   JobController* self = controller.get();
   const ReplicaHostSettings host{.process = settings.process(),
@@ -89,7 +90,7 @@
   callbacks.apply = [self](const std::string& payload) {
     return self->Apply(payload);
   };
-  callbacks.after_pass = [self] { self->AfterPass(); };
+  callbacks.after_pass = [self] { self->HandleAppliedCommands(); };
   callbacks.begin_snapshot = [self](LogIndex index) {
     const auto measured = self->load.work_times.Measure(Work::kSnapshot);
     self->snapshot_writer->Begin(index, self->jobs_state.record());
@@ -144,7 +145,7 @@
                              jobs::DeclarationDecoder decoder,
                              Peers& peers,
                              scheduler::WorkerCalls worker_calls,
-                             RelayWorkers relay_workers,
+                             RelayCallsFactory create_relay_calls,
                              maintenance::InstanceCalls instance_calls)
     : settings(settings),
       timer(provider.getTimer()),
@@ -153,7 +154,7 @@
       commit_rounds(provider.getTimer()),
       peers(peers),
       worker_calls(std::move(worker_calls)),
-      relay_workers(std::move(relay_workers)),
+      create_relay_calls(std::move(create_relay_calls)),
       instance_calls(std::move(instance_calls)),
       jobs_state(std::move(decoder)),
       tasks(*this) {
@@ -186,7 +187,7 @@
     const auto measured = this->load.work_times.Measure(Work::kReplicate);
     this->host->Tick(now);
   }
-  this->FollowLeadership(now);
+  this->UpdateLeadership(now);
   if (!this->scheduler) {
     return;
   }
@@ -204,7 +205,7 @@
                       now);
 }
 
-void JobController::FollowLeadership(SteadyTime now) {
+void JobController::UpdateLeadership(SteadyTime now) {
   const bool is_leader =
       this->host->replica().role() == replication::Role::kLeader;
   const Term term = this->host->replica().term();
@@ -232,7 +233,7 @@
   this->tasks.add(this->Propose(jobs::BeginEpoch{})
                       .then([this, term](const fleet::Answer& answer) {
                         if (this->term_watch.TakeEpoch(term, answer.is_ok())) {
-                          this->StartDeciding();
+                          this->StartScheduling();
                         } else {
                           LogEvent(LogLevel::kWarning, "epoch-not-begun",
                                    {{"term", term.value()},
@@ -241,20 +242,21 @@
                       }));
 }
 
-void JobController::StartDeciding() {
+void JobController::StartScheduling() {
   const SteadyTime now = this->clock.SteadyNow();
   const PlatformTimes& times = this->settings.platform_times;
-  scheduler::SchedulerSettings chosen;
+  scheduler::SchedulerSettings scheduler_settings;
   const PolicySettings& policy = this->settings.policy;
-  chosen.orders_by_slack = policy.order_by_slack;
-  chosen.avoids_bad_workers = policy.leave_bad_workers;
+  scheduler_settings.orders_by_slack = policy.order_by_slack;
+  scheduler_settings.avoids_bad_workers = policy.leave_bad_workers;
   if (!policy.forecast) {
-    chosen.forecast.horizon = Milliseconds(0);
+    scheduler_settings.forecast.horizon = Milliseconds(0);
   }
-  chosen.lease.length = std::min(chosen.lease.length, times.longest_lease);
-  chosen.lease.max_waiting = this->worker_calls.max_waiting;
-  chosen.max_stop_time = times.longest_stop;
-  this->scheduler.emplace(this->jobs_state, chosen, now);
+  scheduler_settings.lease.length =
+      std::min(scheduler_settings.lease.length, times.longest_lease);
+  scheduler_settings.lease.max_waiting = this->worker_calls.max_waiting;
+  scheduler_settings.max_stop_time = times.longest_stop;
+  this->scheduler.emplace(this->jobs_state, scheduler_settings, now);
   const maintenance::MaintenanceSettings maintenance{
       .takeover_pause = times.instance_lease,
       .maintenance_time = times.maintenance_time()};
@@ -282,7 +284,7 @@
             {"epoch", this->jobs_state.epoch().value()},
             {"workers", this->jobs_state.workers().size()},
             {"jobs", this->jobs_state.active_jobs().size()}});
-  this->AfterPass();
+  this->HandleAppliedCommands();
 }
 
 void JobController::EndLeadership() {
@@ -307,19 +309,19 @@
     return fleet::Answer::FromStatus(stamped.status());
   }
   this->has_applied = true;
-  this->NoteChangedWorker(stamped->command);
+  this->RecordAffectedWorkers(stamped->command);
   if (std::holds_alternative<jobs::ForgetWorker>(stamped->command)) {
     this->load.CountPiece(Piece::kWorkerEnd);
   }
-  const std::vector<JobId> touched = this->ActiveJobsOf(stamped->command);
+  const std::vector<JobId> affected_jobs = this->ActiveJobsOf(stamped->command);
   fleet::Answer answer = this->jobs_state.Apply(*stamped);
-  this->LogFinished(touched);
+  this->LogFinishedJobs(affected_jobs);
   return answer;
 }
 
 // Remembers the workers that a command affects for the next planning pass. A
 // new scheduler reads all workers itself.
-void JobController::NoteChangedWorker(const jobs::Command& command) {
+void JobController::RecordAffectedWorkers(const jobs::Command& command) {
   if (!this->scheduler) {
     return;
   }
@@ -358,8 +360,8 @@
   return jobs;
 }
 
-void JobController::LogFinished(const std::vector<JobId>& touched) {
-  for (const JobId& id : touched) {
+void JobController::LogFinishedJobs(const std::vector<JobId>& affected_jobs) {
+  for (const JobId& id : affected_jobs) {
     const jobs::Job* job = this->jobs_state.FindJob(id);
     if (job == nullptr || job->is_active()) {
       continue;
@@ -382,7 +384,7 @@
   }
 }
 
-void JobController::AfterPass() {
+void JobController::HandleAppliedCommands() {
   if (!this->scheduler) {
     return;
   }
@@ -470,8 +472,8 @@
 }
 
 kj::Promise<fleet::Answer> JobController::Serve(const jobs::SubmitAt& request) {
-  const auto address =
-      Resolve(this->jobs_state.declaration(), request.host, request.path);
+  const auto address = ResolveJobAddress(this->jobs_state.declaration(),
+                                         request.host, request.path);
   if (!address.ok()) {
     return fleet::Answer::FromStatus(address.status());
   }
@@ -516,8 +518,8 @@
 }
 
 kj::Promise<fleet::Answer> JobController::Serve(const jobs::ShowAt& request) {
-  const auto address =
-      Resolve(this->jobs_state.declaration(), request.host, request.path);
+  const auto address = ResolveJobAddress(this->jobs_state.declaration(),
+                                         request.host, request.path);
   if (!address.ok()) {
     return fleet::Answer::FromStatus(address.status());
   }
@@ -536,8 +538,8 @@
 }
 
 kj::Promise<fleet::Answer> JobController::Serve(const jobs::CancelAt& request) {
-  const auto address =
-      Resolve(this->jobs_state.declaration(), request.host, request.path);
+  const auto address = ResolveJobAddress(this->jobs_state.declaration(),
+                                         request.host, request.path);
   if (!address.ok()) {
     return fleet::Answer::FromStatus(address.status());
   }
@@ -676,7 +678,7 @@
   }
   LogEvent(LogLevel::kInfo, "relays-for-leader", {{"epoch", epoch.value()}});
   return wire::Relay::Client(kj::heap<relay::RelayService>(
-      this->relay_workers(), kj::mv(answers), epoch, this->timer,
+      this->create_relay_calls(), kj::mv(answers), epoch, this->timer,
       relay::RelayService::Host{.is_current = [this](LeaderEpoch own) {
         return own >= this->jobs_state.epoch();
       }}));
@@ -701,7 +703,7 @@
                        .take =
                            [this](const WorkerId& worker,
                                   const scheduler::RenewAnswer& answer) {
-                             return this->TakeRenewal(worker, answer);
+                             return this->HandleRenewalAnswer(worker, answer);
                            },
                        .forget =
                            [this](const WorkerId& worker) {
@@ -709,12 +711,13 @@
                            }});
   std::size_t begun = 0;
   for (const auto& [worker, session] : this->scheduler->sessions()) {
-    const auto slices = static_cast<std::int64_t>(begun++ / kRenewalsOfSlice);
-    this->renewals->Begin(worker, slices * kSlicePause);
+    const auto batch_index =
+        static_cast<std::int64_t>(begun++ / kRenewalsPerBatch);
+    this->renewals->Begin(worker, batch_index * kBatchPause);
   }
 }
 
-RenewalOutcome JobController::TakeRenewal(
+RenewalOutcome JobController::HandleRenewalAnswer(
     const WorkerId& worker,
     const scheduler::RenewAnswer& answer) {
   if (answer.result != scheduler::OrderResult::kDone) {
@@ -724,7 +727,7 @@
     return {.recorded = nullptr, .pause = kRenewalPause};
   }
   scheduler::EndsToRecord ends =
-      this->TakeReport(worker, answer.report, this->clock.SteadyNow());
+      this->HandleWorkerReport(worker, answer.report, this->clock.SteadyNow());
   if (this->scheduler->is_dirty()) {
     this->SchedulePlan();
   }
@@ -735,7 +738,7 @@
           .pause = this->loop_pacer.ReportPause()};
 }
 
-scheduler::EndsToRecord JobController::TakeReport(
+scheduler::EndsToRecord JobController::HandleWorkerReport(
     const WorkerId& worker,
     const scheduler::RenewReport& report,
     SteadyTime now) {
@@ -834,8 +837,8 @@
     return;
   }
   const auto began = std::chrono::steady_clock::now();
-  const auto noted = kj::defer([this, began] {
-    this->NotePass(std::chrono::steady_clock::now() - began);
+  const auto record_duration = kj::defer([this, began] {
+    this->RecordPassDuration(std::chrono::steady_clock::now() - began);
   });
   this->last_plan = this->clock.SteadyNow();
   this->SyncWorkers();
@@ -861,14 +864,15 @@
     this->RequestReport(order);
   }
   if (output.question) {
-    this->AskForAdvice(*output.question);
+    this->RequestAdvice(*output.question);
   }
   if (allowed.all > 0 && output.orders.size() >= allowed.all) {
     this->SchedulePlan();
   }
 }
 
-void JobController::NotePass(std::chrono::steady_clock::duration took) {
+void JobController::RecordPassDuration(
+    std::chrono::steady_clock::duration took) {
   this->load.CountTurn();
   this->metrics.Observe("sumac_pass_seconds",
                         std::chrono::duration<double>(took).count());
@@ -883,13 +887,15 @@
   this->tasks.add(this->relayed->RequestReport(order).then(
       [this, term, worker = order.worker](
           const scheduler::RenewAnswer& answer) -> kj::Promise<void> {
-        const bool is_ours = this->scheduler && this->term_watch.term() == term;
-        if (!is_ours || answer.result != scheduler::OrderResult::kDone) {
+        const bool is_current_term =
+            this->scheduler && this->term_watch.term() == term;
+        if (!is_current_term ||
+            answer.result != scheduler::OrderResult::kDone) {
           // The next renewal reports the same.
           return kj::READY_NOW;
         }
-        scheduler::EndsToRecord ends =
-            this->TakeReport(worker, answer.report, this->clock.SteadyNow());
+        scheduler::EndsToRecord ends = this->HandleWorkerReport(
+            worker, answer.report, this->clock.SteadyNow());
         this->SchedulePlan();
         if (ends.up_to == 0) {
           return kj::READY_NOW;
@@ -898,7 +904,7 @@
       }));
 }
 
-void JobController::AskForAdvice(const scheduler::AdviceQuestion& question) {
+void JobController::RequestAdvice(const scheduler::AdviceQuestion& question) {
   const Term term = this->term_watch.term();
   this->tasks.add(this->worker_calls.advise(question).then(
       [this, term, question](const scheduler::AdviceAnswer& answer) {
--- a/services/sumacd/job_controller.h
+++ b/services/sumacd/job_controller.h
@@ -47,7 +47,7 @@
 class JobController : private kj::TaskSet::ErrorHandler {
  public:
   // Creates the connections to workers that one relay uses.
-  using RelayWorkers = std::function<relay::OwnedWorkerCalls()>;
+  using RelayCallsFactory = std::function<relay::OwnedWorkerCalls()>;
 
   // Opens the data folder and starts the replica.
   static absl::StatusOr<std::unique_ptr<JobController>> Create(
@@ -57,7 +57,7 @@
       http::Metrics& metrics,
       jobs::DeclarationDecoder decoder,
       scheduler::WorkerCalls worker_calls,
-      RelayWorkers relay_workers,
+      RelayCallsFactory create_relay_calls,
       maintenance::InstanceCalls instance_calls);
 
   // Runs until the process ends.
@@ -103,7 +103,7 @@
                 jobs::DeclarationDecoder decoder,
                 Peers& peers,
                 scheduler::WorkerCalls worker_calls,
-                RelayWorkers relay_workers,
+                RelayCallsFactory create_relay_calls,
                 maintenance::InstanceCalls instance_calls);
 
   void taskFailed(kj::Exception&& exception) override;
@@ -114,19 +114,19 @@
   void Tick();
   // Begins and ends the leadership according to the state of the replica, and
   // maintains the membership while it lasts.
-  void FollowLeadership(SteadyTime now);
+  void UpdateLeadership(SteadyTime now);
   // Proposes the epoch of a new leadership.
   void BeginLeadership();
   // Creates the scheduler once the epoch is committed.
-  void StartDeciding();
+  void StartScheduling();
   void EndLeadership();
   // Applies a committed command to the jobs state.
   fleet::Answer Apply(const std::string& payload);
-  void NoteChangedWorker(const jobs::Command& command);
+  void RecordAffectedWorkers(const jobs::Command& command);
   std::vector<JobId> ActiveJobsOf(const jobs::Command& command) const;
-  void LogFinished(const std::vector<JobId>& touched);
+  void LogFinishedJobs(const std::vector<JobId>& affected_jobs);
   // Schedules a planning pass if commands were applied since the last call.
-  void AfterPass();
+  void HandleAppliedCommands();
   // Commits a command and returns the result of applying it.
   kj::Promise<fleet::Answer> Propose(jobs::Command command);
   void ProposeInBackground(jobs::Command command);
@@ -152,12 +152,13 @@
   // Starts the renewals of all workers.
   void BeginRenewals();
   // Handles the answer to a renewal.
-  RenewalOutcome TakeRenewal(const WorkerId& worker,
-                             const scheduler::RenewAnswer& answer);
+  RenewalOutcome HandleRenewalAnswer(const WorkerId& worker,
+                                     const scheduler::RenewAnswer& answer);
   // Updates the scheduler with a report and returns the ends to commit.
-  scheduler::EndsToRecord TakeReport(const WorkerId& worker,
-                                     const scheduler::RenewReport& report,
-                                     SteadyTime now);
+  scheduler::EndsToRecord HandleWorkerReport(
+      const WorkerId& worker,
+      const scheduler::RenewReport& report,
+      SteadyTime now);
   kj::Promise<void> RecordEnds(const WorkerId& worker,
                                scheduler::EndsToRecord ends);
   void ScheduleEnds();
@@ -169,10 +170,10 @@
   // proposes the commands.
   void Plan();
   // Records the duration of a planning pass.
-  void NotePass(std::chrono::steady_clock::duration took);
+  void RecordPassDuration(std::chrono::steady_clock::duration took);
   void SendOrder(const scheduler::Order& order);
   void RequestReport(const scheduler::RenewOrder& order);
-  void AskForAdvice(const scheduler::AdviceQuestion& question);
+  void RequestAdvice(const scheduler::AdviceQuestion& question);
   void LogEvents(const std::vector<scheduler::SchedulerEvent>& events);
 
   const NodeSettings& settings;
@@ -182,7 +183,7 @@
   SystemClock clock;
   Peers& peers;
   scheduler::WorkerCalls worker_calls;
-  RelayWorkers relay_workers;
+  RelayCallsFactory create_relay_calls;
   maintenance::InstanceCalls instance_calls;
   jobs::JobsState jobs_state;
   std::unique_ptr<ReplicaHost> host;
