--- a/services/sumacd/job_controller.cc
+++ b/services/sumacd/job_controller.cc
@@ -181,7 +181,7 @@
 
 void JobController::Tick() {
   const SteadyTime now = this->clock.SteadyNow();
-  this->load.Measure();
+  this->load.MeasureLateness();
   this->loop_pacer.RecordLateness(this->load.lateness());
   {
     const auto measured = this->load.work_times.Measure(Work::kReplicate);
@@ -268,7 +268,7 @@
                 return this->Propose(std::move(command));
               },
           .may_act = [this] { return this->host->MayAct(); },
-          .count_order = [this] { this->load.CountPiece(Piece::kMove); }},
+          .count_order = [this] { this->load.CountWorkItem(WorkItem::kMove); }},
       maintenance,
       maintenance::CapacitySettings{.is_on = policy.moves,
                                     .takeover_pause = times.instance_lease,
@@ -311,7 +311,7 @@
   this->has_applied = true;
   this->RecordAffectedWorkers(stamped->command);
   if (std::holds_alternative<jobs::ForgetWorker>(stamped->command)) {
-    this->load.CountPiece(Piece::kWorkerEnd);
+    this->load.CountWorkItem(WorkItem::kWorkerEnd);
   }
   const std::vector<JobId> affected_jobs = this->ActiveJobsOf(stamped->command);
   fleet::Answer answer = this->jobs_state.Apply(*stamped);
@@ -460,14 +460,14 @@
                   "it would begin too late behind those that wait",
                   forecast.RetryAfter(queue.name, now));
   }
-  if (!this->load.TakesJob()) {
+  if (!this->load.DecideAdmission()) {
     return refuse(scheduler::RefusalReason::kLate,
                   StrCat("this controller is ", this->load.lateness().count(),
                          " ms late"),
                   this->load.RetryAfter());
   }
   forecast.RecordAccepted(queue.name);
-  this->load.CountTakenJob();
+  this->load.CountAcceptedJob();
   return std::nullopt;
 }
 
@@ -695,7 +695,7 @@
                            },
                        .renew =
                            [this](const scheduler::RenewOrder& order) {
-                             this->load.CountPiece(Piece::kRenewal);
+                             this->load.CountWorkItem(WorkItem::kRenewal);
                              const auto measured =
                                  this->load.work_times.Measure(Work::kRenewal);
                              return this->relayed->Renew(order);
@@ -743,7 +743,7 @@
     const scheduler::RenewReport& report,
     SteadyTime now) {
   const auto measured = this->load.work_times.Measure(Work::kReport);
-  this->load.CountPiece(Piece::kReport);
+  this->load.CountWorkItem(WorkItem::kReport);
   return this->scheduler->HandleReport(worker, report, now);
 }
 
@@ -873,7 +873,7 @@
 
 void JobController::RecordPassDuration(
     std::chrono::steady_clock::duration took) {
-  this->load.CountTurn();
+  this->load.CountPlanningPass();
   this->metrics.Observe("sumac_pass_seconds",
                         std::chrono::duration<double>(took).count());
   this->loop_pacer.RecordPass(
@@ -935,9 +935,9 @@
   }
   const Term term = this->term_watch.term();
   kj::Promise<scheduler::OrderAnswer> answered = this->relayed->Send(order);
-  this->load.CountPiece(std::holds_alternative<scheduler::StartOrder>(order)
-                            ? Piece::kStart
-                            : Piece::kStop);
+  this->load.CountWorkItem(std::holds_alternative<scheduler::StartOrder>(order)
+                               ? WorkItem::kStart
+                               : WorkItem::kStop);
   if (std::holds_alternative<scheduler::StartOrder>(order)) {
     answered = answered.attach(this->load.CountStart());
   }
--- a/services/sumacd/leader_load.h
+++ b/services/sumacd/leader_load.h
@@ -44,8 +44,8 @@
 };
 
 // Kinds of work that are counted one by one, since each costs processor time.
-enum class Piece { kRenewal, kReport, kStart, kStop, kMove, kWorkerEnd };
-inline constexpr std::array<std::string_view, 6> kPieceNames = {
+enum class WorkItem { kRenewal, kReport, kStart, kStop, kMove, kWorkerEnd };
+inline constexpr std::array<std::string_view, 6> kWorkItemNames = {
     "renewals", "reports", "starts", "stops", "moves", "workers_ended"};
 
 // Measures how busy a controller's event loop is and limits the new work
@@ -56,7 +56,7 @@
   LeaderLoad(kj::AsyncIoProvider& provider, http::Metrics& metrics);
 
   // Measures how late the loop reads its sockets; to be called at each tick.
-  void Measure();
+  void MeasureLateness();
 
   // Begins the interval of the first log line of a new leadership.
   void BeginLeadership(SteadyTime now);
@@ -64,13 +64,13 @@
   void LogIfDue(const LeaderQueues& queues, SteadyTime now);
 
   // Decides whether one new job is admitted; see Admission.
-  bool TakesJob() { return this->admission.AdmitJob(); }
-  void CountTakenJob() { ++this->taken_jobs; }
+  bool DecideAdmission() { return this->admission.AdmitJob(); }
+  void CountAcceptedJob() { ++this->accepted_jobs; }
   void CountRefusal(scheduler::RefusalReason reason);
   // Counts a planning pass.
-  void CountTurn() { ++this->turns; }
-  void CountPiece(Piece piece) {
-    ++this->pieces[static_cast<std::size_t>(piece)];
+  void CountPlanningPass() { ++this->planning_passes; }
+  void CountWorkItem(WorkItem item) {
+    ++this->work_items[static_cast<std::size_t>(item)];
   }
   Milliseconds RetryAfter() const { return this->admission.RetryAfter(); }
   Milliseconds lateness() const { return this->admission.lateness(); }
@@ -89,9 +89,9 @@
   WorkTimes work_times;
 
  private:
-  void BeginSpan(SteadyTime now);
+  void BeginInterval(SteadyTime now);
   nlohmann::json DescribeWork() const;
-  nlohmann::json DescribePieces() const;
+  nlohmann::json DescribeWorkItems() const;
 
   http::Metrics& metrics;
   LoopProbe probe;
@@ -99,17 +99,17 @@
   // The number of starts that were sent and are not answered yet.
   std::size_t open_starts = 0;
   // Values since the last log line.
-  SteadyTime span_began{};
-  Milliseconds most_late{0};
-  std::uint64_t turns = 0;
-  std::uint64_t taken_jobs = 0;
+  SteadyTime interval_began{};
+  Milliseconds max_lateness{0};
+  std::uint64_t planning_passes = 0;
+  std::uint64_t accepted_jobs = 0;
   std::map<scheduler::RefusalReason, std::uint64_t> refused_jobs;
-  std::array<std::uint64_t, kPieceNames.size()> pieces{};
+  std::array<std::uint64_t, kWorkItemNames.size()> work_items{};
   // Running totals at the time of the last log line.
   WorkTimes logged_work;
   scheduler::LatenessCounts logged_starts;
   relay::RelayCounts logged_relayed;
-  std::array<std::uint64_t, kPieceNames.size()> logged_pieces{};
+  std::array<std::uint64_t, kWorkItemNames.size()> logged_work_items{};
   std::chrono::nanoseconds logged_loop_time{0};
   std::chrono::nanoseconds logged_process_time{0};
 };
