--- a/services/sumacd/leader_search.h
+++ b/services/sumacd/leader_search.h
@@ -42,11 +42,12 @@
     std::string last_error;
     // True if an attempt got no answer, so that the request may have been
     // carried out.
-    bool is_open = false;
+    bool may_have_run = false;
   };
 
-  kj::Promise<fleet::Answer> TryUntil(Attempt attempt, Progress progress);
-  void NoteAnswer(const ProcessName& process, const fleet::Answer& answer);
+  kj::Promise<fleet::Answer> TryUntilDeadline(Attempt attempt,
+                                              Progress progress);
+  void UpdateLeader(const ProcessName& process, const fleet::Answer& answer);
   ProcessName NextController();
 
   Peers& peers;
--- a/tests/services/sumacd/leader_search_test.cc
+++ b/tests/services/sumacd/leader_search_test.cc
@@ -58,7 +58,7 @@
 }
 
 // No controller accepted the request, so it has certainly not run.
-TEST_F(LeaderSearchTest, WithoutALeaderNothingWasTaken) {
+TEST_F(LeaderSearchTest, WithoutALeaderTheRequestHasNotRun) {
   const fleet::Answer answer =
       this->Run([](const ProcessName& /*process*/,
                    Milliseconds /*left*/) -> kj::Promise<fleet::Answer> {
@@ -70,7 +70,7 @@
 
 // The request may have been carried out by the attempt that got no answer,
 // whatever the other controllers answered.
-TEST_F(LeaderSearchTest, AnUnansweredTryLeavesTheOutcomeOpen) {
+TEST_F(LeaderSearchTest, AnUnansweredAttemptLeavesTheOutcomeUnknown) {
   for (const ResultCode unanswered :
        {ResultCode::kTimeout, ResultCode::kUnreachable}) {
     this->asked.clear();
@@ -91,7 +91,8 @@
 // leader was overloaded and did not know the job yet; its refusal was returned
 // after 0.1 s, and the job ran 25 s later. A refusal means that the request has
 // not run, but only at the controller that gives it.
-TEST_F(LeaderSearchTest, ARefusalAfterAnUnansweredTryLeavesTheOutcomeOpen) {
+TEST_F(LeaderSearchTest,
+       ARefusalAfterAnUnansweredAttemptLeavesTheOutcomeUnknown) {
   for (const ResultCode unanswered :
        {ResultCode::kTimeout, ResultCode::kUnreachable}) {
     for (const ResultCode refusal :
@@ -122,7 +123,7 @@
   EXPECT_EQ(this->asked.size(), 2U);
 }
 
-TEST_F(LeaderSearchTest, ATryThatFailsIsNoAnswer) {
+TEST_F(LeaderSearchTest, AFailedAttemptIsNoAnswer) {
   const fleet::Answer answer =
       this->Run([this](const ProcessName& /*process*/,
                        Milliseconds /*left*/) -> kj::Promise<fleet::Answer> {
