--- a/services/sumacd/instance_keeper.h
+++ b/services/sumacd/instance_manager.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef SERVICES_SUMACD_INSTANCE_KEEPER_H_
-#define SERVICES_SUMACD_INSTANCE_KEEPER_H_
+#ifndef SERVICES_SUMACD_INSTANCE_MANAGER_H_
+#define SERVICES_SUMACD_INSTANCE_MANAGER_H_
 
 #include <kj/async.h>
 
@@ -26,7 +26,7 @@
 // an interval that depends on the need for it, and carries out the decisions of
 // the maintenance and capacity planners. Exists for one leadership and runs on
 // the core's event loop.
-class InstanceKeeper : private kj::TaskSet::ErrorHandler {
+class InstanceManager : private kj::TaskSet::ErrorHandler {
  public:
   // The functions of the controller that the keeper uses.
   struct Host {
@@ -38,14 +38,14 @@
     std::function<void()> count_order = [] {};
   };
 
-  InstanceKeeper(const jobs::JobsState& state,
-                 scheduler::Scheduler& scheduler,
-                 maintenance::InstanceCalls calls,
-                 Host host,
-                 maintenance::MaintenanceSettings maintenance_settings,
-                 maintenance::CapacitySettings capacity_settings,
-                 ProcessName holder,
-                 SteadyTime now);
+  InstanceManager(const jobs::JobsState& state,
+                  scheduler::Scheduler& scheduler,
+                  maintenance::InstanceCalls calls,
+                  Host host,
+                  maintenance::MaintenanceSettings maintenance_settings,
+                  maintenance::CapacitySettings capacity_settings,
+                  ProcessName holder,
+                  SteadyTime now);
 
   // Runs the planners of waves and instances and refreshes the list if they are
   // due; to be called often.
@@ -57,12 +57,13 @@
   void PlanCapacity(std::map<InstanceName, maintenance::InstanceFacts>& facts,
                     maintenance::MaintenanceOutput& wave_output,
                     SteadyTime now);
-  std::vector<jobs::Command> TakeResult(const maintenance::InstanceOrder& order,
-                                        maintenance::InstanceResult result);
+  std::vector<jobs::Command> HandleInstanceResult(
+      const maintenance::InstanceOrder& order,
+      maintenance::InstanceResult result);
   void Commit(std::vector<jobs::Command> commands);
   void Send(const maintenance::InstanceOrder& order);
   void RefreshList(SteadyTime now);
-  void CheckLives();
+  void UpdateInstanceStatuses();
   void LogList() const;
   kj::Promise<void> FetchPages(std::string token);
 
@@ -88,4 +89,4 @@
 
 }  // namespace sumac::daemon
 
-#endif  // SERVICES_SUMACD_INSTANCE_KEEPER_H_
+#endif  // SERVICES_SUMACD_INSTANCE_MANAGER_H_
--- a/services/sumacd/job_controller.cc
+++ b/services/sumacd/job_controller.cc
@@ -260,9 +260,9 @@
   const maintenance::MaintenanceSettings maintenance{
       .takeover_pause = times.instance_lease,
       .maintenance_time = times.maintenance_time()};
-  this->keeper = std::make_unique<InstanceKeeper>(
+  this->instance_manager = std::make_unique<InstanceManager>(
       this->jobs_state, *this->scheduler, this->instance_calls,
-      InstanceKeeper::Host{
+      InstanceManager::Host{
           .propose =
               [this](jobs::Command command) {
                 return this->Propose(std::move(command));
@@ -293,7 +293,7 @@
   this->term_watch.End();
   this->renewals.reset();
   this->relayed.reset();
-  this->keeper.reset();
+  this->instance_manager.reset();
   this->scheduler.reset();
   this->changed_workers.clear();
   this->waiting_ends.clear();
@@ -844,7 +844,7 @@
   this->SyncWorkers();
   {
     const auto measured = this->load.work_times.Measure(Work::kInstances);
-    this->keeper->Plan(this->clock.Now(), this->last_plan);
+    this->instance_manager->Plan(this->clock.Now(), this->last_plan);
   }
   const scheduler::StartAllowance allowed = this->load.AllowStarts();
   scheduler::SchedulerOutput output;
--- a/services/sumacd/job_controller.h
+++ b/services/sumacd/job_controller.h
@@ -30,7 +30,7 @@
 #include "libraries/scheduler/scheduler.h"
 #include "libraries/scheduler/worker_calls.h"
 #include "services/sumacd/commit_rounds.h"
-#include "services/sumacd/instance_keeper.h"
+#include "services/sumacd/instance_manager.h"
 #include "services/sumacd/leader_load.h"
 #include "services/sumacd/node_settings.h"
 #include "services/sumacd/peers.h"
@@ -193,7 +193,7 @@
   // The scheduler, from the commit of this leadership's epoch until the
   // leadership ends.
   std::optional<scheduler::Scheduler> scheduler;
-  std::unique_ptr<InstanceKeeper> keeper;
+  std::unique_ptr<InstanceManager> instance_manager;
   // The calls to workers, directly or through relays; present as long as the
   // scheduler is.
   std::optional<relay::RelayedCalls> relayed;
--- a/tests/services/sumacd/instance_keeper_test.cc
+++ b/tests/services/sumacd/instance_manager_test.cc
@@ -4,7 +4,7 @@
 // and a busy leader batches commits, so that a commit was open nearly all the
 // time. A pool got its instances five seconds late, while up to 580 of its jobs
 // waited.
-#include "services/sumacd/instance_keeper.h"
+#include "services/sumacd/instance_manager.h"
 
 #include <gtest/gtest.h>
 #include <kj/async.h>
@@ -22,13 +22,13 @@
 
 constexpr Milliseconds kBeforeOrders{4'000};
 // Longer than the interval of planning passes, also while a commit is open.
-constexpr Milliseconds kTurn{250};
+constexpr Milliseconds kPassInterval{250};
 
-class InstanceKeeperTest : public testing::Test {
+class InstanceManagerTest : public testing::Test {
  protected:
-  InstanceKeeperTest() : fleet(3) {
+  InstanceManagerTest() : fleet(3) {
     this->fleet.PassTime(Milliseconds(300));
-    this->keeper = std::make_unique<InstanceKeeper>(
+    this->instance_manager = std::make_unique<InstanceManager>(
         this->fleet.state, *this->fleet.scheduler,
         maintenance::InstanceCalls{
             .list =
@@ -43,13 +43,13 @@
                       kj::NEVER_DONE);
                 }},
         // Commands that are proposed here are never committed.
-        InstanceKeeper::Host{.propose =
-                                 [this](jobs::Command command) {
-                                   this->proposed.push_back(std::move(command));
-                                   return kj::Promise<fleet::Answer>(
-                                       kj::NEVER_DONE);
-                                 },
-                             .may_act = [] { return true; }},
+        InstanceManager::Host{
+            .propose =
+                [this](jobs::Command command) {
+                  this->proposed.push_back(std::move(command));
+                  return kj::Promise<fleet::Answer>(kj::NEVER_DONE);
+                },
+            .may_act = [] { return true; }},
         maintenance::MaintenanceSettings(),
         maintenance::CapacitySettings{.is_on = false}, ProcessName("c"),
         this->fleet.now);
@@ -57,8 +57,9 @@
   }
 
   void Plan() {
-    this->now += kTurn;
-    this->keeper->Plan(WallTime(this->now.time_since_epoch()), this->now);
+    this->now += kPassInterval;
+    this->instance_manager->Plan(WallTime(this->now.time_since_epoch()),
+                                 this->now);
   }
   void StartWave(const std::string& wave, const std::string& instance) {
     this->fleet.Commit(jobs::StartWave{
@@ -77,13 +78,13 @@
 
   std::unique_ptr<Loop> loop = std::make_unique<Loop>();
   scheduler::FakeFleet fleet;
-  std::unique_ptr<InstanceKeeper> keeper;
+  std::unique_ptr<InstanceManager> instance_manager;
   std::vector<jobs::Command> proposed;
   std::vector<maintenance::InstanceOrder> orders;
   SteadyTime now;
 };
 
-TEST_F(InstanceKeeperTest, ItLooksOnWhileACommitIsOpen) {
+TEST_F(InstanceManagerTest, ThePlannersRunWhileACommitIsOpen) {
   this->StartWave("1", "m0");
   this->Plan();
   this->Plan();
@@ -96,23 +97,24 @@
 
 // A leader that fetches lists of the instances of a fleet in which the worker
 // w0 does not answer.
-class ListedFleet {
+class FleetWithSilentWorker {
  public:
-  explicit ListedFleet(std::size_t workers)
+  explicit FleetWithSilentWorker(std::size_t workers)
       : fleet(workers),
-        keeper(this->fleet.state,
-               *this->fleet.scheduler,
-               this->Calls(),
-               InstanceKeeper::Host{.propose =
-                                        [](const jobs::Command&) {
-                                          return kj::Promise<fleet::Answer>(
-                                              kj::NEVER_DONE);
-                                        },
-                                    .may_act = [] { return true; }},
-               maintenance::MaintenanceSettings(),
-               maintenance::CapacitySettings{.is_on = false},
-               ProcessName("c"),
-               this->fleet.now) {
+        instance_manager(
+            this->fleet.state,
+            *this->fleet.scheduler,
+            this->Calls(),
+            InstanceManager::Host{.propose =
+                                      [](const jobs::Command&) {
+                                        return kj::Promise<fleet::Answer>(
+                                            kj::NEVER_DONE);
+                                      },
+                                  .may_act = [] { return true; }},
+            maintenance::MaintenanceSettings(),
+            maintenance::CapacitySettings{.is_on = false},
+            ProcessName("c"),
+            this->fleet.now) {
     this->fleet.scheduler->HandleRenewalFailure(
         WorkerId("w0"), scheduler::OrderResult::kUnknown, this->fleet.now);
   }
@@ -121,16 +123,16 @@
     constexpr Milliseconds kStep{50};
     for (Milliseconds passed{0}; passed < time; passed += kStep) {
       this->fleet.now += kStep;
-      this->keeper.Plan(WallTime(this->fleet.now.time_since_epoch()),
-                        this->fleet.now);
+      this->instance_manager.Plan(WallTime(this->fleet.now.time_since_epoch()),
+                                  this->fleet.now);
       this->scope.poll();
     }
   }
   // Lets the platform list these rows, and returns whether w0 still has a
   // session after the next lists.
-  bool IsAlive(std::vector<maintenance::ListedInstance> rows) {
+  bool HasSessionAfterListing(std::vector<maintenance::ListedInstance> rows) {
     this->listed = std::move(rows);
-    this->PassTime(kTurn);
+    this->PassTime(kPassInterval);
     return this->fleet.scheduler->sessions().contains(WorkerId("w0"));
   }
 
@@ -157,19 +159,19 @@
   kj::WaitScope scope{this->loop};
   scheduler::FakeFleet fleet;
   std::vector<maintenance::ListedInstance> listed;
-  InstanceKeeper keeper;
+  InstanceManager instance_manager;
 };
 
 int CountLists(std::size_t workers) {
-  ListedFleet fleet(workers);
+  FleetWithSilentWorker fleet(workers);
   fleet.PassTime(Milliseconds(5'000));
   return fleet.lists;
 }
 
 // With the same interval for all sizes, the lists of a large fleet would leave
 // too little time for other work.
-TEST(InstanceListingPaceTest,
-     ALongListIsFetchedMoreSeldomWhileAWorkerIsSilent) {
+TEST(InstanceListingIntervalTest,
+     ALongListIsFetchedLessOftenWhileAWorkerIsSilent) {
   EXPECT_EQ(CountLists(3), 20);
   EXPECT_EQ(CountLists(800), 10);
   EXPECT_EQ(CountLists(4'000), 5);
@@ -180,27 +182,29 @@
   return {.name = InstanceName(name), .state = state};
 }
 
-TEST(InstanceListingLivesTest, OnlyTwoListsWithoutAnInstanceEndItsLife) {
+TEST(InstanceListingStatusTest,
+     AWorkerEndsOnlyAfterTwoListsWithoutItsInstance) {
   using enum maintenance::InstanceState;
   const maintenance::ListedInstance other = Row("m1", kDown);
-  ListedFleet fleet(2);
-  EXPECT_TRUE(fleet.IsAlive({}));
-  EXPECT_TRUE(fleet.IsAlive({other, Row("m0", kUp)}));
-  EXPECT_TRUE(fleet.IsAlive({other, Row("m0", kUnknown)}));
-  EXPECT_TRUE(fleet.IsAlive({other}));
-  EXPECT_FALSE(fleet.IsAlive({other}));
+  FleetWithSilentWorker fleet(2);
+  EXPECT_TRUE(fleet.HasSessionAfterListing({}));
+  EXPECT_TRUE(fleet.HasSessionAfterListing({other, Row("m0", kUp)}));
+  EXPECT_TRUE(fleet.HasSessionAfterListing({other, Row("m0", kUnknown)}));
+  EXPECT_TRUE(fleet.HasSessionAfterListing({other}));
+  EXPECT_FALSE(fleet.HasSessionAfterListing({other}));
 }
 
-TEST(InstanceListingLivesTest, AnInstanceThatIsDownEndsItsWorkersLife) {
+TEST(InstanceListingStatusTest, AWorkerEndsOnceItsInstanceIsDown) {
   using enum maintenance::InstanceState;
-  ListedFleet fleet(2);
-  EXPECT_TRUE(fleet.IsAlive({Row("m0", kUp), Row("m1", kDown)}));
-  EXPECT_FALSE(fleet.IsAlive({Row("m0", kDown), Row("m1", kUp)}));
+  FleetWithSilentWorker fleet(2);
+  EXPECT_TRUE(fleet.HasSessionAfterListing({Row("m0", kUp), Row("m1", kDown)}));
+  EXPECT_FALSE(
+      fleet.HasSessionAfterListing({Row("m0", kDown), Row("m1", kUp)}));
 }
 
-TEST_F(InstanceKeeperTest, ItProposesNothingTwiceThatIsBeingCommitted) {
+TEST_F(InstanceManagerTest, ACommandIsNotProposedAgainWhileItIsBeingCommitted) {
   this->StartWave("1", "m0");
-  for (int look = 0; look < 5; ++look) {
+  for (int pass = 0; pass < 5; ++pass) {
     this->Plan();
   }
   EXPECT_EQ(this->proposed.size(), 1U);
