--- a/services/sumacd/instance_manager.cc
+++ b/services/sumacd/instance_manager.cc
@@ -133,11 +133,11 @@
   }
   maintenance::MaintenanceOutput output =
       this->waves.Plan(this->state, facts, this->listing, wall_now, now);
-  for (const maintenance::InstanceCompletion& note : output.completions) {
+  for (const maintenance::InstanceCompletion& completion : output.completions) {
     LogEvent(LogLevel::kInfo, "maintenance-over",
-             {{"instance", note.instance.value()},
-              {"wave", note.wave.value()},
-              {"reason", note.reason}});
+             {{"instance", completion.instance.value()},
+              {"wave", completion.wave.value()},
+              {"reason", completion.reason}});
   }
   this->PlanCapacity(facts, output, now);
   this->scheduler.SetCordoned(std::move(output.cordoned));
