--- a/services/sumacd/job_controller.cc
+++ b/services/sumacd/job_controller.cc
@@ -616,7 +616,7 @@
   const auto is_known = [this](const WorkerId& worker) {
     return this->scheduler->sessions().contains(worker);
   };
-  this->renewals->DropUnknown(is_known);
+  this->renewals->RemoveUnknown(is_known);
   for (const WorkerId& worker : changed) {
     if (is_known(worker)) {
       this->renewals->Begin(worker);
@@ -700,12 +700,12 @@
                                  this->load.work_times.Measure(Work::kRenewal);
                              return this->relayed->Renew(order);
                            },
-                       .take =
+                       .handle_answer =
                            [this](const WorkerId& worker,
                                   const scheduler::RenewAnswer& answer) {
                              return this->HandleRenewalAnswer(worker, answer);
                            },
-                       .forget =
+                       .on_removed =
                            [this](const WorkerId& worker) {
                              this->relayed->RemoveWorker(worker);
                            }});
@@ -724,7 +724,7 @@
     this->scheduler->HandleRenewalFailure(worker, answer.result,
                                           this->clock.SteadyNow());
     this->SchedulePlan();
-    return {.recorded = nullptr, .pause = kRenewalPause};
+    return {.committed = nullptr, .pause = kRenewalPause};
   }
   scheduler::EndsToRecord ends =
       this->HandleWorkerReport(worker, answer.report, this->clock.SteadyNow());
@@ -732,9 +732,9 @@
     this->SchedulePlan();
   }
   if (ends.up_to == 0) {
-    return {.recorded = nullptr, .pause = Milliseconds(0)};
+    return {.committed = nullptr, .pause = Milliseconds(0)};
   }
-  return {.recorded = this->RecordEnds(worker, std::move(ends)),
+  return {.committed = this->RecordEnds(worker, std::move(ends)),
           .pause = this->loop_pacer.ReportPause()};
 }
 
--- a/services/sumacd/worker_renewals.cc
+++ b/services/sumacd/worker_renewals.cc
@@ -16,7 +16,7 @@
 // The maximum time that a renewal waits until ends are committed. A commit that
 // takes longer than a lease must not end the lease of a healthy worker. Leases
 // of 6 s outlast ten such waits.
-constexpr Milliseconds kLongestRecordWait{500};
+constexpr Milliseconds kMaxCommitWait{500};
 
 }  // namespace
 
@@ -31,12 +31,12 @@
   if (is_new) {
     renewal->second.loop =
         this->timer.afterDelay(ToKj(pause))
-            .then([this, worker] { return this->Loop(worker); })
+            .then([this, worker] { return this->RenewalLoop(worker); })
             .eagerlyEvaluate(nullptr);
   }
 }
 
-void WorkerRenewals::DropUnknown(
+void WorkerRenewals::RemoveUnknown(
     const std::function<bool(const WorkerId&)>& is_known) {
   for (auto item = this->renewals.begin(); item != this->renewals.end();) {
     if (is_known(item->first)) {
@@ -48,10 +48,10 @@
   }
 }
 
-kj::Promise<void> WorkerRenewals::Loop(const WorkerId& worker) {
+kj::Promise<void> WorkerRenewals::RenewalLoop(const WorkerId& worker) {
   if (!this->host.may_act()) {
     return this->timer.afterDelay(ToKj(kNoLeasePause)).then([this, worker] {
-      return this->Loop(worker);
+      return this->RenewalLoop(worker);
     });
   }
   const auto order = this->host.next(worker);
@@ -61,48 +61,50 @@
   return this->host.renew(*order)
       .then([this, worker,
              pause = order->pause](const scheduler::RenewAnswer& answer) {
-        return this->TakeAnswer(worker, answer, pause);
+        return this->HandleAnswer(worker, answer, pause);
       })
-      .then([this, worker] { return this->Loop(worker); });
+      .then([this, worker] { return this->RenewalLoop(worker); });
 }
 
-kj::Promise<void> WorkerRenewals::TakeAnswer(
+kj::Promise<void> WorkerRenewals::HandleAnswer(
     const WorkerId& worker,
     const scheduler::RenewAnswer& answer,
-    Milliseconds least_pause) {
+    Milliseconds min_pause) {
   RenewalOutcome outcome = this->host.take(worker, answer);
-  const std::shared_ptr<OpenRecords>& open = this->renewals.at(worker).open;
-  KJ_IF_MAYBE (recorded, outcome.recorded) {
-    this->AwaitRecord(open, kj::mv(*recorded));
+  const std::shared_ptr<PendingReports>& pending =
+      this->renewals.at(worker).pending;
+  KJ_IF_MAYBE (committed, outcome.committed) {
+    this->AwaitCommit(pending, kj::mv(*committed));
   }
-  const Milliseconds pause = std::max(outcome.pause, least_pause);
-  return this->AwaitSettled(*open).then([this, pause]() -> kj::Promise<void> {
-    if (pause == Milliseconds(0)) {
-      return kj::READY_NOW;
-    }
-    return this->timer.afterDelay(ToKj(pause));
-  });
+  const Milliseconds pause = std::max(outcome.pause, min_pause);
+  return this->AwaitAllCommitted(*pending).then(
+      [this, pause]() -> kj::Promise<void> {
+        if (pause == Milliseconds(0)) {
+          return kj::READY_NOW;
+        }
+        return this->timer.afterDelay(ToKj(pause));
+      });
 }
 
-void WorkerRenewals::AwaitRecord(const std::shared_ptr<OpenRecords>& open,
-                                 kj::Promise<void> recorded) {
-  ++open->count;
-  this->records.add(recorded.then([open] {
-    if (--open->count == 0 && open->settled.get() != nullptr) {
-      open->settled->fulfill();
+void WorkerRenewals::AwaitCommit(const std::shared_ptr<PendingReports>& pending,
+                                 kj::Promise<void> committed) {
+  ++pending->count;
+  this->commit_waits.add(committed.then([pending] {
+    if (--pending->count == 0 && pending->all_committed.get() != nullptr) {
+      pending->all_committed->fulfill();
     }
   }));
 }
 
 // Waits until all ends are committed, or for the maximum time.
-kj::Promise<void> WorkerRenewals::AwaitSettled(OpenRecords& open) {
-  if (open.count == 0) {
+kj::Promise<void> WorkerRenewals::AwaitAllCommitted(PendingReports& pending) {
+  if (pending.count == 0) {
     return kj::READY_NOW;
   }
-  auto settled = kj::newPromiseAndFulfiller<void>();
-  open.settled = kj::mv(settled.fulfiller);
-  return settled.promise.exclusiveJoin(
-      this->timer.afterDelay(ToKj(kLongestRecordWait)));
+  auto all_committed = kj::newPromiseAndFulfiller<void>();
+  pending.all_committed = kj::mv(all_committed.fulfiller);
+  return all_committed.promise.exclusiveJoin(
+      this->timer.afterDelay(ToKj(kMaxCommitWait)));
 }
 
 void WorkerRenewals::taskFailed(kj::Exception&& exception) {
