--- a/services/sumacd/job_controller.cc
+++ b/services/sumacd/job_controller.cc
@@ -230,16 +230,17 @@
 void JobController::BeginLeadership() {
   const Term term = this->host->replica().term();
   this->term_watch.Begin(term);
-  this->tasks.add(this->Propose(jobs::BeginEpoch{})
-                      .then([this, term](const fleet::Answer& answer) {
-                        if (this->term_watch.TakeEpoch(term, answer.is_ok())) {
-                          this->StartScheduling();
-                        } else {
-                          LogEvent(LogLevel::kWarning, "epoch-not-begun",
-                                   {{"term", term.value()},
-                                    {"code", static_cast<int>(answer.code)}});
-                        }
-                      }));
+  this->tasks.add(
+      this->Propose(jobs::BeginEpoch{})
+          .then([this, term](const fleet::Answer& answer) {
+            if (this->term_watch.HandleEpochResult(term, answer.is_ok())) {
+              this->StartScheduling();
+            } else {
+              LogEvent(LogLevel::kWarning, "epoch-not-begun",
+                       {{"term", term.value()},
+                        {"code", static_cast<int>(answer.code)}});
+            }
+          }));
 }
 
 void JobController::StartScheduling() {
--- a/services/sumacd/term_watch.h
+++ b/services/sumacd/term_watch.h
@@ -28,7 +28,7 @@
   // Handles the result of proposing the epoch of `term`. Returns true if the
   // controller acts as leader from now on. After a refusal it is idle and may
   // propose the epoch again.
-  bool TakeEpoch(Term term, bool is_committed);
+  bool HandleEpochResult(Term term, bool is_committed);
 
  private:
   Term current;
