--- a/services/sumacd/controller.cc
+++ b/services/sumacd/controller.cc
@@ -74,7 +74,7 @@
         });
       });
   if (!settings.platform_address.empty()) {
-    this->teller = std::make_unique<PlatformTeller>(
+    this->platform_notifier = std::make_unique<PlatformNotifier>(
         http::PlatformClient(settings.platform_address, kPlatformTimeout),
         [this, &executor](const fleet::RecordPlatformReport& report) {
           executor.executeSync(
@@ -127,8 +127,8 @@
                                              this->clock.Now(), now)) {
     this->ProposeInBackground(std::move(command));
   }
-  if (this->teller) {
-    this->teller->Tell(fleet::PlatformSteps(this->state()), now);
+  if (this->platform_notifier) {
+    this->platform_notifier->Enqueue(fleet::PlatformSteps(this->state()), now);
   }
 }
 
@@ -254,8 +254,8 @@
 
 void Controller::StopThreads() {
   this->snapshot_writer->Stop();
-  if (this->teller) {
-    this->teller->Stop();
+  if (this->platform_notifier) {
+    this->platform_notifier->Stop();
   }
 }
 
--- a/services/sumacd/controller.h
+++ b/services/sumacd/controller.h
@@ -25,7 +25,7 @@
 #include "libraries/fleet/view_history.h"
 #include "libraries/replication/replica.h"
 #include "services/sumacd/peers.h"
-#include "services/sumacd/platform_teller.h"
+#include "services/sumacd/platform_notifier.h"
 #include "services/sumacd/replica_host.h"
 #include "services/sumacd/settings.h"
 #include "services/sumacd/snapshot_writer.h"
@@ -134,7 +134,7 @@
   fleet::FleetMachine machine;
   std::unique_ptr<ReplicaHost> host;
   fleet::SoftState soft;
-  std::unique_ptr<PlatformTeller> teller;
+  std::unique_ptr<PlatformNotifier> platform_notifier;
   std::unique_ptr<SnapshotWriter> snapshot_writer;
 
   Term leading_term;
