--- a/services/sumacd/platform_notifier.cc
+++ b/services/sumacd/platform_notifier.cc
@@ -39,13 +39,13 @@
 void PlatformNotifier::Enqueue(const std::vector<fleet::PlatformStep>& steps,
                                SteadyTime now) {
   const std::lock_guard lock(this->mutex);
-  std::erase_if(this->queued_at, [&](const auto& told) {
-    return now - told.second > 10 * kResendInterval;
+  std::erase_if(this->queued_at, [&](const auto& entry) {
+    return now - entry.second > 10 * kResendInterval;
   });
   for (const fleet::PlatformStep& step : steps) {
-    const auto told = this->queued_at.find(step.operation);
-    if (told == this->queued_at.end() ||
-        now - told->second >= kResendInterval) {
+    const auto queued = this->queued_at.find(step.operation);
+    if (queued == this->queued_at.end() ||
+        now - queued->second >= kResendInterval) {
       this->queued_at[step.operation] = now;
       this->queue.push_back(step);
     }
