--- a/services/sumacd/commit_rounds.h
+++ b/services/sumacd/commit_rounds.h
@@ -23,9 +23,9 @@
 
  private:
   kj::Timer& timer;
-  // The last round; `is_over` is true once it has begun.
+  // The last round; `has_round_begun` is true once it has begun.
   kj::Maybe<kj::ForkedPromise<void>> round;
-  bool is_over = true;
+  bool has_round_begun = true;
 };
 
 }  // namespace sumac::daemon
--- a/services/sumacd/loop_probe.h
+++ b/services/sumacd/loop_probe.h
@@ -35,9 +35,9 @@
   kj::OneWayPipe pipe;
   char sent = 0;
   char received = 0;
-  bool is_open = false;
+  bool is_byte_in_flight = false;
   SteadyTime sent_at{};
-  Milliseconds last{0};
+  Milliseconds last_lateness{0};
   kj::TaskSet tasks;
 };
 
