--- a/tests/services/sumacd/commit_rounds_test.cc
+++ b/tests/services/sumacd/commit_rounds_test.cc
@@ -11,7 +11,7 @@
 
 // Commands that arrive before a round begins are part of it, in their order; a
 // later one waits for the next round.
-TEST(CommitRoundsTest, WhatComesWhileARoundIsGatheredGoesWithIt) {
+TEST(CommitRoundsTest, CommandsBeforeARoundBeginsArePartOfIt) {
   auto io = kj::setupAsyncIo();
   kj::TimerImpl timer(kj::origin<kj::TimePoint>());
   CommitRounds rounds(timer);
--- a/tests/services/sumacd/instance_orders_test.cc
+++ b/tests/services/sumacd/instance_orders_test.cc
@@ -27,12 +27,12 @@
 using jobs::MaintenanceState;
 
 const WaveId kWave("1");
-const InstanceName kEmptied("m0");
-const std::string kEmptiedWorker("w0");
-constexpr Milliseconds kTurn{50};
+const InstanceName kDrainedInstance("m0");
+const std::string kDrainedWorker("w0");
+constexpr Milliseconds kPassInterval{50};
 // Longer than the time in which a new leader sends no orders and the time that
 // its first orders take.
-constexpr Milliseconds kFirstSeconds{5'000};
+constexpr Milliseconds kTimeOfFirstOrders{5'000};
 
 // Leaders of a fake fleet that run the planners of instances in every step of
 // time. Their orders are recorded and not carried out.
@@ -55,13 +55,13 @@
   // Runs the planners of instances and then the scheduler, in the order of a
   // leader.
   void PassTime(Milliseconds time) {
-    for (Milliseconds passed{0}; passed < time; passed += kTurn) {
-      this->Look();
-      this->fleet.PassTime(kTurn);
+    for (Milliseconds passed{0}; passed < time; passed += kPassInterval) {
+      this->RunPlanners();
+      this->fleet.PassTime(kPassInterval);
     }
   }
 
-  void Look() {
+  void RunPlanners() {
     const auto facts = GatherInstanceFacts(*this->fleet.scheduler);
     maintenance::MaintenanceOutput output = this->waves->Plan(
         this->fleet.state, facts, {}, this->wall(), this->fleet.now);
@@ -74,11 +74,11 @@
       this->fleet.Commit(std::move(command));
     }
     for (const maintenance::InstanceOrder& order : output.orders) {
-      this->Take(order);
+      this->RecordOrder(order);
     }
   }
 
-  void Take(const maintenance::InstanceOrder& order) {
+  void RecordOrder(const maintenance::InstanceOrder& order) {
     for (const auto& [id, worker] : this->fleet.all_workers()) {
       if (worker.description.instance == order.instance) {
         this->ended_tasks += worker.running().size();
@@ -96,7 +96,7 @@
 
   // Submits three long-running tasks, one for each worker, with a disruption
   // budget of one.
-  void SubmitLasting() {
+  void SubmitLongRunningTasks() {
     this->fleet.Submit("lasting", jobs::StepSpec{.count = 3,
                                                  .most_per_worker = 1,
                                                  .is_long_running = true,
@@ -104,15 +104,16 @@
                                                  .disruption_budget = 1});
   }
   // Commits an order for the maintenance of the first worker's instance.
-  void LetTheFirstWorkerBeEmptied() {
+  void CommitMaintenanceOfTheFirstWorker() {
     this->fleet.Commit(
-        jobs::StartWave{kWave, {kEmptied}, Milliseconds(20'000), 1});
-    this->fleet.Commit(jobs::RecordMaintenance{
-        kWave, kEmptied, MaintenanceState::kOrdered, WorkerId(kEmptiedWorker)});
+        jobs::StartWave{kWave, {kDrainedInstance}, Milliseconds(20'000), 1});
+    this->fleet.Commit(jobs::RecordMaintenance{kWave, kDrainedInstance,
+                                               MaintenanceState::kOrdered,
+                                               WorkerId(kDrainedWorker)});
   }
-  std::size_t RunsOfTheFirstWorker() const {
+  std::size_t CountRunsOfTheFirstWorker() const {
     return this->fleet.all_workers()
-        .at(WorkerId(kEmptiedWorker))
+        .at(WorkerId(kDrainedWorker))
         .running()
         .size();
   }
@@ -127,63 +128,65 @@
   std::size_t ended_tasks = 0;
 };
 
-TEST_F(InstanceOrdersTest, ANewLeaderLeavesAnInstanceEmptyThatMayBeMaintained) {
+TEST_F(InstanceOrdersTest,
+       ANewLeaderStartsNothingOnAnInstanceOrderedForMaintenance) {
   this->PassTime(Milliseconds(500));
-  this->LetTheFirstWorkerBeEmptied();
+  this->CommitMaintenanceOfTheFirstWorker();
   this->ChangeLeader();
-  this->SubmitLasting();
-  this->PassTime(kFirstSeconds);
-  EXPECT_EQ(this->RunsOfTheFirstWorker(), 0U);
+  this->SubmitLongRunningTasks();
+  this->PassTime(kTimeOfFirstOrders);
+  EXPECT_EQ(this->CountRunsOfTheFirstWorker(), 0U);
   ASSERT_EQ(this->orders.size(), 1U);
   EXPECT_EQ(this->ended_tasks, 0U);
 }
 
-TEST_F(InstanceOrdersTest, AnOrderOnRecordWaitsForTheTasksThatRunThere) {
+TEST_F(InstanceOrdersTest, ACommittedOrderWaitsForTheTasksOfItsInstance) {
   this->PassTime(Milliseconds(500));
-  this->SubmitLasting();
+  this->SubmitLongRunningTasks();
   this->PassTime(Milliseconds(2'000));
-  ASSERT_EQ(this->RunsOfTheFirstWorker(), 1U);
-  this->LetTheFirstWorkerBeEmptied();
+  ASSERT_EQ(this->CountRunsOfTheFirstWorker(), 1U);
+  this->CommitMaintenanceOfTheFirstWorker();
   this->ChangeLeader();
   // There is no free place elsewhere, so the task can't be moved.
-  this->PassTime(kFirstSeconds);
+  this->PassTime(kTimeOfFirstOrders);
   EXPECT_EQ(this->ended_tasks, 0U);
   EXPECT_TRUE(this->orders.empty());
 }
 
 // The order of the previous leader may be carried out at any time.
-TEST_F(InstanceOrdersTest, ANewLeaderLeavesAnInstanceEmptyThatMayBeMoved) {
+TEST_F(InstanceOrdersTest, ANewLeaderStartsNothingOnAnInstanceOrderedToMove) {
   this->PassTime(Milliseconds(500));
-  this->fleet.Commit(
-      jobs::RecordMoves{.instances = {kEmptied},
-                        .workers = {{kEmptied, WorkerId(kEmptiedWorker)}}});
+  this->fleet.Commit(jobs::RecordMoves{
+      .instances = {kDrainedInstance},
+      .workers = {{kDrainedInstance, WorkerId(kDrainedWorker)}}});
   this->ChangeLeader();
-  this->SubmitLasting();
+  this->SubmitLongRunningTasks();
   this->PassTime(Milliseconds(2'000));
-  EXPECT_EQ(this->RunsOfTheFirstWorker(), 0U);
+  EXPECT_EQ(this->CountRunsOfTheFirstWorker(), 0U);
 }
 
 // The instance was down when its move was recorded, so its worker started
 // later.
-TEST_F(InstanceOrdersTest, AWorkerOnAnInstanceThatWasOffIsUsed) {
+TEST_F(InstanceOrdersTest, AWorkerOnAnInstanceThatWasDownAtItsMoveIsUsed) {
   this->PassTime(Milliseconds(500));
-  this->fleet.Commit(jobs::RecordMoves{.instances = {kEmptied}});
+  this->fleet.Commit(jobs::RecordMoves{.instances = {kDrainedInstance}});
   this->ChangeLeader();
-  this->SubmitLasting();
+  this->SubmitLongRunningTasks();
   this->PassTime(Milliseconds(2'000));
-  EXPECT_EQ(this->RunsOfTheFirstWorker(), 1U);
+  EXPECT_EQ(this->CountRunsOfTheFirstWorker(), 1U);
 }
 
 // After the order was carried out another worker runs on the instance and can
 // be used.
-TEST_F(InstanceOrdersTest, AWorkerThatBeganAfterTheMoveIsUsed) {
+TEST_F(InstanceOrdersTest, AWorkerStartedAfterTheMoveIsUsed) {
   this->PassTime(Milliseconds(500));
-  this->fleet.Commit(jobs::RecordMoves{
-      .instances = {kEmptied}, .workers = {{kEmptied, WorkerId("before")}}});
+  this->fleet.Commit(
+      jobs::RecordMoves{.instances = {kDrainedInstance},
+                        .workers = {{kDrainedInstance, WorkerId("before")}}});
   this->ChangeLeader();
-  this->SubmitLasting();
+  this->SubmitLongRunningTasks();
   this->PassTime(Milliseconds(2'000));
-  EXPECT_EQ(this->RunsOfTheFirstWorker(), 1U);
+  EXPECT_EQ(this->CountRunsOfTheFirstWorker(), 1U);
 }
 
 }  // namespace
