--- a/services/sumacd/commit_rounds.h
+++ b/services/sumacd/commit_rounds.h
@@ -23,7 +23,7 @@
 
  private:
   kj::Timer& timer;
-  // The last round; `has_round_begun` is true once it has begun.
+  // The last round, and whether it has begun.
   kj::Maybe<kj::ForkedPromise<void>> round;
   bool has_round_begun = true;
 };
--- a/services/sumacd/instance_manager.h
+++ b/services/sumacd/instance_manager.h
@@ -28,7 +28,7 @@
 // the core's event loop.
 class InstanceManager : private kj::TaskSet::ErrorHandler {
  public:
-  // The functions of the controller that the keeper uses.
+  // The functions of the controller that the manager uses.
   struct Host {
     // Commits a command.
     std::function<kj::Promise<fleet::Answer>(jobs::Command)> propose;
--- a/services/sumacd/job_controller.cc
+++ b/services/sumacd/job_controller.cc
@@ -351,9 +351,10 @@
       ended.insert(end.task.step.job);
     }
     std::for_each(ended.begin(), ended.end(), add);
-  } else if (const auto* forget = std::get_if<jobs::ForgetWorker>(&command)) {
+  } else if (const auto* forget_worker =
+                 std::get_if<jobs::ForgetWorker>(&command)) {
     std::set<JobId> crashed;
-    for (const jobs::CrashedRun& run : forget->crashed_runs) {
+    for (const jobs::CrashedRun& run : forget_worker->crashed_runs) {
       crashed.insert(run.task.step.job);
     }
     std::for_each(crashed.begin(), crashed.end(), add);
@@ -710,10 +711,10 @@
                            [this](const WorkerId& worker) {
                              this->relayed->RemoveWorker(worker);
                            }});
-  std::size_t begun = 0;
+  std::size_t index = 0;
   for (const auto& [worker, session] : this->scheduler->sessions()) {
     const auto batch_index =
-        static_cast<std::int64_t>(begun++ / kRenewalsPerBatch);
+        static_cast<std::int64_t>(index++ / kRenewalsPerBatch);
     this->renewals->Begin(worker, batch_index * kBatchPause);
   }
 }
--- a/services/sumacd/worker_renewals.cc
+++ b/services/sumacd/worker_renewals.cc
@@ -22,7 +22,7 @@
 
 WorkerRenewals::~WorkerRenewals() {
   for (const auto& [worker, renewal] : this->renewals) {
-    this->host.forget(worker);
+    this->host.on_removed(worker);
   }
 }
 
@@ -43,7 +43,7 @@
       ++item;
       continue;
     }
-    this->host.forget(item->first);
+    this->host.on_removed(item->first);
     item = this->renewals.erase(item);
   }
 }
@@ -70,7 +70,7 @@
     const WorkerId& worker,
     const scheduler::RenewAnswer& answer,
     Milliseconds min_pause) {
-  RenewalOutcome outcome = this->host.take(worker, answer);
+  RenewalOutcome outcome = this->host.handle_answer(worker, answer);
   const std::shared_ptr<PendingReports>& pending =
       this->renewals.at(worker).pending;
   KJ_IF_MAYBE (committed, outcome.committed) {
