--- a/services/sumacd/job_controller.cc
+++ b/services/sumacd/job_controller.cc
@@ -90,7 +90,7 @@
   callbacks.apply = [self](const std::string& payload) {
     return self->Apply(payload);
   };
-  callbacks.after_pass = [self] { self->HandleAppliedCommands(); };
+  callbacks.after_pump = [self] { self->HandleAppliedCommands(); };
   callbacks.begin_snapshot = [self](LogIndex index) {
     const auto measured = self->load.work_times.Measure(Work::kSnapshot);
     self->snapshot_writer->Begin(index, self->jobs_state.record());
@@ -635,7 +635,7 @@
               [this](const ProcessName& controller) {
                 return this->peers.Find(controller);
               },
-          .lease_end = [this] { return this->host->ActsUntil(); },
+          .lease_end = [this] { return this->host->MayActUntil(); },
           .data_centre_of =
               [this](const WorkerId& id) {
                 const jobs::Worker* worker = this->jobs_state.FindWorker(id);
