--- a/services/sumacd/instance_keeper.h
+++ b/services/sumacd/instance_manager.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef SERVICES_SUMACD_INSTANCE_KEEPER_H_
-#define SERVICES_SUMACD_INSTANCE_KEEPER_H_
+#ifndef SERVICES_SUMACD_INSTANCE_MANAGER_H_
+#define SERVICES_SUMACD_INSTANCE_MANAGER_H_
 
 #include <kj/async.h>
 
@@ -22,31 +22,33 @@
 
 namespace sumac::daemon {
 
-// What a leader does about instances: it keeps the platform's list fresh while
-// that is of use, and carries out what the maintenance planner decides. Lives
-// as long as one leadership and belongs to the core's event loop.
-class InstanceKeeper : private kj::TaskSet::ErrorHandler {
+// Manages instances for a leader: fetches the platform's list of instances at
+// an interval that depends on the need for it, and carries out the decisions of
+// the maintenance and capacity planners. Exists for one leadership and runs on
+// the core's event loop.
+class InstanceManager : private kj::TaskSet::ErrorHandler {
  public:
-  // What the keeper needs of its controller.
+  // The functions of the controller that the manager uses.
   struct Host {
     // Commits a command.
     std::function<kj::Promise<fleet::Answer>(jobs::Command)> propose;
     // True while this leader's lease holds.
     std::function<bool()> may_act;
-    // Counts an order about an instance that leaves.
+    // Counts an order about an instance that is sent to the platform.
     std::function<void()> count_order = [] {};
   };
 
-  InstanceKeeper(const jobs::JobsState& state,
-                 scheduler::Scheduler& scheduler,
-                 maintenance::InstanceCalls calls,
-                 Host host,
-                 maintenance::MaintenanceSettings maintenance_settings,
-                 maintenance::CapacitySettings capacity_settings,
-                 ProcessName holder,
-                 SteadyTime now);
+  InstanceManager(const jobs::JobsState& state,
+                  scheduler::Scheduler& scheduler,
+                  maintenance::InstanceCalls calls,
+                  Host host,
+                  maintenance::MaintenanceSettings maintenance_settings,
+                  maintenance::CapacitySettings capacity_settings,
+                  ProcessName holder,
+                  SteadyTime now);
 
-  // Looks at waves and instances; called often.
+  // Runs the planners of waves and instances and refreshes the list if they are
+  // due; to be called often.
   void Plan(WallTime wall_now, SteadyTime now);
 
  private:
@@ -55,12 +57,13 @@
   void PlanCapacity(std::map<InstanceName, maintenance::InstanceFacts>& facts,
                     maintenance::MaintenanceOutput& wave_output,
                     SteadyTime now);
-  std::vector<jobs::Command> TakeResult(const maintenance::InstanceOrder& order,
-                                        maintenance::InstanceResult result);
+  std::vector<jobs::Command> HandleInstanceResult(
+      const maintenance::InstanceOrder& order,
+      maintenance::InstanceResult result);
   void Commit(std::vector<jobs::Command> commands);
   void Send(const maintenance::InstanceOrder& order);
   void RefreshList(SteadyTime now);
-  void CheckLives();
+  void UpdateInstanceStatuses();
   void LogList() const;
   kj::Promise<void> FetchPages(std::string token);
 
@@ -75,14 +78,15 @@
   SteadyTime last_list{};
   bool is_listing = false;
   std::vector<maintenance::ListedInstance> pages;
-  // Rows of these pages that don't tell which instance they are about.
+  // The number of rows of these pages that don't name their instance.
   std::size_t nameless_rows = 0;
   maintenance::InstanceListing listing;
-  // Commands that are being committed, as their bytes; none is proposed twice.
+  // The encoded commands that are being committed, so that none of them is
+  // proposed twice.
   std::set<std::string> open_commands;
   kj::TaskSet tasks;
 };
 
 }  // namespace sumac::daemon
 
-#endif  // SERVICES_SUMACD_INSTANCE_KEEPER_H_
+#endif  // SERVICES_SUMACD_INSTANCE_MANAGER_H_
--- a/services/sumacd/job_controller.cc
+++ b/services/sumacd/job_controller.cc
@@ -19,19 +19,22 @@
 namespace {
 
 constexpr Milliseconds kTickInterval{20};
-// The group's members are looked after this often.
+// The interval at which the membership of the group of controllers is
+// maintained.
 constexpr Milliseconds kMaintenanceInterval{100};
-// Without news the scheduler looks at its timers this often.
+// The interval of planning passes while nothing changes; the scheduler checks
+// its timers in them.
 constexpr Milliseconds kIdlePlanInterval{100};
-// After a renewal that got no answer, before the next.
+// The pause after a renewal or a commit that failed, before the next attempt.
 constexpr Milliseconds kRenewalPause{150};
-// A new leader asks all workers what they run, in slices: a thousand calls and
-// their connections at once keep its loop from its heartbeats for longer than
-// its followers wait.
-constexpr std::size_t kRenewalsOfSlice = 50;
-constexpr Milliseconds kSlicePause{10};
-
-// Where a job is, in a request's path: its queue and its id.
+// A new leader asks all workers what they run. It starts these calls in
+// batches, since a thousand calls and their connections at once would delay its
+// heartbeats beyond the election timeout of its followers.
+constexpr std::size_t kRenewalsPerBatch = 50;
+constexpr Milliseconds kBatchPause{10};
+
+// The queue and the id of a job, as given by the path of a request. The id is
+// empty if the path names only a queue.
 struct JobAddress {
   const jobs::QueueDeclaration* queue = nullptr;
   JobId job;
@@ -42,9 +45,10 @@
           .message = "no job with this id is known"};
 }
 
-absl::StatusOr<JobAddress> Resolve(const jobs::JobsDeclaration& declaration,
-                                   const std::string& host,
-                                   const std::string& path) {
+absl::StatusOr<JobAddress> ResolveJobAddress(
+    const jobs::JobsDeclaration& declaration,
+    const std::string& host,
+    const std::string& path) {
   if (declaration.version() == 0) {
     return MakeError(ResultCode::kNothingDeclared,
                      "no declaration is in force yet");
@@ -67,11 +71,11 @@
     http::Metrics& metrics,
     jobs::DeclarationDecoder decoder,
     scheduler::WorkerCalls worker_calls,
-    RelayWorkers relay_workers,
+    RelayCallsFactory create_relay_calls,
     maintenance::InstanceCalls instance_calls) {
   std::unique_ptr<JobController> controller(
       new JobController(settings, provider, metrics, std::move(decoder), peers,
-                        std::move(worker_calls), std::move(relay_workers),
+                        std::move(worker_calls), std::move(create_relay_calls),
                         std::move(instance_calls)));
   JobController* self = controller.get();
   const ReplicaHostSettings host{.process = settings.process(),
@@ -86,7 +90,7 @@
   callbacks.apply = [self](const std::string& payload) {
     return self->Apply(payload);
   };
-  callbacks.after_pump = [self] { self->AfterPass(); };
+  callbacks.after_pump = [self] { self->HandleAppliedCommands(); };
   callbacks.begin_snapshot = [self](LogIndex index) {
     const auto measured = self->load.work_times.Measure(Work::kSnapshot);
     self->snapshot_writer->Begin(index, self->jobs_state.record());
@@ -141,7 +145,7 @@
                              jobs::DeclarationDecoder decoder,
                              Peers& peers,
                              scheduler::WorkerCalls worker_calls,
-                             RelayWorkers relay_workers,
+                             RelayCallsFactory create_relay_calls,
                              maintenance::InstanceCalls instance_calls)
     : settings(settings),
       timer(provider.getTimer()),
@@ -150,7 +154,7 @@
       commit_rounds(provider.getTimer()),
       peers(peers),
       worker_calls(std::move(worker_calls)),
-      relay_workers(std::move(relay_workers)),
+      create_relay_calls(std::move(create_relay_calls)),
       instance_calls(std::move(instance_calls)),
       jobs_state(std::move(decoder)),
       tasks(*this) {
@@ -177,13 +181,13 @@
 
 void JobController::Tick() {
   const SteadyTime now = this->clock.SteadyNow();
-  this->load.Measure();
+  this->load.MeasureLateness();
   this->loop_pacer.RecordLateness(this->load.lateness());
   {
     const auto measured = this->load.work_times.Measure(Work::kReplicate);
     this->host->Tick(now);
   }
-  this->FollowLeadership(now);
+  this->UpdateLeadership(now);
   if (!this->scheduler) {
     return;
   }
@@ -201,7 +205,7 @@
                       now);
 }
 
-void JobController::FollowLeadership(SteadyTime now) {
+void JobController::UpdateLeadership(SteadyTime now) {
   const bool is_leader =
       this->host->replica().role() == replication::Role::kLeader;
   const Term term = this->host->replica().term();
@@ -226,44 +230,46 @@
 void JobController::BeginLeadership() {
   const Term term = this->host->replica().term();
   this->term_watch.Begin(term);
-  this->tasks.add(this->Propose(jobs::BeginEpoch{})
-                      .then([this, term](const fleet::Answer& answer) {
-                        if (this->term_watch.TakeEpoch(term, answer.is_ok())) {
-                          this->StartDeciding();
-                        } else {
-                          LogEvent(LogLevel::kWarning, "epoch-not-begun",
-                                   {{"term", term.value()},
-                                    {"code", static_cast<int>(answer.code)}});
-                        }
-                      }));
-}
-
-void JobController::StartDeciding() {
+  this->tasks.add(
+      this->Propose(jobs::BeginEpoch{})
+          .then([this, term](const fleet::Answer& answer) {
+            if (this->term_watch.HandleEpochResult(term, answer.is_ok())) {
+              this->StartScheduling();
+            } else {
+              LogEvent(LogLevel::kWarning, "epoch-not-begun",
+                       {{"term", term.value()},
+                        {"code", static_cast<int>(answer.code)}});
+            }
+          }));
+}
+
+void JobController::StartScheduling() {
   const SteadyTime now = this->clock.SteadyNow();
   const PlatformTimes& times = this->settings.platform_times;
-  scheduler::SchedulerSettings chosen;
+  scheduler::SchedulerSettings scheduler_settings;
   const PolicySettings& policy = this->settings.policy;
-  chosen.orders_by_slack = policy.order_by_slack;
-  chosen.avoids_bad_workers = policy.leave_bad_workers;
+  scheduler_settings.orders_by_slack = policy.order_by_slack;
+  scheduler_settings.avoids_bad_workers = policy.leave_bad_workers;
   if (!policy.forecast) {
-    chosen.forecast.horizon = Milliseconds(0);
+    scheduler_settings.forecast.horizon = Milliseconds(0);
   }
-  chosen.lease.length = std::min(chosen.lease.length, times.longest_lease);
-  chosen.lease.max_waiting = this->worker_calls.max_waiting;
-  chosen.max_stop_time = times.longest_stop;
-  this->scheduler.emplace(this->jobs_state, chosen, now);
+  scheduler_settings.lease.length =
+      std::min(scheduler_settings.lease.length, times.longest_lease);
+  scheduler_settings.lease.max_waiting = this->worker_calls.max_waiting;
+  scheduler_settings.max_stop_time = times.longest_stop;
+  this->scheduler.emplace(this->jobs_state, scheduler_settings, now);
   const maintenance::MaintenanceSettings maintenance{
       .takeover_pause = times.instance_lease,
       .maintenance_time = times.maintenance_time()};
-  this->keeper = std::make_unique<InstanceKeeper>(
+  this->instance_manager = std::make_unique<InstanceManager>(
       this->jobs_state, *this->scheduler, this->instance_calls,
-      InstanceKeeper::Host{
+      InstanceManager::Host{
           .propose =
               [this](jobs::Command command) {
                 return this->Propose(std::move(command));
               },
           .may_act = [this] { return this->host->MayAct(); },
-          .count_order = [this] { this->load.CountPiece(Piece::kMove); }},
+          .count_order = [this] { this->load.CountWorkItem(WorkItem::kMove); }},
       maintenance,
       maintenance::CapacitySettings{.is_on = policy.moves,
                                     .takeover_pause = times.instance_lease,
@@ -279,7 +285,7 @@
             {"epoch", this->jobs_state.epoch().value()},
             {"workers", this->jobs_state.workers().size()},
             {"jobs", this->jobs_state.active_jobs().size()}});
-  this->AfterPass();
+  this->HandleAppliedCommands();
 }
 
 void JobController::EndLeadership() {
@@ -288,7 +294,7 @@
   this->term_watch.End();
   this->renewals.reset();
   this->relayed.reset();
-  this->keeper.reset();
+  this->instance_manager.reset();
   this->scheduler.reset();
   this->changed_workers.clear();
   this->waiting_ends.clear();
@@ -304,27 +310,27 @@
     return fleet::Answer::FromStatus(stamped.status());
   }
   this->has_applied = true;
-  this->NoteChangedWorker(stamped->command);
+  this->RecordAffectedWorkers(stamped->command);
   if (std::holds_alternative<jobs::ForgetWorker>(stamped->command)) {
-    this->load.CountPiece(Piece::kWorkerEnd);
+    this->load.CountWorkItem(WorkItem::kWorkerEnd);
   }
-  const std::vector<JobId> touched = this->ActiveJobsOf(stamped->command);
+  const std::vector<JobId> affected_jobs = this->ActiveJobsOf(stamped->command);
   fleet::Answer answer = this->jobs_state.Apply(*stamped);
-  this->LogFinished(touched);
+  this->LogFinishedJobs(affected_jobs);
   return answer;
 }
 
-// A scheduler takes in all workers when it begins, and from then on those that
-// change.
-void JobController::NoteChangedWorker(const jobs::Command& command) {
+// Remembers the workers that a command affects for the next planning pass. A
+// new scheduler reads all workers itself.
+void JobController::RecordAffectedWorkers(const jobs::Command& command) {
   if (!this->scheduler) {
     return;
   }
   this->changed_workers.merge(this->jobs_state.FindAffectedWorkers(command));
 }
 
-// The active jobs that a command may finish; while another controller leads,
-// none: it writes the lines about them.
+// Returns the active jobs that a command may finish; none while another
+// controller leads, since only the leader logs finished jobs.
 std::vector<JobId> JobController::ActiveJobsOf(
     const jobs::Command& command) const {
   std::vector<JobId> jobs;
@@ -345,9 +351,10 @@
       ended.insert(end.task.step.job);
     }
     std::for_each(ended.begin(), ended.end(), add);
-  } else if (const auto* forget = std::get_if<jobs::ForgetWorker>(&command)) {
+  } else if (const auto* forget_worker =
+                 std::get_if<jobs::ForgetWorker>(&command)) {
     std::set<JobId> crashed;
-    for (const jobs::CrashedRun& run : forget->crashed_runs) {
+    for (const jobs::CrashedRun& run : forget_worker->crashed_runs) {
       crashed.insert(run.task.step.job);
     }
     std::for_each(crashed.begin(), crashed.end(), add);
@@ -355,8 +362,8 @@
   return jobs;
 }
 
-void JobController::LogFinished(const std::vector<JobId>& touched) {
-  for (const JobId& id : touched) {
+void JobController::LogFinishedJobs(const std::vector<JobId>& affected_jobs) {
+  for (const JobId& id : affected_jobs) {
     const jobs::Job* job = this->jobs_state.FindJob(id);
     if (job == nullptr || job->is_active()) {
       continue;
@@ -379,7 +386,7 @@
   }
 }
 
-void JobController::AfterPass() {
+void JobController::HandleAppliedCommands() {
   if (!this->scheduler) {
     return;
   }
@@ -418,7 +425,8 @@
                     request);
 }
 
-// The refusal of one more job of the queue, or nothing if it is taken.
+// Returns the refusal of a new job of the queue, or nothing if the job is
+// admitted.
 std::optional<fleet::Answer> JobController::RefuseIfOverloaded(
     const jobs::QueueDeclaration& queue,
     const JobId& job,
@@ -454,20 +462,20 @@
                   "it would begin too late behind those that wait",
                   forecast.RetryAfter(queue.name, now));
   }
-  if (!this->load.TakesJob()) {
+  if (!this->load.DecideAdmission()) {
     return refuse(scheduler::RefusalReason::kLate,
                   StrCat("this controller is ", this->load.lateness().count(),
                          " ms late"),
                   this->load.RetryAfter());
   }
   forecast.RecordAccepted(queue.name);
-  this->load.CountTakenJob();
+  this->load.CountAcceptedJob();
   return std::nullopt;
 }
 
 kj::Promise<fleet::Answer> JobController::Serve(const jobs::SubmitAt& request) {
-  const auto address =
-      Resolve(this->jobs_state.declaration(), request.host, request.path);
+  const auto address = ResolveJobAddress(this->jobs_state.declaration(),
+                                         request.host, request.path);
   if (!address.ok()) {
     return fleet::Answer::FromStatus(address.status());
   }
@@ -476,12 +484,13 @@
                          .message = "the path holds no job id"};
   }
   if (this->jobs_state.FindJob(address->job) != nullptr) {
-    // A resend. The job is on record, so its answer needs no further commit; in
-    // a rush on a slow leader resends would double the work.
+    // The request was sent again. The job is committed, so no further commit is
+    // needed; under peak load on a slow leader, committing repeated requests
+    // would double the work.
     return fleet::Answer::Success("accepted before");
   }
-  // NOTE: A refusal promises that the job never runs, so it may not be given to
-  // one that is on its way.
+  // NOTE: A refusal promises that the job never runs, so a job whose submission
+  // is being committed must not be refused.
   if (!this->open_submissions.contains(address->job)) {
     if (auto refusal = this->RefuseIfOverloaded(*address->queue, address->job,
                                                 request.spec)) {
@@ -511,8 +520,8 @@
 }
 
 kj::Promise<fleet::Answer> JobController::Serve(const jobs::ShowAt& request) {
-  const auto address =
-      Resolve(this->jobs_state.declaration(), request.host, request.path);
+  const auto address = ResolveJobAddress(this->jobs_state.declaration(),
+                                         request.host, request.path);
   if (!address.ok()) {
     return fleet::Answer::FromStatus(address.status());
   }
@@ -531,8 +540,8 @@
 }
 
 kj::Promise<fleet::Answer> JobController::Serve(const jobs::CancelAt& request) {
-  const auto address =
-      Resolve(this->jobs_state.declaration(), request.host, request.path);
+  const auto address = ResolveJobAddress(this->jobs_state.declaration(),
+                                         request.host, request.path);
   if (!address.ok()) {
     return fleet::Answer::FromStatus(address.status());
   }
@@ -541,7 +550,7 @@
     return UnknownJob();
   }
   if (!job->is_active()) {
-    // Nothing of it will run any more, and that is on record.
+    // It is committed that none of the job's tasks will run any more.
     return fleet::Answer::Success("it has finished");
   }
   return this->Propose(jobs::CancelJob{address->job});
@@ -554,16 +563,17 @@
       std::holds_alternative<jobs::Declare>(request.command) &&
       this->jobs_state.declaration().version() == 0;
   if (is_group_small && is_first_declaration) {
-    // NOTE: Until the group has grown to its full size, it could not bear the
-    // losses that it is declared to bear. Nothing else is accepted before the
-    // first declaration.
+    // NOTE: Until the group has grown to its full size, it can't tolerate as
+    // many failures as declared. Nothing else is accepted before the first
+    // declaration.
     return fleet::Answer{.code = ResultCode::kNothingDeclared,
                          .message = "the group of controllers still grows"};
   }
   if (const auto* declare = std::get_if<jobs::Declare>(&request.command)) {
-    // Reading a document takes every controller some 3 ms, and operators send
-    // each again until they have its answer: 14 in two seconds took a tenth of
-    // a busy leader's loop. The door has checked that it is valid.
+    // Parsing a document takes every controller some 3 ms, and operators resend
+    // each document until they get its answer: 14 in two seconds took a tenth
+    // of the loop time of a busy leader. The operators' listener has already
+    // validated the document.
     if (auto answer = this->jobs_state.AnswerIfNotNewer(*declare)) {
       return *std::move(answer);
     }
@@ -597,8 +607,8 @@
       request.kind, request.name, this->clock.SteadyNow());
 }
 
-// Takes in the workers that changed since the last pass: renews those that are
-// new and stops it for those that are gone.
+// Updates the scheduler with the workers that changed since the last planning
+// pass. Starts renewals for new workers and stops them for removed ones.
 void JobController::SyncWorkers() {
   const std::set<WorkerId> changed = std::exchange(this->changed_workers, {});
   if (changed.empty()) {
@@ -608,7 +618,7 @@
   const auto is_known = [this](const WorkerId& worker) {
     return this->scheduler->sessions().contains(worker);
   };
-  this->renewals->DropUnknown(is_known);
+  this->renewals->RemoveUnknown(is_known);
   for (const WorkerId& worker : changed) {
     if (is_known(worker)) {
       this->renewals->Begin(worker);
@@ -638,8 +648,8 @@
   if (!this->relayed || !this->settings.policy.relays) {
     return;
   }
-  // Half as many end it, so that workers that come and go do not open and close
-  // relays.
+  // Relays are given up only below half of the threshold, so that workers that
+  // come and go don't open and close relays repeatedly.
   const std::size_t workers = this->jobs_state.workers().size();
   const std::size_t wanted = this->settings.policy.relays_from_workers;
   this->uses_relays = workers >= (this->uses_relays ? wanted / 2 : wanted);
@@ -670,7 +680,7 @@
   }
   LogEvent(LogLevel::kInfo, "relays-for-leader", {{"epoch", epoch.value()}});
   return wire::Relay::Client(kj::heap<relay::RelayService>(
-      this->relay_workers(), kj::mv(answers), epoch, this->timer,
+      this->create_relay_calls(), kj::mv(answers), epoch, this->timer,
       relay::RelayService::Host{.is_current = [this](LeaderEpoch own) {
         return own >= this->jobs_state.epoch();
       }}));
@@ -687,59 +697,60 @@
                            },
                        .renew =
                            [this](const scheduler::RenewOrder& order) {
-                             this->load.CountPiece(Piece::kRenewal);
+                             this->load.CountWorkItem(WorkItem::kRenewal);
                              const auto measured =
                                  this->load.work_times.Measure(Work::kRenewal);
                              return this->relayed->Renew(order);
                            },
-                       .take =
+                       .handle_answer =
                            [this](const WorkerId& worker,
                                   const scheduler::RenewAnswer& answer) {
-                             return this->TakeRenewal(worker, answer);
+                             return this->HandleRenewalAnswer(worker, answer);
                            },
-                       .forget =
+                       .on_removed =
                            [this](const WorkerId& worker) {
                              this->relayed->RemoveWorker(worker);
                            }});
-  std::size_t begun = 0;
+  std::size_t index = 0;
   for (const auto& [worker, session] : this->scheduler->sessions()) {
-    const auto slices = static_cast<std::int64_t>(begun++ / kRenewalsOfSlice);
-    this->renewals->Begin(worker, slices * kSlicePause);
+    const auto batch_index =
+        static_cast<std::int64_t>(index++ / kRenewalsPerBatch);
+    this->renewals->Begin(worker, batch_index * kBatchPause);
   }
 }
 
-RenewalOutcome JobController::TakeRenewal(
+RenewalOutcome JobController::HandleRenewalAnswer(
     const WorkerId& worker,
     const scheduler::RenewAnswer& answer) {
   if (answer.result != scheduler::OrderResult::kDone) {
     this->scheduler->HandleRenewalFailure(worker, answer.result,
                                           this->clock.SteadyNow());
     this->SchedulePlan();
-    return {.recorded = nullptr, .pause = kRenewalPause};
+    return {.committed = nullptr, .pause = kRenewalPause};
   }
   scheduler::EndsToRecord ends =
-      this->TakeReport(worker, answer.report, this->clock.SteadyNow());
+      this->HandleWorkerReport(worker, answer.report, this->clock.SteadyNow());
   if (this->scheduler->is_dirty()) {
     this->SchedulePlan();
   }
   if (ends.up_to == 0) {
-    return {.recorded = nullptr, .pause = Milliseconds(0)};
+    return {.committed = nullptr, .pause = Milliseconds(0)};
   }
-  return {.recorded = this->RecordEnds(worker, std::move(ends)),
+  return {.committed = this->RecordEnds(worker, std::move(ends)),
           .pause = this->loop_pacer.ReportPause()};
 }
 
-scheduler::EndsToRecord JobController::TakeReport(
+scheduler::EndsToRecord JobController::HandleWorkerReport(
     const WorkerId& worker,
     const scheduler::RenewReport& report,
     SteadyTime now) {
   const auto measured = this->load.work_times.Measure(Work::kReport);
-  this->load.CountPiece(Piece::kReport);
+  this->load.CountWorkItem(WorkItem::kReport);
   return this->scheduler->HandleReport(worker, report, now);
 }
 
-// The worker is told that its ends are known only with the next renewal, after
-// they are committed.
+// Commits the ends that a worker reported. Only a renewal after the commit
+// acknowledges them to the worker.
 kj::Promise<void> JobController::RecordEnds(const WorkerId& worker,
                                             scheduler::EndsToRecord ends) {
   if (ends.ends.empty()) {
@@ -765,7 +776,7 @@
   }));
 }
 
-// All ends that came while the last commit was under way share the next one.
+// Commits all ends that were reported during the last commit with one command.
 void JobController::CommitEnds() {
   if (!this->scheduler || this->waiting_ends.empty()) {
     return;
@@ -787,8 +798,8 @@
             }
             this->is_ends_commit_open = false;
             if (!answer.is_ok()) {
-              // Leadership is in doubt; the same ends are tried again, and
-              // counted once.
+              // Leadership is unconfirmed. The same ends are proposed again; if
+              // they are committed twice, they are counted once.
               LogEvent(LogLevel::kWarning, "ends-not-recorded",
                        {{"code", static_cast<int>(answer.code)}});
               std::move(batch.begin(), batch.end(),
@@ -828,14 +839,14 @@
     return;
   }
   const auto began = std::chrono::steady_clock::now();
-  const auto noted = kj::defer([this, began] {
-    this->NotePass(std::chrono::steady_clock::now() - began);
+  const auto record_duration = kj::defer([this, began] {
+    this->RecordPassDuration(std::chrono::steady_clock::now() - began);
   });
   this->last_plan = this->clock.SteadyNow();
   this->SyncWorkers();
   {
     const auto measured = this->load.work_times.Measure(Work::kInstances);
-    this->keeper->Plan(this->clock.Now(), this->last_plan);
+    this->instance_manager->Plan(this->clock.Now(), this->last_plan);
   }
   const scheduler::StartAllowance allowed = this->load.AllowStarts();
   scheduler::SchedulerOutput output;
@@ -855,34 +866,38 @@
     this->RequestReport(order);
   }
   if (output.question) {
-    this->AskForAdvice(*output.question);
+    this->RequestAdvice(*output.question);
   }
   if (allowed.all > 0 && output.orders.size() >= allowed.all) {
     this->SchedulePlan();
   }
 }
 
-void JobController::NotePass(std::chrono::steady_clock::duration took) {
-  this->load.CountTurn();
+void JobController::RecordPassDuration(
+    std::chrono::steady_clock::duration took) {
+  this->load.CountPlanningPass();
   this->metrics.Observe("sumac_pass_seconds",
                         std::chrono::duration<double>(took).count());
   this->loop_pacer.RecordPass(
       std::chrono::duration_cast<std::chrono::microseconds>(took));
 }
 
-// A report beside the renewals; what it tells is taken in like theirs.
+// Requests a report outside of the renewals and handles it like the report of a
+// renewal.
 void JobController::RequestReport(const scheduler::RenewOrder& order) {
   const Term term = this->term_watch.term();
   this->tasks.add(this->relayed->RequestReport(order).then(
       [this, term, worker = order.worker](
           const scheduler::RenewAnswer& answer) -> kj::Promise<void> {
-        const bool is_ours = this->scheduler && this->term_watch.term() == term;
-        if (!is_ours || answer.result != scheduler::OrderResult::kDone) {
-          // The next renewal tells the same.
+        const bool is_current_term =
+            this->scheduler && this->term_watch.term() == term;
+        if (!is_current_term ||
+            answer.result != scheduler::OrderResult::kDone) {
+          // The next renewal reports the same.
           return kj::READY_NOW;
         }
-        scheduler::EndsToRecord ends =
-            this->TakeReport(worker, answer.report, this->clock.SteadyNow());
+        scheduler::EndsToRecord ends = this->HandleWorkerReport(
+            worker, answer.report, this->clock.SteadyNow());
         this->SchedulePlan();
         if (ends.up_to == 0) {
           return kj::READY_NOW;
@@ -891,7 +906,7 @@
       }));
 }
 
-void JobController::AskForAdvice(const scheduler::AdviceQuestion& question) {
+void JobController::RequestAdvice(const scheduler::AdviceQuestion& question) {
   const Term term = this->term_watch.term();
   this->tasks.add(this->worker_calls.advise(question).then(
       [this, term, question](const scheduler::AdviceAnswer& answer) {
@@ -912,8 +927,8 @@
 }
 
 void JobController::SendOrder(const scheduler::Order& order) {
-  // NOTE: The lease is checked for each order, right before it leaves: a
-  // process that was frozen must send nothing when it goes on.
+  // NOTE: The lease is checked right before each order is sent, since a process
+  // that was suspended must send nothing when it resumes.
   if (!this->host->MayAct()) {
     this->scheduler->HandleOrderAnswer(
         order, {.result = scheduler::OrderResult::kNotSent},
@@ -922,9 +937,9 @@
   }
   const Term term = this->term_watch.term();
   kj::Promise<scheduler::OrderAnswer> answered = this->relayed->Send(order);
-  this->load.CountPiece(std::holds_alternative<scheduler::StartOrder>(order)
-                            ? Piece::kStart
-                            : Piece::kStop);
+  this->load.CountWorkItem(std::holds_alternative<scheduler::StartOrder>(order)
+                               ? WorkItem::kStart
+                               : WorkItem::kStop);
   if (std::holds_alternative<scheduler::StartOrder>(order)) {
     answered = answered.attach(this->load.CountStart());
   }
--- a/services/sumacd/job_controller.h
+++ b/services/sumacd/job_controller.h
@@ -30,7 +30,7 @@
 #include "libraries/scheduler/scheduler.h"
 #include "libraries/scheduler/worker_calls.h"
 #include "services/sumacd/commit_rounds.h"
-#include "services/sumacd/instance_keeper.h"
+#include "services/sumacd/instance_manager.h"
 #include "services/sumacd/leader_load.h"
 #include "services/sumacd/node_settings.h"
 #include "services/sumacd/peers.h"
@@ -41,13 +41,13 @@
 
 namespace sumac::daemon {
 
-// A controller of jobs: a replica of the jobs state and, while it leads, the
-// scheduler above it with its calls to the workers. Belongs to the core's event
+// A controller of jobs. It holds a replica of the jobs state and, while it
+// leads, schedules the jobs and calls the workers. Runs on the core's event
 // loop.
 class JobController : private kj::TaskSet::ErrorHandler {
  public:
-  // Makes the connections to workers of one relay.
-  using RelayWorkers = std::function<relay::OwnedWorkerCalls()>;
+  // Creates the connections to workers that one relay uses.
+  using RelayCallsFactory = std::function<relay::OwnedWorkerCalls()>;
 
   // Opens the data folder and starts the replica.
   static absl::StatusOr<std::unique_ptr<JobController>> Create(
@@ -57,16 +57,16 @@
       http::Metrics& metrics,
       jobs::DeclarationDecoder decoder,
       scheduler::WorkerCalls worker_calls,
-      RelayWorkers relay_workers,
+      RelayCallsFactory create_relay_calls,
       maintenance::InstanceCalls instance_calls);
 
   // Runs until the process ends.
   kj::Promise<void> Run();
 
-  // Answers a request if this controller leads, else kNotLeader.
+  // Answers a request if this controller leads; answers kNotLeader otherwise.
   kj::Promise<fleet::Answer> Ask(const jobs::Request& request);
 
-  // Takes in a message of another replica; see ReplicaHost.
+  // Handles a message of another replica; see ReplicaHost.
   kj::Promise<std::vector<replication::Message>> Receive(
       replication::Message message) {
     const auto measured = this->load.work_times.Measure(Work::kReplicate);
@@ -77,8 +77,8 @@
   }
   absl::Status HandOver() { return this->host->HandOver(); }
 
-  // Makes calls to workers for the leader of `epoch` from now on. kWrongState
-  // while this controller leads or knows a later leadership.
+  // Opens a relay that makes calls to workers for the leader of `epoch`.
+  // Returns kWrongState while this controller leads or knows a later epoch.
   absl::StatusOr<wire::Relay::Client> OpenRelay(
       LeaderEpoch epoch,
       wire::RelayAnswers::Client answers);
@@ -89,7 +89,8 @@
   const ReplicaHost& replica_host() const { return *this->host; }
 
  private:
-  // Ends that wait to be committed together.
+  // Ends of runs that a worker reported and that wait to be committed together
+  // with those of other workers.
   struct WaitingEnds {
     WorkerId worker;
     scheduler::EndsToRecord ends;
@@ -102,23 +103,31 @@
                 jobs::DeclarationDecoder decoder,
                 Peers& peers,
                 scheduler::WorkerCalls worker_calls,
-                RelayWorkers relay_workers,
+                RelayCallsFactory create_relay_calls,
                 maintenance::InstanceCalls instance_calls);
 
   void taskFailed(kj::Exception&& exception) override;
 
   void RegisterMetrics();
+  // Calls Tick at a fixed interval.
   kj::Promise<void> TickLoop();
   void Tick();
-  void FollowLeadership(SteadyTime now);
+  // Begins and ends the leadership according to the state of the replica, and
+  // maintains the membership while it lasts.
+  void UpdateLeadership(SteadyTime now);
+  // Proposes the epoch of a new leadership.
   void BeginLeadership();
-  void StartDeciding();
+  // Creates the scheduler once the epoch is committed.
+  void StartScheduling();
   void EndLeadership();
+  // Applies a committed command to the jobs state.
   fleet::Answer Apply(const std::string& payload);
-  void NoteChangedWorker(const jobs::Command& command);
+  void RecordAffectedWorkers(const jobs::Command& command);
   std::vector<JobId> ActiveJobsOf(const jobs::Command& command) const;
-  void LogFinished(const std::vector<JobId>& touched);
-  void AfterPass();
+  void LogFinishedJobs(const std::vector<JobId>& affected_jobs);
+  // Schedules a planning pass if commands were applied since the last call.
+  void HandleAppliedCommands();
+  // Commits a command and returns the result of applying it.
   kj::Promise<fleet::Answer> Propose(jobs::Command command);
   void ProposeInBackground(jobs::Command command);
 
@@ -135,24 +144,36 @@
   kj::Promise<fleet::Answer> Serve(const jobs::Show& request);
 
   void SyncWorkers();
+  // Creates the calls to workers of this leadership.
   void BeginRelays();
+  // Opens relays on the other members of the group, or closes all of them if
+  // there are too few workers.
   void SyncRelays(SteadyTime now);
+  // Starts the renewals of all workers.
   void BeginRenewals();
-  RenewalOutcome TakeRenewal(const WorkerId& worker,
-                             const scheduler::RenewAnswer& answer);
-  scheduler::EndsToRecord TakeReport(const WorkerId& worker,
-                                     const scheduler::RenewReport& report,
-                                     SteadyTime now);
+  // Handles the answer to a renewal.
+  RenewalOutcome HandleRenewalAnswer(const WorkerId& worker,
+                                     const scheduler::RenewAnswer& answer);
+  // Updates the scheduler with a report and returns the ends to commit.
+  scheduler::EndsToRecord HandleWorkerReport(
+      const WorkerId& worker,
+      const scheduler::RenewReport& report,
+      SteadyTime now);
   kj::Promise<void> RecordEnds(const WorkerId& worker,
                                scheduler::EndsToRecord ends);
   void ScheduleEnds();
   void CommitEnds();
+  // Runs a planning pass after the current pause between passes, unless one is
+  // scheduled already.
   void SchedulePlan();
+  // Runs a planning pass: plans instances and tasks, sends the orders and
+  // proposes the commands.
   void Plan();
-  void NotePass(std::chrono::steady_clock::duration took);
+  // Records the duration of a planning pass.
+  void RecordPassDuration(std::chrono::steady_clock::duration took);
   void SendOrder(const scheduler::Order& order);
   void RequestReport(const scheduler::RenewOrder& order);
-  void AskForAdvice(const scheduler::AdviceQuestion& question);
+  void RequestAdvice(const scheduler::AdviceQuestion& question);
   void LogEvents(const std::vector<scheduler::SchedulerEvent>& events);
 
   const NodeSettings& settings;
@@ -162,22 +183,25 @@
   SystemClock clock;
   Peers& peers;
   scheduler::WorkerCalls worker_calls;
-  RelayWorkers relay_workers;
+  RelayCallsFactory create_relay_calls;
   maintenance::InstanceCalls instance_calls;
   jobs::JobsState jobs_state;
   std::unique_ptr<ReplicaHost> host;
   std::unique_ptr<SnapshotWriter> snapshot_writer;
 
   TermWatch term_watch;
-  // Present once the epoch of this leadership is committed.
+  // The scheduler, from the commit of this leadership's epoch until the
+  // leadership ends.
   std::optional<scheduler::Scheduler> scheduler;
-  std::unique_ptr<InstanceKeeper> keeper;
-  // Present as long as the scheduler.
+  std::unique_ptr<InstanceManager> instance_manager;
+  // The calls to workers, directly or through relays; present as long as the
+  // scheduler is.
   std::optional<relay::RelayedCalls> relayed;
-  // It has enough workers for relays.
+  // True if there are enough workers to use relays.
   bool uses_relays = false;
   std::optional<WorkerRenewals> renewals;
-  // Jobs whose acceptance was proposed and is not decided; resends stand twice.
+  // Jobs whose submission was proposed and has no outcome yet. A job that was
+  // sent again meanwhile is contained once for each request.
   std::multiset<JobId> open_submissions;
   SteadyTime last_maintenance{};
   SteadyTime last_plan{};
@@ -185,7 +209,8 @@
   CommitRounds commit_rounds;
   scheduler::Backlog backlog;
   scheduler::RefusedCallers refused_callers;
-  // Workers of which something was committed since the last pass.
+  // Workers that were affected by commands committed since the last planning
+  // pass.
   std::set<WorkerId> changed_workers;
   bool has_applied = false;
   bool is_plan_scheduled = false;
--- a/services/sumacd/job_queries.cc
+++ b/services/sumacd/job_queries.cc
@@ -12,8 +12,8 @@
 namespace sumac::daemon {
 namespace {
 
-// Jobs in one answer; an answer must stay within one message.
-constexpr std::size_t kMostJobsShown = 500;
+// The maximum number of jobs in one answer, which must fit into one message.
+constexpr std::size_t kMaxListedJobs = 500;
 
 using Rows = nlohmann::json;
 
@@ -24,9 +24,9 @@
 }
 
 Rows DescribeJob(const JobSources& sources, const jobs::Job& job) {
-  std::uint64_t tasks_each_time = 0;
+  std::uint64_t tasks_per_occurrence = 0;
   for (const jobs::StepSpec& step : job.spec.steps) {
-    tasks_each_time += step.count;
+    tasks_per_occurrence += step.count;
   }
   return {{"id", job.id.value()},
           {"queue", job.queue.value()},
@@ -34,12 +34,12 @@
           {"state", StateOf(sources, job)},
           {"reason", job.reason},
           {"steps", job.spec.steps.size()},
-          {"tasks", tasks_each_time * job.spec.occurrences()},
+          {"tasks", tasks_per_occurrence * job.spec.occurrences()},
           {"done", job.CountAllDone()},
           {"accepted_at_ms", job.accepted_at.time_since_epoch().count()}};
 }
 
-// Every run of the job that the leader knows of.
+// Describes every run of the job that the leader knows.
 Rows DescribeRuns(const JobSources& sources, const JobId& job) {
   Rows rows = Rows::array();
   for (const auto& [worker, session] : sources.scheduler.sessions()) {
@@ -55,7 +55,8 @@
   return rows;
 }
 
-// The crashes under the job's tasks, as decisions about it.
+// Describes the worker crashes while the job's tasks were running, as decisions
+// about the job.
 Rows DescribeCrashes(const jobs::Job& job) {
   Rows rows = Rows::array();
   for (const jobs::TaskCrashes& task : job.crashes) {
@@ -86,7 +87,7 @@
   return rows;
 }
 
-// What was decided about a job: the crashes that were counted, and its end.
+// Lists the decisions about a job: the crashes that were counted, and its end.
 fleet::Answer ShowWhyJob(const JobSources& sources, const std::string& name) {
   const jobs::Job* job = sources.state.FindJob(JobId(name));
   if (job == nullptr) {
@@ -106,8 +107,10 @@
   return {.document = std::move(rows)};
 }
 
-// The workers that crashed under a step's tasks, for people.
-std::string CrashesOf(const JobSources& sources, const jobs::StepId& step) {
+// Returns a readable text about the worker crashes while a step's tasks were
+// running.
+std::string DescribeStepCrashes(const JobSources& sources,
+                                const jobs::StepId& step) {
   const jobs::Job* job = sources.state.FindJob(step.job);
   std::string text;
   if (job == nullptr) {
@@ -137,7 +140,7 @@
   }
   Rows rows = Rows::array();
   for (const auto& [sequence, job] : sources.state.active_jobs()) {
-    if (rows.size() < kMostJobsShown) {
+    if (rows.size() < kMaxListedJobs) {
       rows.push_back(DescribeJob(sources, *job));
     }
   }
@@ -214,7 +217,8 @@
   return {.document = std::move(rows)};
 }
 
-// The steps that have no place, of one job or of all, as of the last review.
+// Lists the waiting steps of one job or of all jobs, with the causes found by
+// the last review.
 fleet::Answer ShowWaiting(const JobSources& sources,
                           const std::string& name,
                           SteadyTime now) {
@@ -237,7 +241,7 @@
                     {"not_admitted", cause.not_admitted},
                     {"places", cause.places},
                     {"is_feasible", cause.is_feasible},
-                    {"crashes", CrashesOf(sources, step)}});
+                    {"crashes", DescribeStepCrashes(sources, step)}});
   }
   return {.document = std::move(rows)};
 }
--- a/services/sumacd/term_watch.cc
+++ b/services/sumacd/term_watch.cc
@@ -7,13 +7,13 @@
   return !this->is_idle() && (!is_leader || term != this->current);
 }
 
-bool TermWatch::TakeEpoch(Term term, bool is_committed) {
+bool TermWatch::HandleEpochResult(Term term, bool is_committed) {
   if (this->current != term) {
     return false;
   }
   if (!is_committed) {
-    // The lease may come back in the same term, and without an epoch nothing
-    // would decide in it.
+    // The lease may be regained in the same term, and without an epoch nothing
+    // would be scheduled in it.
     this->End();
   }
   return is_committed;
--- a/services/sumacd/worker_renewals.h
+++ b/services/sumacd/worker_renewals.h
@@ -19,75 +19,76 @@
 
 namespace sumac::daemon {
 
-// What one answer to a renewal leads to.
+// What follows from one answer to a renewal.
 struct RenewalOutcome {
-  // Fulfilled once the ends that the answer listed are on record; nothing if it
-  // listed none.
-  kj::Maybe<kj::Promise<void>> recorded;
-  // Before the next renewal.
+  // Fulfilled once the ends in the answer are committed; nothing if the answer
+  // has none.
+  kj::Maybe<kj::Promise<void>> committed;
+  // The pause before the next renewal.
   Milliseconds pause{0};
 };
 
-// Renews the leases of workers one after the other, each worker in a loop of
-// its own. Lives as long as one leadership and belongs to the core's event
-// loop.
+// Renews the leases of workers again and again, each in a loop of its own.
+// Exists for one leadership and runs on the core's event loop.
 class WorkerRenewals : private kj::TaskSet::ErrorHandler {
  public:
-  // What the loops need of their controller.
+  // The functions of the controller that the loops use.
   struct Host {
     // True while this leader's lease holds.
     std::function<bool()> may_act;
-    // The next renewal for a worker, or nothing if it is not known any more.
+    // Returns the next renewal for a worker, or nothing if the worker is not
+    // known any more.
     std::function<std::optional<scheduler::RenewOrder>(const WorkerId&)> next;
     // Sends a renewal.
     std::function<kj::Promise<scheduler::RenewAnswer>(
         const scheduler::RenewOrder&)>
         renew;
-    // Takes in the answer to a renewal.
+    // Handles the answer to a renewal.
     std::function<RenewalOutcome(const WorkerId&,
                                  const scheduler::RenewAnswer&)>
-        take;
-    // The worker is not renewed any more.
-    std::function<void(const WorkerId&)> forget;
+        handle_answer;
+    // Called when the renewals of a worker end.
+    std::function<void(const WorkerId&)> on_removed;
   };
 
   WorkerRenewals(kj::Timer& timer, Host host)
-      : timer(timer), host(std::move(host)), records(*this) {}
+      : timer(timer), host(std::move(host)), commit_waits(*this) {}
   ~WorkerRenewals();
   WorkerRenewals(const WorkerRenewals&) = delete;
   WorkerRenewals& operator=(const WorkerRenewals&) = delete;
 
-  // Begins to renew a worker after a pause, unless it is renewed already.
+  // Starts the renewals of a worker after a pause, unless they are running.
   void Begin(const WorkerId& worker, Milliseconds pause = Milliseconds(0));
-  // Ends the loops of the workers for which `is_known` is false.
-  void DropUnknown(const std::function<bool(const WorkerId&)>& is_known);
+  // Ends the renewals of the workers for which `is_known` is false.
+  void RemoveUnknown(const std::function<bool(const WorkerId&)>& is_known);
 
  private:
-  // Ends of one worker that are not on record yet.
-  struct OpenRecords {
+  // The reports of one worker whose ends are not committed yet.
+  struct PendingReports {
     std::size_t count = 0;
-    // Fulfilled once there are none.
-    kj::Own<kj::PromiseFulfiller<void>> settled;
+    // Fulfilled once the count is 0.
+    kj::Own<kj::PromiseFulfiller<void>> all_committed;
   };
   struct Renewal {
-    std::shared_ptr<OpenRecords> open = std::make_shared<OpenRecords>();
+    std::shared_ptr<PendingReports> pending =
+        std::make_shared<PendingReports>();
     kj::Promise<void> loop = nullptr;
   };
 
   void taskFailed(kj::Exception&& exception) override;
 
-  kj::Promise<void> Loop(const WorkerId& worker);
-  kj::Promise<void> TakeAnswer(const WorkerId& worker,
-                               const scheduler::RenewAnswer& answer,
-                               Milliseconds least_pause);
-  void AwaitRecord(const std::shared_ptr<OpenRecords>& open,
-                   kj::Promise<void> recorded);
-  kj::Promise<void> AwaitSettled(OpenRecords& open);
+  kj::Promise<void> RenewalLoop(const WorkerId& worker);
+  kj::Promise<void> HandleAnswer(const WorkerId& worker,
+                                 const scheduler::RenewAnswer& answer,
+                                 Milliseconds min_pause);
+  void AwaitCommit(const std::shared_ptr<PendingReports>& pending,
+                   kj::Promise<void> committed);
+  kj::Promise<void> AwaitAllCommitted(PendingReports& pending);
 
   kj::Timer& timer;
   Host host;
   std::map<WorkerId, Renewal> renewals;
-  kj::TaskSet records;
+  kj::TaskSet commit_waits;
 };
 
 }  // namespace sumac::daemon
--- a/tests/services/sumacd/commit_rounds_test.cc
+++ b/tests/services/sumacd/commit_rounds_test.cc
@@ -9,9 +9,9 @@
 namespace sumac::daemon {
 namespace {
 
-// Commands that come while a round is gathered go with it, in their order, and
-// one that comes after it waits for the next.
-TEST(CommitRoundsTest, WhatComesWhileARoundIsGatheredGoesWithIt) {
+// Commands that arrive before a round begins are part of it, in their order; a
+// later one waits for the next round.
+TEST(CommitRoundsTest, CommandsBeforeARoundBeginsArePartOfIt) {
   auto io = kj::setupAsyncIo();
   kj::TimerImpl timer(kj::origin<kj::TimePoint>());
   CommitRounds rounds(timer);
