--- a/libraries/http/async_connection.cc
+++ b/libraries/http/async_connection.cc
@@ -9,14 +9,15 @@
 namespace sumac::http {
 namespace {
 
-// Bytes of an answer's body that are read at most.
+// The maximum size of an answer's body, in bytes.
 constexpr std::uint64_t kMostAnswerBytes = 8ULL << 20;
 
 bool IsDisconnect(const kj::Exception& exception) {
   return exception.getType() == kj::Exception::Type::DISCONNECTED;
 }
 
-// NOTE: kj gives no error number, only its text.
+// Returns true if the connection was refused.
+// NOTE: kj exposes the text of the error only, without its number.
 bool IsRefusal(const kj::Exception& exception) {
   return IsDisconnect(exception) &&
          std::string_view(exception.getDescription().cStr()).find("refused") !=
@@ -25,9 +26,10 @@
 
 constexpr std::string_view kNoPlace = "no connection to spare";
 
-// True if this process had no descriptor for the connection.
-// NOTE: Told by the text: kj's type for it is also that of a timeout, which
-// says that the other side is silent.
+// Returns true if this process lacked a descriptor or a place in the budget for
+// the connection.
+// NOTE: This is determined from the text: kj uses the same exception type for a
+// timeout, which means that the other side is silent.
 bool IsShortage(const kj::Exception& exception) {
   const std::string_view text = exception.getDescription().cStr();
   return text.find(kNoPlace) != std::string_view::npos ||
@@ -52,8 +54,8 @@
       remote_address(std::move(address)),
       budget(budget) {}
 
-// NOTE: Not by the event loop's time, which stands still while the machine is
-// suspended.
+// NOTE: This does not use the event loop's clock, which stops while the machine
+// is suspended.
 bool AsyncConnection::Pending::IsTooLate() const {
   return this->request.longest_wait > Milliseconds(0) &&
          SystemClock().SteadyNow() - this->called_at >
@@ -107,7 +109,8 @@
   }
 }
 
-// Between two calls the connection may be closed for another one.
+// Allows the budget to close the connection between two calls, to make room for
+// another one.
 void AsyncConnection::MarkIdle() {
   KJ_IF_MAYBE (open, this->current) {
     if ((*open)->place) {
@@ -130,7 +133,7 @@
       });
   return TimeoutAfter(this->timer, limit, kj::mv(called))
       .then([is_second](CallReply&& reply) {
-        // The first copy may have arrived.
+        // The second copy was not sent, but the first may have arrived.
         if (is_second && reply.outcome == CallOutcome::kNotSent) {
           reply.outcome = CallOutcome::kNoAnswer;
         }
@@ -149,8 +152,8 @@
             return kj::mv(reply);
           });
         }
-        // After a first try that may have arrived, neither a refusal nor the
-        // lack of a connection proves anything.
+        // If the first copy may have arrived, a refused connection or the lack
+        // of one for the second does not prove that nothing was carried out.
         const bool is_unsent = !attempt->has_connected && !is_second;
         CallReply reply{.error = exception.getDescription().cStr()};
         if (is_unsent && IsRefusal(exception)) {
@@ -229,8 +232,9 @@
       });
 }
 
-// The way to here may have taken long: a connection was opened and asked, and
-// the machine may have been suspended meanwhile.
+// Checks the time limit once more before sending: opening and checking the
+// connection may have taken long, and the machine may have been suspended
+// meanwhile.
 kj::Promise<CallReply> AsyncConnection::SendInTime(kj::Own<Open> open,
                                                    const Pending& call) {
   if (call.IsTooLate()) {
--- a/libraries/http/async_connection.h
+++ b/libraries/http/async_connection.h
@@ -23,19 +23,22 @@
 
 namespace sumac::http {
 
-// How a call over an AsyncConnection went.
+// The outcome of a call over an AsyncConnection.
 enum class CallOutcome {
-  // A whole answer came.
+  // A complete answer arrived.
   kAnswered,
-  // Nobody listens at the address; nothing was sent.
+  // The connection was refused, since nobody listens at the address; nothing
+  // was sent.
   kRefused,
-  // No whole answer came: the other side may or may not have the request.
+  // No complete answer arrived; the other side may or may not have received the
+  // request.
   kNoAnswer,
-  // This process sent nothing: it has no connection to spare, or the request's
-  // turn came too late. It says nothing about the other side.
+  // This process sent nothing, because it had no free connection or the request
+  // waited too long in the queue. The outcome does not mean that the other side
+  // is down.
   kNotSent,
-  // Another process than the expected one is at the address; it was not sent
-  // the request.
+  // A process other than the expected one listens at the address; the request
+  // was not sent.
   kOtherPeer,
 };
 
@@ -44,22 +47,23 @@
   CallOutcome outcome = CallOutcome::kNoAnswer;
   std::uint32_t status = 0;
   std::string body;
-  // The request went out twice: a refusal speaks of the second copy, and the
-  // first may have been carried out.
+  // True if the request was sent twice. A refusal then answers the second copy,
+  // and the first may have been carried out.
   bool is_repeated = false;
-  // What went wrong, for the log; empty for an answer.
+  // A description of the error for the log; empty if an answer arrived.
   std::string error;
 };
 
-// What an answer tells about the process that gave it.
+// The result of checking whether an answer comes from the expected process.
 enum class PeerVerdict { kExpected, kOther, kUnclear };
 
-// Finds out whether the expected process is at the other end of a connection
-// that was just opened. A connection ends with its process, so this holds as
-// long as the connection: what is sent over it reaches no later process at the
-// address.
+// A check, on a newly opened connection, that the expected process is at the
+// other end. A connection ends with its process, so the result holds for as
+// long as the connection: later requests on it can't reach another process at
+// the address.
 struct PeerCheck {
-  // The request that asks; it must do no harm to another process.
+  // The path of the request that performs the check. The request must be
+  // harmless to any other process.
   std::string path;
   std::vector<std::pair<std::string, std::string>> headers;
   std::string body;
@@ -72,68 +76,72 @@
   std::string path;
   std::vector<std::pair<std::string, std::string>> headers;
   std::string body;
-  // Sending it twice has the same effect as once: a connection that turns out
-  // to have been closed while it was idle is replaced and the request sent
-  // again.
+  // True if sending the request twice has the same effect as sending it once.
+  // If a kept connection turns out to have been closed while idle, the request
+  // is then sent again over a new one.
   bool is_idempotent = false;
-  // It must leave within this after the call, or it is not sent; 0 for whenever
-  // its turn comes.
+  // The maximum time between the call and the sending of the request; after it
+  // the request is not sent. 0 for no limit.
   Milliseconds longest_wait{0};
-  // Goes first on a new connection; empty to trust any process there.
+  // The check that precedes the request on a new connection. Without one any
+  // process at the address is accepted.
   std::optional<PeerCheck> check;
 };
 
-// A kept HTTP/1.1 connection to one address on the event loop. A request goes
-// out once all earlier ones are answered or given up, so they arrive in the
-// order of the calls. The connection is opened when first needed and anew after
-// a failure.
+// A persistent HTTP/1.1 connection to one address on the event loop. A request
+// is sent once all earlier ones are answered or have failed, so requests arrive
+// in the order of the calls. The connection is opened when first needed and
+// reopened after a failure.
 class AsyncConnection {
  public:
-  // Without a budget it may be opened at any time.
+  // Without a budget the connection may be opened at any time.
   AsyncConnection(kj::Network& network,
                   kj::Timer& timer,
                   const kj::HttpHeaderTable& headers,
                   std::string address,
                   ConnectionBudget* budget = nullptr);
-  // What is open may outlive it for a moment, but must not call it any more.
+  // Unregisters the `close` callback of the open connection. The connection may
+  // briefly outlive this object, but must not call it any more.
   ~AsyncConnection() { this->MarkBusy(); }
   AsyncConnection(const AsyncConnection&) = delete;
   AsyncConnection& operator=(const AsyncConnection&) = delete;
 
-  // Sends a request and waits for its answer for up to `limit` from when its
-  // turn came, the time to connect included. The promise never fails.
+  // Sends a request and waits for its answer. `limit` counts from when all
+  // earlier calls have ended, and includes the time to connect. The promise
+  // never fails.
   kj::Promise<CallReply> Call(CallRequest request, Milliseconds limit);
 
   const std::string& address() const { return this->remote_address; }
-  // Calls that are under way or wait for their turn.
+  // Returns the number of calls that are in progress or queued.
   std::size_t open_calls() const {
     return this->waiting.size() + (this->is_busy ? 1 : 0);
   }
 
  private:
-  // An open connection; requests under way keep it alive.
+  // An open connection; requests in progress keep it alive.
   struct Open : kj::Refcounted {
     kj::Own<WholeRequestStream> stream;
     kj::Own<kj::HttpClient> client;
     std::optional<ConnectionBudget::Place> place;
     bool is_used = false;
-    // The expected process is at the other end.
+    // True if the check has confirmed the expected process at the other end.
     bool is_checked = false;
 
-    // Lets kj hand the connection to several waiters.
+    // Called by kj's forked promises, to give the connection to several
+    // waiters.
     kj::Own<Open> addRef() { return kj::addRef(*this); }
   };
-  // A call with the time at which it was made.
+  // A request and the time of its call.
   struct Pending {
     CallRequest request;
     SteadyTime called_at{};
 
-    // True if it must not leave any more.
+    // Returns true if the request has waited too long and must not be sent.
     bool IsTooLate() const;
   };
   struct Attempt {
     bool has_connected = false;
-    // The connection had served an earlier request.
+    // True if the connection had served an earlier request.
     bool was_used = false;
     std::uint64_t generation = 0;
   };
@@ -156,12 +164,12 @@
   const kj::HttpHeaderTable& headers;
   std::string remote_address;
   ConnectionBudget* budget;
-  // Counts connections, so that a late failure of an old one does not drop a
-  // new one.
+  // The number of the current connection; increases with each new one, so that
+  // a late failure of an old connection does not drop a new one.
   std::uint64_t generation = 0;
   kj::Maybe<kj::Own<Open>> current;
   kj::Maybe<kj::ForkedPromise<kj::Own<Open>>> connecting;
-  // A call is under way; the others wait for their turn.
+  // True while a call is in progress; the others are in `waiting`.
   bool is_busy = false;
   std::deque<kj::Own<kj::PromiseFulfiller<void>>> waiting;
 };
--- a/libraries/http/async_door.cc
+++ b/libraries/http/async_door.cc
@@ -16,12 +16,14 @@
 namespace {
 
 constexpr std::uint32_t kBodyTooLargeStatus = 413;
-// After an accept that failed, or while too many connections are being refused.
+// The pause before the next accept, after a failed one or while too many
+// connections are being refused.
 constexpr Milliseconds kAcceptPause{50};
-// Connections beyond the budget that are open at once, to be told so.
+// The maximum number of connections beyond the budget that are open at once to
+// be answered with a refusal.
 constexpr std::size_t kMostRefusedAtOnce = 16;
-// When a refused caller should come back, in seconds: connections become idle
-// within the time of a request.
+// The Retry-After value for a refused caller, in seconds. A connection becomes
+// idle once its request is answered.
 constexpr const char* kRetryAfterSeconds = "1";
 
 std::size_t BudgetOf(std::size_t most_connections) {
@@ -39,14 +41,16 @@
 // One open connection.
 class AsyncDoor::Session : public kj::HttpService {
  public:
-  // Without a place it is only told that it is refused.
+  // Without a place in the budget, each request on the connection is answered
+  // with a refusal.
   Session(AsyncDoor& door,
           std::uint64_t number,
           std::optional<ConnectionBudget::Place> place)
       : door(door), number(number), place(std::move(place)) {
     this->NoteIdle();
   }
-  // A request under way ends here and notes so, which needs the place.
+  // Cancels a request in progress first, since its end marks the place as idle,
+  // and `place` must still exist then.
   ~Session() { this->served = nullptr; }
   Session(const Session&) = delete;
   Session& operator=(const Session&) = delete;
@@ -66,7 +70,7 @@
         .attach(kj::defer([this] { this->NoteIdle(); }));
   }
 
-  // Serves the connection until it ends.
+  // The promise that serves the connection until it ends.
   kj::Promise<void> served = nullptr;
 
  private:
@@ -110,7 +114,7 @@
   this->server = kj::heap<kj::HttpServer>(
       timer, *this->header_table,
       [this](kj::AsyncIoStream& /*connection*/) -> kj::Own<kj::HttpService> {
-        // The door owns the sessions; the server only calls them.
+        // The sessions are owned by this listener; the server only calls them.
         Session& newest = *this->sessions.rbegin()->second;
         return kj::Own<kj::HttpService>(&newest, kj::NullDisposer::instance);
       },
@@ -127,8 +131,9 @@
       });
 }
 
-// NOTE: A failure to accept passes: the process may be out of descriptors for a
-// moment. A door that stopped listening for it would stay shut.
+// NOTE: A failed accept is usually temporary: the process may be out of
+// descriptors for a moment. If the loop ended on one, the process would accept
+// no connections until it restarts.
 kj::Promise<void> AsyncDoor::AcceptLoop() {
   return this->receiver->accept()
       .then(
@@ -145,7 +150,8 @@
       .then([this] { return this->AcceptLoop(); });
 }
 
-// Until another connection can at least be told that it is refused.
+// Waits until another connection can be accepted, if only to be answered with a
+// refusal.
 kj::Promise<void> AsyncDoor::AwaitRoom() {
   if (this->refusing < kMostRefusedAtOnce) {
     return kj::READY_NOW;
@@ -155,8 +161,10 @@
   });
 }
 
-// NOTE: The server's own limits end with a request's head: a caller that falls
-// silent within its body, or reads no answer, would be kept for good.
+// NOTE: TCP keep-alive is needed because the server's own timeouts cover a
+// request only up to the end of its head. The connection of a caller that
+// disappears within the body, or does not read the answer, would otherwise stay
+// open for ever.
 void AsyncDoor::Serve(kj::Own<kj::AsyncIoStream> stream) {
   KJ_IF_MAYBE (error, KeepAlive::TryApply(*stream)) {
     LogEvent(LogLevel::kWarning, "connection-not-probed",
@@ -169,10 +177,10 @@
   Session& added = *session;
   this->sessions.emplace(number, kj::mv(session));
   const auto ended = [this, number] {
-    // Not from within the promise that ends with it.
+    // Deferred, because End destroys the promise that calls this function.
     this->tasks.add(kj::evalLater([this, number] { this->End(number); }));
   };
-  // A connection that breaks off concerns only its caller.
+  // A broken connection affects only its caller, so the error is dropped.
   added.served = this->server->listenHttp(kj::mv(stream))
                      .then([ended] { ended(); },
                            [ended](kj::Exception&& /*error*/) { ended(); })
--- a/libraries/http/async_door.h
+++ b/libraries/http/async_door.h
@@ -21,13 +21,13 @@
 
 namespace sumac::http {
 
-// A request that a door has read whole.
+// A request that was read completely, with its body.
 struct DoorRequest {
   kj::HttpMethod method = kj::HttpMethod::GET;
   // The path with its query, as sent.
   std::string path;
   std::string host;
-  // The headers that the door was told to look out for, where present.
+  // The present ones of the headers listed in DoorSettings::headers.
   std::map<std::string, std::string> headers;
   std::string body;
 };
@@ -35,32 +35,34 @@
 // The answer to one request.
 struct DoorReply {
   std::uint32_t status = 200;
-  // Empty for none.
+  // The body; empty for none.
   std::string body;
   const char* content_type = "application/json";
   std::vector<std::pair<std::string, std::string>> headers;
 };
 
-// What a door is made from.
+// The settings of a listener.
 struct DoorSettings {
-  // Where it listens, as IP:PORT.
+  // The address to listen on, as IP:PORT.
   std::string address;
-  // A longer body gets 413 and its connection is closed.
+  // The maximum size of a request's body. A larger body is answered with 413
+  // and its connection is closed.
   std::uint64_t most_body_bytes = 1U << 20;
-  // A request's headers must be there this long after its first byte.
+  // The maximum time from the first byte of a request to the end of its
+  // headers.
   Milliseconds header_time{3'000};
-  // A connection without a request is closed after this.
+  // The time after which a connection without a request is closed.
   Milliseconds idle_time{15'000};
-  // Names of headers that requests are read for.
+  // The names of the headers that are copied into DoorRequest::headers.
   std::vector<std::string> headers;
-  // Connections that may be open at once; 0 for any number. For a further one,
-  // the one that has been idle for the longest is closed; while none is idle,
-  // it is answered that it was refused.
+  // The maximum number of open connections; 0 for no limit. A further
+  // connection replaces the one that has been idle for the longest; if none is
+  // idle, its request is answered with a refusal.
   std::size_t most_connections = 0;
 };
 
-// An HTTP/1.1 server on the event loop: one handler for all requests, many
-// connections, no thread of its own.
+// An HTTP/1.1 server on the event loop. It serves many connections with one
+// handler for all requests, and has no threads of its own.
 class AsyncDoor : private kj::HttpServerCallbacks,
                   private kj::TaskSet::ErrorHandler {
  public:
@@ -71,18 +73,20 @@
   AsyncDoor(const AsyncDoor&) = delete;
   AsyncDoor& operator=(const AsyncDoor&) = delete;
 
-  // Starts to listen; the promise fails with kj::Exception if it can't.
+  // Starts to listen. The promise fails with kj::Exception if that is not
+  // possible.
   kj::Promise<void> Listen(kj::Network& network);
 
-  // From now on every answer asks its connection to close.
+  // Makes every answer from now on ask the client to close the connection.
   void CloseAfterAnswers() { this->is_closing = true; }
 
-  // Stops listening and ends once all requests in hand are answered.
+  // Stops listening. The promise is fulfilled once all requests in progress are
+  // answered.
   kj::Promise<void> Drain();
 
   std::uint64_t open_requests() const { return this->open_count; }
-  // The connections that are open, how many were closed for others, and how
-  // many were refused.
+  // Returns the number of open connections, of those closed for others, and of
+  // those refused.
   const ConnectionBudget& connections() const { return this->budget; }
 
  private:
@@ -111,10 +115,11 @@
   kj::Own<kj::HttpServer> server;
   kj::Own<kj::ConnectionReceiver> receiver;
   kj::Maybe<kj::Promise<void>> listening;
-  // By number. The server calls the newest one's service.
+  // The sessions by number. The server uses the newest one as the service of a
+  // connection that was just accepted.
   std::map<std::uint64_t, kj::Own<Session>> sessions;
   std::uint64_t next_session = 1;
-  // Connections beyond the budget that are about to be refused.
+  // The number of open connections beyond the budget, which are being refused.
   std::size_t refusing = 0;
   bool is_closing = false;
   std::uint64_t open_count = 0;
--- a/libraries/http/caller_message.cc
+++ b/libraries/http/caller_message.cc
@@ -64,8 +64,8 @@
 std::string DigestOf(const CallerRequest& request) {
   Poco::SHA2Engine engine(Poco::SHA2Engine::SHA_256);
   const auto add = [&](const std::string& part) {
-    // Each part goes in with its length, so that parts can't run into each
-    // other.
+    // The length precedes each part, so that different requests never
+    // concatenate to the same bytes.
     engine.update(StrCat(part.size(), ":"));
     engine.update(part);
   };
--- a/libraries/http/caller_message.h
+++ b/libraries/http/caller_message.h
@@ -15,23 +15,24 @@
 
 namespace sumac::http {
 
-// A caller's request, whole.
+// A complete request of a caller.
 struct CallerRequest {
   std::string method;
   ServiceName service;
-  // The path below the service and the query, as they go to the minion.
+  // The path below the service, with the query, as it is sent to the minion.
   std::string target;
   CallerName caller;
-  // How long the caller waits at most; nothing if it did not say.
+  // The maximum time that the caller waits; unset if the request has no
+  // deadline.
   std::optional<Milliseconds> deadline;
   std::optional<fleet::RequestClass> request_class;
-  // Empty if there is none.
+  // The idempotency key; empty if the request has none.
   IdempotencyKey key;
   std::string content_type;
   std::string body;
 };
 
-// What goes back to a caller.
+// The answer to a caller.
 struct CallerAnswer {
   std::uint16_t status = 200;
   ResultCode code = ResultCode::kOk;
@@ -41,25 +42,25 @@
   std::string body;
 };
 
-// The longest deadline a caller may ask for.
+// The longest deadline that a caller may request.
 inline constexpr Milliseconds kLongestDeadline{3'600'000};
 
-// An answer that carries an error as JSON.
+// Returns an answer with an error as JSON.
 CallerAnswer MakeErrorAnswer(ResultCode code,
                              std::string_view message,
                              const DecisionId& decision,
                              Milliseconds retry_after);
 
-// The service and the path below it of a URI /v1/services/NAME/REST?QUERY. The
-// error is kBadRequest.
+// The service of a URI /v1/services/NAME/REST?QUERY, and the path below it with
+// the query. ParseServiceUri fails with kBadRequest for any other URI.
 struct ServiceTarget {
   ServiceName service;
   std::string target;
 };
 absl::StatusOr<ServiceTarget> ParseServiceUri(std::string_view uri);
 
-// What tells two requests under one idempotency key apart: a SHA-256 over
-// method, service, target and body.
+// Returns the SHA-256 over method, service, target and body of a request, in
+// hexadecimal. It detects two different requests with the same idempotency key.
 std::string DigestOf(const CallerRequest& request);
 
 }  // namespace sumac::http
--- a/libraries/http/connection_budget.cc
+++ b/libraries/http/connection_budget.cc
@@ -10,7 +10,8 @@
 
 std::optional<ConnectionBudget::Place> ConnectionBudget::Take() {
   if (this->open_count >= this->limit && !this->idle_connections.empty()) {
-    // Should it not give its place back, the next one is tried the next time.
+    // The connection moves to the end of the list first. If it does not return
+    // its place, the next call tries another one.
     IdleList& idle = this->idle_connections;
     idle.splice(idle.end(), idle, idle.begin());
     const std::function<void()> close = idle.back().close;
--- a/libraries/http/connection_budget.h
+++ b/libraries/http/connection_budget.h
@@ -11,10 +11,11 @@
 
 namespace sumac::http {
 
-// Bounds how many connections of one kind are open at once, so that a process
-// with many peers never runs out of descriptors. When all places are taken, the
-// connection that has been idle for the longest gives way. Does no I/O itself:
-// whoever holds a place says how its connection is closed.
+// Limits the number of open connections of one kind, so that a process with
+// many peers never runs out of descriptors. When all places are taken, the
+// connection that has been idle for the longest is closed to make room. The
+// budget does no I/O itself: the holder of a place provides the function that
+// closes its connection.
 class ConnectionBudget {
  private:
   struct IdleConnection {
@@ -23,7 +24,8 @@
   using IdleList = std::list<IdleConnection>;
 
  public:
-  // The right to keep one connection open; given back when it goes.
+  // The right to keep one connection open. The destructor returns it to the
+  // budget.
   class Place {
    public:
     explicit Place(ConnectionBudget& budget) : budget(&budget) {
@@ -41,8 +43,8 @@
     Place(const Place&) = delete;
     Place& operator=(const Place&) = delete;
 
-    // From now on the connection may be closed by `close`, which has to give
-    // the place back, to make room for another one.
+    // Marks the connection as idle. The budget may then call `close` to make
+    // room for another connection; `close` must destroy this place.
     void MarkIdle(std::function<void()> close);
     void MarkBusy();
 
@@ -51,20 +53,21 @@
     std::optional<IdleList::iterator> idle;
   };
 
-  // At most `most` connections, at least one.
+  // Allows up to `most` connections; 0 counts as 1.
   explicit ConnectionBudget(std::size_t most);
   ConnectionBudget(const ConnectionBudget&) = delete;
   ConnectionBudget& operator=(const ConnectionBudget&) = delete;
 
-  // A place for one more connection, if need be that of the one that has been
-  // idle for the longest; nothing while all are busy.
+  // Returns a place for one more connection, closing the one that has been idle
+  // for the longest if necessary. Returns std::nullopt while all are busy.
   std::optional<Place> Take();
 
   std::size_t most() const { return this->limit; }
   std::size_t open() const { return this->open_count; }
-  // How often an idle connection gave way.
+  // Returns the number of idle connections that were closed for others.
   std::uint64_t closed() const { return this->closed_count; }
-  // How often there was no place.
+  // Returns the number of connections that were refused because all places were
+  // busy.
   std::uint64_t refused() const { return this->refused_count; }
 
  private:
@@ -72,7 +75,7 @@
   std::size_t open_count = 0;
   std::uint64_t closed_count = 0;
   std::uint64_t refused_count = 0;
-  // The one that has been idle for the longest comes first.
+  // The idle connections; the one that has been idle for the longest is first.
   IdleList idle_connections;
 };
 
--- a/libraries/http/connection_pool.cc
+++ b/libraries/http/connection_pool.cc
@@ -20,8 +20,8 @@
 
 kj::Promise<CallReply> ConnectionPool::Call(CallRequest request,
                                             Milliseconds limit) {
-  // The first of those that are alike: connections that are not needed stay
-  // closed.
+  // min_element returns the first of several equal ones, so that connections
+  // that are not needed stay closed.
   const auto least =
       std::min_element(this->connections.begin(), this->connections.end(),
                        [](const auto& left, const auto& right) {
--- a/libraries/http/connection_pool.h
+++ b/libraries/http/connection_pool.h
@@ -16,12 +16,12 @@
 
 namespace sumac::http {
 
-// Some kept connections to one address. A call takes one that is free, so that
-// one without an answer does not hold up those behind it; only where all are
-// taken does it wait. Calls may overtake each other.
+// A fixed number of persistent connections to one address. A call uses a free
+// connection, so that an unanswered call does not delay later ones; it waits
+// only if all connections are in use. Calls may overtake each other.
 class ConnectionPool {
  public:
-  // At most `size` connections, each opened when first needed.
+  // Creates `size` connections, each opened when first needed.
   ConnectionPool(kj::Network& network,
                  kj::Timer& timer,
                  const kj::HttpHeaderTable& headers,
@@ -29,7 +29,8 @@
                  std::size_t size,
                  ConnectionBudget* budget = nullptr);
 
-  // As AsyncConnection::Call.
+  // Sends a request on the connection with the fewest open calls, as
+  // AsyncConnection::Call does.
   kj::Promise<CallReply> Call(CallRequest request, Milliseconds limit);
 
   const std::string& address() const {
--- a/libraries/http/headers.h
+++ b/libraries/http/headers.h
@@ -4,27 +4,27 @@
 
 namespace sumac::http {
 
-// The headers of the callers' and minions' doors; docs/PROTOCOLS.md describes
-// them.
+// The HTTP headers between callers, entries and minions. docs/PROTOCOLS.md
+// describes them.
 
-// From callers.
+// Headers sent by callers.
 inline constexpr const char* kIdempotencyKeyHeader = "Idempotency-Key";
 inline constexpr const char* kCallerHeader = "Sumac-Caller";
 inline constexpr const char* kDeadlineHeader = "Sumac-Deadline-Ms";
 inline constexpr const char* kClassHeader = "Sumac-Class";
 
-// To callers.
+// Headers sent to callers.
 inline constexpr const char* kCodeHeader = "Sumac-Code";
 inline constexpr const char* kRunHeader = "Sumac-Run";
 inline constexpr const char* kDecisionHeader = "Sumac-Decision";
 inline constexpr const char* kRetryAfterHeader = "Retry-After";
 inline constexpr const char* kRetryAfterMsHeader = "Sumac-Retry-After-Ms";
 
-// To minions and back: a minion's answer carries the request's own number
-// again.
+// The number of a request, sent to the minion; the minion's answer must repeat
+// it.
 inline constexpr const char* kRequestHeader = "Sumac-Request";
 
-// From minions.
+// Headers sent by minions.
 inline constexpr const char* kInFlightHeader = "Sumac-In-Flight";
 inline constexpr const char* kLeavingHeader = "Sumac-Leaving";
 inline constexpr const char* kNotRunHeader = "Sumac-Not-Run";
--- a/libraries/http/http_server.cc
+++ b/libraries/http/http_server.cc
@@ -24,10 +24,12 @@
 
 constexpr std::size_t kBufferBytes = 16'384;
 constexpr int kListenBacklog = 512;
-// A door is crowded when more than this part of its connections is open.
+// The server is crowded when more than this fraction (three quarters) of its
+// connections is open.
 constexpr int kCrowdedNumerator = 3;
 constexpr int kCrowdedDenominator = 4;
-// Each connection has a thread; a small stack keeps many idle ones cheap.
+// The stack size of the connection threads. Each connection has a thread, so a
+// small stack keeps many idle connections cheap.
 constexpr int kThreadStackBytes = 256 * 1024;
 constexpr std::int64_t kMicrosecondsPerMillisecond = 1'000;
 
@@ -35,7 +37,7 @@
   return Poco::Timespan(time.count() * kMicrosecondsPerMillisecond);
 }
 
-// Passes each request to the door's function.
+// Passes each request to the server's handler function.
 class FunctionHandler : public Poco::Net::HTTPRequestHandler {
  public:
   FunctionHandler(const HttpServer::Handler& handler, bool is_crowded)
@@ -43,15 +45,16 @@
 
   void handleRequest(Poco::Net::HTTPServerRequest& request,
                      Poco::Net::HTTPServerResponse& response) override {
-    // An idle connection holds a thread. While threads are short each
-    // connection ends with its answer, so that whoever waits to be let in is.
+    // An idle connection occupies a thread. While few threads are left, each
+    // connection is closed after its answer, so that waiting connections are
+    // accepted.
     if (this->is_crowded) {
       response.setKeepAlive(false);
     }
     try {
       this->handler(request, response);
     } catch (const Poco::Exception& error) {
-      // The peer is gone; nobody is left to answer.
+      // The peer has disconnected, so no answer can be sent.
       LogEvent(LogLevel::kDebug, "connection-lost",
                {{"detail", error.displayText()}});
       response.setKeepAlive(false);
--- a/libraries/http/http_server.h
+++ b/libraries/http/http_server.h
@@ -19,26 +19,28 @@
 
 namespace sumac::http {
 
-// Limits of one listening door.
+// The address and the limits of one HttpServer.
 struct ServerSettings {
-  // IP:PORT.
+  // The address to listen on, as IP:PORT.
   std::string address;
-  // Connections served at once; further ones wait in the listening queue.
+  // The maximum number of connections served at once; further ones wait in the
+  // listen queue.
   int most_connections = 512;
-  // A connection without a request for this long is closed.
+  // The time after which a connection without a request is closed.
   Milliseconds idle_time{15'000};
-  // A caller that sends or reads this slowly is cut off.
+  // The timeout of each read and write; a caller that is slower is
+  // disconnected.
   Milliseconds io_time{10'000};
 };
 
-// One door: a POCO HTTP server, with a thread for each open connection.
+// A POCO HTTP server on one address, with a thread for each open connection.
 class HttpServer {
  public:
   using Handler = std::function<void(Poco::Net::HTTPServerRequest&,
                                      Poco::Net::HTTPServerResponse&)>;
 
-  // Binds and starts; the error is kSettingsInvalid when the address can't be
-  // bound.
+  // Binds the address and starts the server. The error is kSettingsInvalid if
+  // the address can't be bound.
   static absl::StatusOr<std::unique_ptr<HttpServer>> Create(
       const ServerSettings& settings,
       Handler handler);
@@ -47,10 +49,10 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  // Stops listening and waits until the requests in hand are answered.
+  // Stops listening and waits until the requests in progress are answered.
   void Stop();
 
-  // Connections open now.
+  // Returns the number of open connections.
   int CountConnections() const;
 
  private:
@@ -60,13 +62,13 @@
   std::unique_ptr<Poco::Net::HTTPServer> server;
 };
 
-// Reads a request's body. The error is kBadRequest when the body is cut short
-// or of unknown length, kBodyTooLarge when it is longer than `most_bytes`.
+// Reads a request's body. The error is kBadRequest if the body is truncated or
+// of unknown length, and kBodyTooLarge if it is longer than `most_bytes`.
 absl::StatusOr<std::string> ReadRequestBody(
     Poco::Net::HTTPServerRequest& request,
     std::uint64_t most_bytes);
 
-// Sends a whole answer.
+// Sends a complete answer.
 void SendAnswer(Poco::Net::HTTPServerResponse& response,
                 int status,
                 const std::string& content_type,
--- a/libraries/http/metrics.cc
+++ b/libraries/http/metrics.cc
@@ -13,12 +13,12 @@
 
 constexpr std::array kQuantiles = {0.5, 0.9, 0.99};
 
-// The part of a metric's name before its labels.
+// Returns the part of a metric's name before its labels.
 std::string BaseName(const std::string& name) {
   return name.substr(0, name.find('{'));
 }
 
-// The name with one more label.
+// Returns the name with one more label.
 std::string WithLabel(const std::string& name, const std::string& label) {
   const std::size_t brace = name.find('{');
   if (brace == std::string::npos) {
@@ -27,7 +27,7 @@
   return StrCat(name.substr(0, name.size() - 1), ",", label, "}");
 }
 
-// The name with a suffix before its labels.
+// Returns the name with a suffix before its labels.
 std::string WithSuffix(const std::string& name, std::string_view suffix) {
   const std::string base = BaseName(name);
   return StrCat(base, suffix, name.substr(base.size()));
--- a/libraries/http/metrics.h
+++ b/libraries/http/metrics.h
@@ -20,7 +20,7 @@
 
 namespace sumac::http {
 
-// Counters, gauges and summaries of one process, given out in the Prometheus
+// The counters, gauges and summaries of one process, exported in the Prometheus
 // text format. Names may carry labels: name{label="value"}. Safe to use from
 // many threads.
 class Metrics {
@@ -30,16 +30,17 @@
   // Adds to a counter.
   void Count(const std::string& name, std::uint64_t step = 1);
 
-  // Adds one observation to a summary; its unit stands in the name.
+  // Adds one observation to a summary; the name includes the unit of the value.
   void Observe(const std::string& name, double value);
 
-  // Gives a gauge that is read whenever the metrics are asked for.
+  // Registers a gauge; `read` is called whenever the metrics are exported.
   void SetGauge(const std::string& name, std::function<double()> read);
 
-  // The same for a value that only grows.
+  // Registers a counter that is read in the same way; its value must never
+  // decrease.
   void SetCounter(const std::string& name, std::function<double()> read);
 
-  // All of them as text.
+  // Returns all metrics in the Prometheus text format.
   std::string ToText() const;
 
  private:
--- a/libraries/http/minion_client.cc
+++ b/libraries/http/minion_client.cc
@@ -25,7 +25,8 @@
   return SystemClock().SteadyNow();
 }
 
-// Reads the body, which must have the length that the minion declared.
+// Reads the body. The error is DeadlineExceeded after `deadline`, and DataLoss
+// if the body is shorter than the declared `length`.
 absl::StatusOr<std::string> ReadBody(MinionSession& session,
                                      std::istream& stream,
                                      std::uint64_t length,
@@ -69,7 +70,8 @@
   stream.flush();
 }
 
-// Fills in what the head of the minion's answer says of the minion.
+// Copies the minion's load and its notice of leaving from the head of an answer
+// to `result`.
 void TakeReport(const Poco::Net::HTTPResponse& head, TryResult& result) {
   std::uint32_t load = 0;
   if (ParseNumber(std::string_view(head.get(kInFlightHeader, "")), &load)) {
@@ -142,8 +144,8 @@
       result.detail = head.get(kNotRunHeader);
       return result;
     }
-    // A chunked body that is cut off looks like a whole one through the
-    // library, so answers must declare their length.
+    // POCO does not distinguish a truncated chunked body from a complete one,
+    // so answers must declare their length.
     if (!head.hasContentLength()) {
       return Broken(std::move(result), "the answer declares no length");
     }
--- a/libraries/http/minion_client.h
+++ b/libraries/http/minion_client.h
@@ -16,58 +16,60 @@
 
 namespace sumac::http {
 
-// What goes to a minion.
+// A request to a minion.
 struct MinionRequest {
   std::string method;
-  // Path and query.
+  // The path and the query.
   std::string target;
   std::string service;
-  // Unique for each try; the answer must carry it.
+  // The number of the attempt, unique among all attempts; the answer must
+  // repeat it.
   std::string number;
   std::string content_type;
   std::string body;
 };
 
-// What came back, whole.
+// A complete answer of a minion.
 struct MinionAnswer {
   std::uint16_t status = 0;
   std::string content_type;
   std::string body;
 };
 
-// How one try went.
+// The result of one attempt.
 struct TryResult {
   routing::TryOutcome outcome = routing::TryOutcome::kBroken;
-  // True if the request certainly did not run: nothing was sent, or the minion
-  // said so.
+  // True if the request certainly did not run, because nothing was sent or
+  // because the minion reported so.
   bool is_not_run = false;
-  // Set for kAnswered.
+  // The answer; set for kAnswered.
   MinionAnswer answer;
-  // What the minion said it has in hand.
+  // The number of requests in progress that the minion reported, if it did.
   std::optional<std::uint32_t> reported_load;
-  // True if the minion said that it is leaving, whatever it answered.
+  // True if the minion reported that it is leaving. Independent of the outcome.
   bool is_leaving = false;
-  // For people.
+  // A description of the error, for humans.
   std::string detail;
 };
 
-// Sends requests to minions over kept connections. One request is in flight on
-// a connection at a time, and a connection on which anything went wrong is
-// closed and never used again. Safe to use from many threads.
+// Sends requests to minions over persistent connections. A connection carries
+// one request at a time, and is closed and never reused after any error. Safe
+// to use from many threads.
 class MinionClient {
  public:
-  // A connection that is open and in nobody else's hands.
+  // An open connection, exclusively owned by its holder.
   using Connection = std::unique_ptr<MinionSession>;
 
-  // Takes a kept connection that is still good, or opens one; nothing if the
-  // minion can't be reached in time. With `fresh` a kept one is never taken:
-  // the minion may be closing it just now.
+  // Returns a kept connection that is still usable, or opens a new one. Returns
+  // nullptr if the minion can't be reached before `deadline`. With `fresh` it
+  // always opens a new one, since the minion may be closing a kept one at this
+  // moment.
   Connection Connect(const std::string& address,
                      bool fresh,
                      SteadyTime deadline);
 
-  // Sends the request and waits for the whole answer, which may have
-  // `most_body_bytes`.
+  // Sends the request and waits for the complete answer, whose body may have up
+  // to `most_body_bytes` bytes.
   TryResult Exchange(const std::string& address,
                      Connection connection,
                      const MinionRequest& request,
@@ -75,7 +77,8 @@
                      SteadyTime deadline);
 
  private:
-  // Connections kept per minion; the rest are closed.
+  // The maximum number of idle connections kept per minion; further ones are
+  // closed.
   static constexpr std::size_t kMostKept = 16;
 
   void Keep(const std::string& address, Connection connection);
--- a/libraries/http/minion_session.cc
+++ b/libraries/http/minion_session.cc
@@ -21,8 +21,9 @@
 MinionSession::MinionSession(const Poco::Net::SocketAddress& address)
     : Poco::Net::HTTPClientSession(address) {
   this->setKeepAlive(true);
-  // NOTE: POCO would close and reopen a connection that was idle this long;
-  // IsUsable decides that here.
+  // NOTE: POCO would reopen a connection that was idle for longer than this.
+  // The timeout is a year, so that only IsUsable decides whether a connection
+  // is reused.
   this->setKeepAliveTimeout(Poco::Timespan(365, 0, 0, 0, 0));
 }
 
@@ -59,8 +60,8 @@
         "the minion's connection is closed");
   }
   this->has_sent = true;
-  // Past HTTPClientSession's own write, which would connect anew and send
-  // again. NOLINTNEXTLINE(bugprone-parent-virtual-call)
+  // Bypasses HTTPClientSession::write, which would reconnect and resend.
+  // NOLINTNEXTLINE(bugprone-parent-virtual-call)
   return HTTPSession::write(buffer, length);
 }
 
--- a/libraries/http/minion_session.h
+++ b/libraries/http/minion_session.h
@@ -9,28 +9,28 @@
 
 namespace sumac::http {
 
-// One connection to a minion that knows whether any byte of a request has left.
-// POCO's own session connects anew and writes again by itself when a kept
-// connection turns out to be closed; for a request that must not run twice that
-// is wrong, so this one never does.
+// A connection to a minion that records whether any byte of a request may have
+// been sent. POCO's own session reconnects and resends on its own when a kept
+// connection turns out to be closed. That is wrong for a request that must not
+// run twice, so this class never does it.
 class MinionSession : public Poco::Net::HTTPClientSession {
  public:
   explicit MinionSession(const Poco::Net::SocketAddress& address);
 
-  // Opens the connection now; throws Poco::Exception.
+  // Opens the connection at once. Throws Poco::Exception on failure.
   void Connect();
 
-  // True if a kept connection can be used: open, and the minion has neither
-  // closed it nor sent anything unasked.
+  // Returns true if a kept connection is usable: it is open, and the minion has
+  // neither closed it nor sent unsolicited data.
   bool IsUsable();
 
-  // Forgets what was written before; called before each request.
+  // Resets has_written(). Must be called before each request.
   void StartRequest() { this->has_sent = false; }
 
-  // True once a byte of the present request may have left.
+  // Returns true if a byte of the current request may have been sent.
   bool has_written() const { return this->has_sent; }
 
-  // Bounds each wait of the connection.
+  // Sets the timeout of connecting and of each send and receive.
   void SetWait(Milliseconds wait);
 
  protected:
--- a/libraries/http/platform_client.h
+++ b/libraries/http/platform_client.h
@@ -11,9 +11,9 @@
 
 namespace sumac::http {
 
-// Something that carries out operations on instances. Telling it the same
-// operation again does nothing twice, since the id is the same; each telling
-// answers how far it is.
+// A platform that carries out operations on instances. Sending an operation
+// again does not repeat it, since its id is the same; each call returns the
+// progress of the operation.
 template <typename T>
 concept Platform = requires(T& platform, const fleet::PlatformStep& step) {
   {
@@ -21,15 +21,16 @@
     } -> std::same_as<absl::StatusOr<fleet::RecordPlatformReport>>;
 };
 
-// The platform's HTTP door, as docs/PROTOCOLS.md describes it.
+// A client of the platform's HTTP API, which docs/PROTOCOLS.md describes.
 class PlatformClient {
  public:
-  // `address` is IP:PORT; each call takes at most `timeout`.
+  // `address` is IP:PORT. `timeout` applies to connecting and to each send and
+  // receive.
   PlatformClient(std::string address, Milliseconds timeout)
       : address(std::move(address)), timeout(timeout) {}
 
-  // Tells one operation; blocks. The error is kUnreachable or
-  // kMalformedMessage.
+  // Sends one operation and returns its progress. Blocks until the answer
+  // arrives. The error is kUnreachable or kMalformedMessage.
   absl::StatusOr<fleet::RecordPlatformReport> Tell(
       const fleet::PlatformStep& step);
 
--- a/libraries/http/whole_request_stream.h
+++ b/libraries/http/whole_request_stream.h
@@ -11,15 +11,15 @@
 
 namespace sumac::http {
 
-// A stream that sends a request's head together with its body. An HTTP client
-// writes them apart, which costs a second system call and often a second
-// packet; a leader sends thousands of requests a second.
+// A stream that sends the head of a request together with its body. kj's HTTP
+// client writes them separately, which costs a second system call and often a
+// second packet; a leader sends thousands of requests per second.
 class WholeRequestStream : public kj::AsyncIoStream {
  public:
   explicit WholeRequestStream(kj::Own<kj::AsyncIoStream> inner)
       : inner(kj::mv(inner)) {}
 
-  // The next write is kept back until the one after it.
+  // Buffers the next write until the one after it, and sends both together.
   void HoldNextWrite() { this->holds_next = true; }
 
   kj::Promise<std::size_t> tryRead(void* buffer,
@@ -37,7 +37,8 @@
   void abortRead() override { this->inner->abortRead(); }
 
  private:
-  // True if the bytes were kept back; else they are added to what was.
+  // Appends the bytes to the buffer. Returns true if they are to be held until
+  // the next write.
   bool Gather(const void* buffer, std::size_t size);
   kj::Promise<void> Flush();
 
--- a/libraries/rpc/answer_codec.h
+++ b/libraries/rpc/answer_codec.h
@@ -9,9 +9,9 @@
 
 namespace sumac::rpc {
 
-// Conversions between answers and their Cap'n Proto forms. Towards operators
-// the document is JSON text; between processes it is CBOR, since it may hold
-// bytes that are no text.
+// Conversions between answers and their Cap'n Proto messages. In answers to
+// operators the document is JSON text; between processes it is CBOR, since it
+// may contain binary data.
 
 void WriteAnswer(const fleet::Answer& answer, wire::Result::Builder builder);
 fleet::Answer ReadAnswer(wire::Result::Reader reader);
@@ -20,7 +20,7 @@
                  wire::PeerResult::Builder builder);
 fleet::Answer ReadAnswer(wire::PeerResult::Reader reader);
 
-// Who sent an operator's command.
+// Reads the name of the operator who sent a command, and the id of the request.
 fleet::OperatorIdentity ReadIdentity(wire::Identity::Reader reader);
 
 }  // namespace sumac::rpc
--- a/libraries/rpc/call.h
+++ b/libraries/rpc/call.h
@@ -11,8 +11,9 @@
 
 namespace sumac::rpc {
 
-// Sends a request whose response holds a result, and gives it as an answer. The
-// promise fails with kj::Exception when none comes within `limit`.
+// Sends a request whose response contains a result, and returns the result as
+// an answer. The promise fails with kj::Exception if no response arrives within
+// `limit`.
 template <typename Request>
 kj::Promise<fleet::Answer> CallForAnswer(Channel& channel,
                                          Milliseconds limit,
--- a/libraries/rpc/channel.h
+++ b/libraries/rpc/channel.h
@@ -16,24 +16,24 @@
 
 namespace sumac::rpc {
 
-// A Cap'n Proto connection to one process that is opened when first needed and
-// anew after it broke. It belongs to one event loop.
+// A Cap'n Proto connection to one process. It is opened when first needed and
+// reopened after it failed. It belongs to one event loop.
 class Channel {
  public:
   Channel(kj::Network& network, kj::Timer& timer, std::string address);
 
-  // The other side's bootstrap object. Calls on it wait until the connection
-  // stands, and fail with kj::Exception when it can't be made.
+  // Returns the peer's bootstrap object. Calls on it wait until the connection
+  // is open, and fail with kj::Exception if it can't be opened.
   template <typename Interface>
   typename Interface::Client Get() {
     return this->GetBootstrap().castAs<Interface>();
   }
 
-  // Bounds a call. When it fails because the other side is gone, or takes
-  // longer than `limit` while nothing else was answered, the connection is
-  // dropped, so that the next call opens a new one. One slow call among others
-  // that are answered says nothing against the connection, and dropping it
-  // would leave all of them without a known outcome.
+  // Applies the timeout `limit` to a call. If the call fails because the peer
+  // has disconnected, or times out while no other call was answered since it
+  // began, the connection is dropped, so that the next call opens a new one. A
+  // slow call among others that are answered does not mean that the connection
+  // is dead, and dropping it would leave the outcome of all open calls unknown.
   template <typename T>
   kj::Promise<T> Guard(Milliseconds limit, kj::Promise<T> call) {
     const CallStart start{this->generation, this->clock.SteadyNow()};
@@ -52,7 +52,7 @@
     kj::Own<capnp::TwoPartyClient> client;
   };
 
-  // When a call began, and on which connection.
+  // The start time of a call and the number of its connection.
   struct CallStart {
     std::uint64_t generation = 0;
     SteadyTime at{};
@@ -77,11 +77,11 @@
   kj::Network& network;
   kj::Timer& timer;
   std::string peer_address;
-  // Counts connections, so that a late failure of an old one does not drop a
-  // new one.
+  // The number of the current connection; increases with each new one, so that
+  // a late failure of an old connection does not drop a new one.
   std::uint64_t generation = 0;
   SystemClock clock;
-  // When a call was last answered.
+  // The time of the last answer to any call.
   SteadyTime last_answer_at{};
   kj::Maybe<capnp::Capability::Client> bootstrap;
   kj::Maybe<kj::Own<Connection>> connection;
--- a/libraries/rpc/door.h
+++ b/libraries/rpc/door.h
@@ -13,12 +13,12 @@
 
 namespace sumac::rpc {
 
-// A Cap'n Proto server that listens at one address for as long as it lives.
-// Belongs to the event loop.
+// A Cap'n Proto server that listens on one address until it is destroyed. It
+// belongs to the event loop.
 class Door {
  public:
-  // Listens at `address` (IP:PORT) and gives callers `bootstrap`.
-  // kSettingsInvalid if it can't listen there.
+  // Listens on `address` (IP:PORT) and offers `bootstrap` to each client. The
+  // error is kSettingsInvalid if it can't listen there.
   static absl::StatusOr<std::unique_ptr<Door>> Create(
       kj::AsyncIoContext& io,
       const std::string& address,
@@ -32,7 +32,8 @@
 
   kj::Own<kj::ConnectionReceiver> receiver;
   capnp::TwoPartyServer server;
-  // Ends before what it uses.
+  // The accept loop. Declared last, so that it is destroyed before the members
+  // that it uses.
   kj::Promise<void> listening;
 };
 
