--- a/tests/libraries/http/async_connection_test.cc
+++ b/tests/libraries/http/async_connection_test.cc
@@ -17,11 +17,11 @@
 
 constexpr const char* kAddress = "127.0.7.32:18732";
 constexpr Milliseconds kLimit{200};
-// For a busy computer.
+// The extra time allowed on a busy machine.
 constexpr Milliseconds kSlack{1'000};
 
-// A connection to a server that answers at once, over a path that can go
-// silent.
+// A connection to a server that answers at once, through a relay that can stop
+// forwarding.
 struct Parts {
   Parts()
       : io(kj::setupAsyncIo()),
@@ -50,7 +50,8 @@
   AsyncConnection connection;
 };
 
-// Only one of the calls that wait for their turn has to find out.
+// Only the first of the queued calls times out; the others use a new
+// connection.
 TEST(AsyncConnectionTest, ASilentConnectionCostsOneCallAndIsNotKept) {
   for (const bool is_idempotent : {false, true}) {
     auto parts = std::make_unique<Parts>();
--- a/tests/libraries/http/async_door_test.cc
+++ b/tests/libraries/http/async_door_test.cc
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr const char* kAddress = "127.0.7.39:18739";
-// The same as the kernel writes it.
+// The address above in the notation of /proc/net/tcp.
 constexpr const char* kKernelAddress = "2707007F:4933";
 
 TEST(AsyncDoorTest, ACallerThatFallsSilentWithinItsBodyIsKeptForGood) {
--- a/tests/libraries/http/connection_budget_test.cc
+++ b/tests/libraries/http/connection_budget_test.cc
@@ -38,7 +38,8 @@
   EXPECT_EQ(budget.closed(), 1U);
 }
 
-// A connection that is closed late must not be asked in vain for ever.
+// An idle connection that does not close when asked must not be the only one
+// that is ever asked.
 TEST(ConnectionBudgetTest, OneThatKeepsItsPlaceDoesNotKeepOthersFromGivingWay) {
   ConnectionBudget budget(2);
   std::optional<ConnectionBudget::Place> stubborn = budget.Take();
@@ -51,7 +52,8 @@
   EXPECT_EQ(asked, 1);
 }
 
-// As many servers as a leader has workers, and connections with one budget.
+// A server and 20 connections to it that share one budget, as a leader's
+// connections to its workers do.
 struct Parts {
   explicit Parts(std::size_t most)
       : io(kj::setupAsyncIo()),
@@ -97,8 +99,8 @@
   }
 }
 
-// What finds no place is told so at once, and that nothing was sent: it says
-// nothing against the other side.
+// A call without a place in the budget fails at once with kNotSent, which does
+// not mean that the other side is down.
 TEST(ConnectionBudgetTest, WithoutAPlaceNothingIsSent) {
   auto parts = std::make_unique<Parts>(1);
   kj::Promise<CallReply> hanging = parts->connections[0]
@@ -111,7 +113,7 @@
             CallOutcome::kNotSent);
 }
 
-// A network on which nobody ever answers.
+// A network on which no connection attempt ever ends.
 class SilentNetwork : public kj::Network {
  public:
   kj::Promise<kj::Own<kj::NetworkAddress>> parseAddress(
@@ -130,8 +132,8 @@
   }
 };
 
-// Silence must not pass for a want of connections: a worker that is cut off
-// would never be missed.
+// A silent peer must not be reported as a lack of connections: an unreachable
+// worker would then never be noticed.
 TEST(ConnectionBudgetTest,
      AConnectionThatNobodyAcceptsIsSilenceAndNotAShortage) {
   auto parts = std::make_unique<Parts>(1);
@@ -157,7 +159,8 @@
   EXPECT_EQ(patient.wait(parts->io.waitScope).outcome, CallOutcome::kAnswered);
 }
 
-// Callers that keep their connections open must not keep others out.
+// Callers that keep idle connections open must not prevent others from
+// connecting.
 TEST(ConnectionBudgetTest, ADoorClosesIdleConnectionsForNewOnes) {
   auto parts = std::make_unique<Parts>(Parts::kConnections);
   AsyncDoor door(
@@ -180,8 +183,8 @@
   EXPECT_EQ(door.connections().closed(), 4U);
 }
 
-// While all are busy, a further caller is refused at once with a number, and
-// the door serves on.
+// While all connections are busy, a further caller is refused at once with a
+// numbered error, and the requests in progress are still answered.
 TEST(ConnectionBudgetTest, ADoorWithoutAnIdleConnectionRefuses) {
   auto parts = std::make_unique<Parts>(Parts::kConnections);
   auto paf = kj::newPromiseAndFulfiller<void>();
@@ -214,8 +217,8 @@
   EXPECT_EQ(first.wait(parts->io.waitScope).status, 200U);
 }
 
-// A process that stops closes its doors with requests under way; each of them
-// gives its place back.
+// A process that stops destroys its listeners while requests are in progress;
+// each request must return its place in the budget.
 TEST(ConnectionBudgetTest, ADoorMayGoWithARequestUnderWay) {
   auto parts = std::make_unique<Parts>(Parts::kConnections);
   auto door = std::make_unique<AsyncDoor>(
--- a/tests/libraries/http/connection_pool_test.cc
+++ b/tests/libraries/http/connection_pool_test.cc
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr const char* kAddress = "127.0.7.31:18731";
-// Long; nothing in these tests waits for it.
+// A timeout that no test here reaches.
 constexpr Milliseconds kLimit{60'000};
 
 // A server that never answers /hang, and a pool of two connections to it.
--- a/tests/libraries/http/http_server_test.cc
+++ b/tests/libraries/http/http_server_test.cc
@@ -52,8 +52,8 @@
   const auto server = Open(address, [](auto& /*request*/, auto& response) {
     SendAnswer(response, 200, "text/plain", "hello");
   });
-  // Twice as many as there are threads, each staying open after its answer.
-  // Without room being made the fifth would wait for ten minutes.
+  // Twice as many connections as threads, each kept open after its answer. If
+  // idle ones were not closed, the fifth would wait for ten minutes.
   std::vector<Session> sessions;
   for (int number = 0; number < 8; ++number) {
     sessions.push_back(std::make_unique<Poco::Net::HTTPClientSession>(
--- a/tests/libraries/http/minion_client_test.cc
+++ b/tests/libraries/http/minion_client_test.cc
@@ -17,14 +17,15 @@
 
 using routing::TryOutcome;
 
-// A minion that reads one request on each connection and then writes just the
-// bytes it is told to.
+// A minion that reads one request on each connection and then writes exactly
+// the bytes that the test supplies.
 class RawMinion {
  public:
   using Respond =
       std::function<void(Poco::Net::StreamSocket&, const std::string& number)>;
 
-  // With `resets_first` the first connection is reset as soon as it stands.
+  // With `resets_first` the first connection is reset as soon as it is
+  // accepted.
   explicit RawMinion(Respond respond, bool resets_first = false)
       : respond(std::move(respond)),
         resets_first(resets_first),
@@ -122,7 +123,7 @@
 
 TEST(MinionClientTest, AnythingLessIsNeverPassedOn) {
   const std::vector<std::function<std::string(const std::string&)>> broken = {
-      // Cut within the body, within the head, before the head.
+      // Truncated within the body, within the head, and before the head.
       [](const std::string& number) {
         return Head(number, "Content-Length: 50\r\n") + "half";
       },
@@ -130,14 +131,14 @@
         return "HTTP/1.1 200 OK\r\nSumac-Request: " + number;
       },
       [](const std::string&) { return std::string(); },
-      // Another request's answer, and one that says nothing about whose it is.
+      // The answer to another request, and one without a request number.
       [](const std::string&) {
         return Head("number-0", "Content-Length: 5\r\n") + "hello";
       },
       [](const std::string&) {
         return std::string("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello");
       },
-      // No length, a chunked body cut off, too large, no HTTP at all.
+      // No length, a truncated chunked body, too large, and not HTTP at all.
       [](const std::string& number) {
         return Head(number, "Connection: close\r\n") + "hello";
       },
@@ -177,7 +178,7 @@
     try {
       Send(peer, Head(number, "Content-Length: 5\r\n") + "hello");
     } catch (const Poco::Exception&) {
-      // The client has gone.
+      // The client has already closed the connection.
     }
   });
   MinionClient client;
@@ -225,8 +226,8 @@
 }
 
 TEST(MinionClientTest, ARequestIsNeverWrittenTwice) {
-  // The minion takes the request and dies; POCO's own session would send it
-  // again.
+  // The minion reads the request and crashes; POCO's own session would send the
+  // request again.
   RawMinion minion([](auto& peer, const std::string&) { peer.close(); });
   MinionClient client;
   const TryResult result = Try(client, minion.address());
@@ -237,7 +238,7 @@
 
 TEST(MinionClientTest, AResetConnectionIsNotReplacedBehindTheEntrysBack) {
   // The claim was made for this connection. POCO's own write would open another
-  // and go on.
+  // one and send the request over it.
   RawMinion minion(
       [](auto& peer, const std::string& number) {
         Send(peer, Head(number, "Content-Length: 5\r\n") + "hello");
--- a/tests/libraries/rpc/channel_test.cc
+++ b/tests/libraries/rpc/channel_test.cc
@@ -19,7 +19,8 @@
 constexpr Milliseconds kShort{30};
 constexpr Milliseconds kLong{60'000};
 
-// Answers each request when the test says so.
+// A peer that answers each request when the test fulfills its promise in
+// `held`.
 class HeldPeer final : public wire::Peer::Server {
  public:
   explicit HeldPeer(std::deque<kj::Own<kj::PromiseFulfiller<void>>>& held)
@@ -47,10 +48,11 @@
                           StrCat("127.0.0.1:", this->receiver->getPort()));
   }
 
-  // NOTE: kj's destructors may throw; a test's may not.
+  // NOTE: The destructors of kj's members may throw; that of a test must not.
   ~ChannelTest() noexcept override {}
 
-  // True once it was answered, false if it failed.
+  // Makes a call. The promise gives true if it was answered, false if it
+  // failed.
   kj::Promise<bool> Call(Milliseconds limit) {
     auto request = this->channel->Get<wire::Peer>().askRequest();
     return this->channel
@@ -58,7 +60,7 @@
         .catch_([](kj::Exception&&) { return false; });
   }
 
-  // Waits until the server holds so many requests.
+  // Waits until the peer has received `count` requests.
   void AwaitHeld(std::size_t count) {
     while (this->held.size() < count) {
       this->io.provider->getTimer()
@@ -75,8 +77,8 @@
   std::optional<Channel> channel;
 };
 
-// A read with little time left must not take the outcome from the submissions
-// beside it.
+// The timeout of a slow read must not drop the connection and so leave the
+// outcome of concurrent submissions unknown.
 TEST_F(ChannelTest, ASlowCallAmongAnsweredOnesLeavesTheConnection) {
   auto slow = this->Call(kShort);
   this->AwaitHeld(1);
@@ -90,7 +92,7 @@
   EXPECT_TRUE(waiting.wait(this->io.waitScope));
 }
 
-// A connection on which nothing is answered may be dead without a reset.
+// A connection without any answer may be dead although it was never reset.
 TEST_F(ChannelTest, ASilentConnectionIsReplaced) {
   auto slow = this->Call(kShort);
   auto waiting = this->Call(kLong);
--- a/tests/libraries/rpc/door_test.cc
+++ b/tests/libraries/rpc/door_test.cc
@@ -13,13 +13,14 @@
 namespace {
 
 constexpr const char* kAddress = "127.0.7.34:18734";
-// The same as the kernel writes it.
+// The address above in the notation of /proc/net/tcp.
 constexpr const char* kKernelAddress = "2207007F:492E";
 
 class QuietPeer final : public wire::Peer::Server {};
 
-// Another process was lost without a word. What it had opened here was kept for
-// good, since nothing is ever sent over it from this side.
+// If another process is lost without closing its connections, they would
+// otherwise stay open here for ever, since this side sends nothing over an idle
+// connection.
 TEST(DoorTest, ConnectionsOfOthersAreProbedWhileTheyAreIdle) {
   kj::AsyncIoContext io = kj::setupAsyncIo();
   auto door = Door::Create(io, kAddress, kj::heap<QuietPeer>());
--- a/tests/libraries/rpc/silence_test.cc
+++ b/tests/libraries/rpc/silence_test.cc
@@ -17,7 +17,7 @@
 
 constexpr Milliseconds kLimit{200};
 constexpr Milliseconds kInterval{25};
-// For a busy computer.
+// The extra time allowed on a busy machine.
 constexpr Milliseconds kSlack{1'000};
 
 class AnsweringPeer final : public wire::Peer::Server {
@@ -27,7 +27,8 @@
   }
 };
 
-// A channel to a peer that answers at once, over a path that can go silent.
+// A channel to a peer that answers at once, through a relay that can stop
+// forwarding.
 struct Parts {
   Parts() : io(kj::setupAsyncIo()), server(kj::heap<AnsweringPeer>()) {
     kj::Network& network = this->io.provider->getNetwork();
@@ -41,7 +42,8 @@
         network, this->io.provider->getTimer(), this->relay->address());
   }
 
-  // True once it was answered, false if it failed.
+  // Makes a call. The promise gives true if it was answered, false if it
+  // failed.
   kj::Promise<bool> Call() {
     auto request = this->channel->Get<wire::Peer>().askRequest();
     return this->channel
@@ -64,8 +66,9 @@
   std::unique_ptr<Channel> channel;
 };
 
-// Heartbeats go on while a connection is silent, and the earlier ones were
-// answered: the first that was sent after the last answer shows it.
+// Heartbeats continue while the connection is silent. The first one sent after
+// the last answer must detect it when it times out, although earlier ones were
+// answered.
 TEST(SilenceTest, ASteadyFlowOfCallsNoticesASilentConnectionByItsLimit) {
   auto parts = std::make_unique<Parts>();
   ASSERT_TRUE(parts->Call().wait(parts->io.waitScope));
@@ -87,7 +90,7 @@
   EXPECT_LT(took, kLimit + 2 * kInterval + kSlack);
   EXPECT_EQ(parts->relay->accepted(), 2U);
   calls.clear();
-  // The silent one is not kept.
+  // The silent connection must be closed.
   for (int count = 0; count < 100 && parts->relay->open() > 1; ++count) {
     parts->Wait(kInterval);
   }
--- a/tests/platform/doors_test.cc
+++ b/tests/platform/doors_test.cc
@@ -17,7 +17,8 @@
 constexpr const char* kJob =
     R"({"spec":"x","steps":[{"count":1,"cpu":100,"mem_mb":1}]})";
 
-// A door whose leader gives one answer to everything.
+// The listeners' request handlers, with a leader that gives `answer` to every
+// request.
 class DoorsTest : public testing::Test {
  protected:
   DoorsTest()
@@ -79,8 +80,8 @@
   EXPECT_EQ(submit.path, "/clips/5c0e7a21d94b36f8");
 }
 
-// What was certainly not taken is refused with when to come back; what may have
-// been taken is not called refused.
+// A job that was certainly not accepted is refused with a Retry-After header.
+// One that may have been accepted is answered without that header.
 TEST_F(DoorsTest, RefusalsSayWhetherTheJobMayRun) {
   struct Case {
     ResultCode code;
@@ -120,8 +121,9 @@
   EXPECT_GT(this->limit, Milliseconds(0));
 }
 
-// The last try of a caller who had been refused was given up after 1 ms, and
-// its caller told that the job may run.
+// A caller with little time left still needs an answer from the leader. If the
+// whole time for the way back were subtracted, the request would be given up
+// after 1 ms and the caller told that the job may run.
 TEST_F(DoorsTest, ALastTryIsGivenUpBeforeALeaderCanAnswer) {
   this->Call(kj::HttpMethod::GET, "", "120");
   EXPECT_GE(this->limit, Milliseconds(80));
@@ -168,7 +170,7 @@
   this->asked.reset();
   this->Control(kj::HttpMethod::PUT, "/instances/i-1", ready);
   EXPECT_FALSE(this->asked.has_value());
-  // Not acknowledged while it is not on record.
+  // The announcement is not acknowledged until it is committed.
   this->answer = fleet::Answer{.code = ResultCode::kNoControllerInTime};
   EXPECT_EQ(
       this->Control(kj::HttpMethod::PUT, "/instances/i-1", leaving).status,
@@ -176,8 +178,8 @@
   EXPECT_TRUE(this->asked.has_value());
 }
 
-// The address went to a worker of another service, and what a cut had held up
-// of the life before comes after that.
+// A worker ends, a worker of another service reuses its address, and delayed
+// messages of the first worker arrive after a network partition heals.
 TEST_F(DoorsTest, WhatComesLateOfALifeThatIsOverLeavesTheNextOneAlone) {
   const std::string before =
       R"({"service":"s","address":"10.0.0.1:80","state":"ready","seq":7})";
--- a/tests/platform/late_loop_test.cc
+++ b/tests/platform/late_loop_test.cc
@@ -1,12 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-// A leader short of processor time fired its timers late and gave up answers
-// that lay in its sockets, unread. In one traced run 5,720 starts counted as
-// unanswered that way and 1,590 runs as gone ("its lease is over"), without a
-// fault anywhere: a worker began a run at 26.641 s, ended it done at 27.419 s
-// and listed that in each of its answers, of which none was taken; at 29.992 s
-// the leader ordered the task again elsewhere. One overloaded day, played with
-// the code right before a late loop read first, ran 44 tasks again after their
-// ends and took 17 away beyond a budget; right after, none.
+// Guards against lost answers on a leader short of processor time. Its event
+// loop runs late, so the timeout of a call can fire while the answer is already
+// in the socket, unread. Runs that had ended were then considered lost and
+// started again elsewhere, and tasks were preempted beyond their disruption
+// budget. The loop must read its sockets before it fires late timers.
 #include <Poco/Net/ServerSocket.h>
 #include <Poco/Net/StreamSocket.h>
 #include <gtest/gtest.h>
@@ -25,23 +22,24 @@
 namespace sumac::platform {
 namespace {
 
-// Beyond the time for which a renewal's answer is waited for.
+// A pause of the event loop that is longer than the timeout of a renewal.
 constexpr Milliseconds kStandstill{2'000};
-// How long the worker may keep it back; room for a busy computer.
+// The time for which the worker may delay its answer. It leaves room for a busy
+// machine.
 constexpr Milliseconds kWait{1'000};
 
-// A worker on a thread of its own that answers one renewal, once it is told to.
+// A worker on its own thread that answers one renewal when Answer() is called.
 class AnsweringWorker {
  public:
   AnsweringWorker() = default;
-  // Lets the thread end, also after a test that failed half way.
+  // Lets the thread end, even if the test failed before Answer().
   ~AnsweringWorker() { this->may_answer.release(); }
   AnsweringWorker(const AnsweringWorker&) = delete;
   AnsweringWorker& operator=(const AnsweringWorker&) = delete;
 
   std::string address() const { return this->socket.address().toString(); }
   bool has_request() const { return this->is_asked; }
-  // Sends the answer.
+  // Sends the answer and returns once it is sent.
   void Answer() {
     this->may_answer.release();
     this->has_answered.acquire();
@@ -58,7 +56,8 @@
     try {
       this->AnswerOver(connection);
     } catch (const Poco::Exception&) {
-      // The caller has gone, or keeps silent; the test has failed by itself.
+      // The client has disconnected or sends nothing; the test fails on its own
+      // in that case.
     }
   }
 
@@ -73,7 +72,7 @@
                "\r\nContent-Type: application/json\r\n\r\n", body);
     connection.sendBytes(reply.data(), static_cast<int>(reply.size()));
     this->has_answered.release();
-    // Until the caller closes the connection.
+    // Waits until the client closes the connection.
     connection.receiveBytes(request.data(), request.size());
   }
 
--- a/tests/platform/plain_instance_page_test.cc
+++ b/tests/platform/plain_instance_page_test.cc
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// A faster way to read pages must not read any of them otherwise.
+// The fast parser of instance pages must give the same result as the complete
+// parser for every page that it accepts.
 #include "platform/plain_instance_page.h"
 
 #include <gtest/gtest.h>
@@ -14,7 +15,7 @@
 namespace sumac::platform {
 namespace {
 
-// Values that a field may wrongly hold, and some that are no JSON.
+// Returns values of a wrong type for some fields, and some that are not JSON.
 const std::vector<std::string>& StrangeValues() {
   static const std::vector<std::string> kValues = {
       "null",
@@ -83,7 +84,7 @@
       });
 }
 
-// The value that a field should have.
+// Returns a valid value for a field.
 std::string GoodValue(const std::string& key) {
   if (key == "machine") {
     return *GenName();
@@ -105,8 +106,8 @@
   return *rc::gen::element<std::string>("\"x\"", "12", "{\"a\":[1,null]}");
 }
 
-// An object whose fields are mostly as they should be: now and then one is
-// missing, comes twice, or holds something else.
+// Generates an object whose fields are mostly valid. Occasionally a field is
+// missing, repeated, or has a strange value.
 std::string GenObject(const std::vector<std::string>& keys, int strange) {
   std::string text = "{";
   std::string separator;
@@ -186,7 +187,7 @@
   }
 }
 
-// Whatever the text is, both ways of reading it have the same result.
+// Checks that both parsers give the same result for the text.
 void CheckReading(const std::string& text) {
   const auto expected = ReadAnyInstancePage(text);
   const auto plain = ReadPlainInstancePage(text);
@@ -259,7 +260,7 @@
   }
 }
 
-// A page as the platform writes it must not need the complete parser.
+// A page in the platform's usual form must be accepted by the fast parser.
 TEST(PlainInstancePageTest, AWholePageIsPlain) {
   const auto page = ReadPlainInstancePage(
       R"({"machines":[{"machine":"m-1","pool":"p","state":"upkeep","zone":"z",
--- a/tests/platform/wire_codec_test.cc
+++ b/tests/platform/wire_codec_test.cc
@@ -264,9 +264,9 @@
   EXPECT_EQ(ReadInstanceResult(500, ""), kUnknown);
 }
 
-// One row that another writer had spoilt made the whole list of instances
-// unreadable, again and again; and an instance in a state without a name here
-// counted as down, so that its worker's tasks were started elsewhere.
+// A malformed row must not make the whole list of instances unreadable. An
+// instance in an unknown state must not count as down, since its worker's tasks
+// would then be started elsewhere.
 TEST(WireCodecTest, ARowThatCannotBeReadSpoilsNoOther) {
   const auto page = ReadInstancePage(
       R"({"machines":[{"machine":"m-1","pool":"p","state":"up","id":"i-1"},
--- a/tests/platform/worker_client_repeat_test.cc
+++ b/tests/platform/worker_client_repeat_test.cc
@@ -16,7 +16,7 @@
 
 using scheduler::OrderResult;
 
-// Reads a request's head; the bodies here are small and come with it.
+// Reads a request. The bodies here are small and arrive together with the head.
 kj::Promise<void> ReadRequest(kj::AsyncIoStream& stream) {
   constexpr std::size_t kMost = 8'192;
   auto buffer = kj::heapArray<char>(kMost);
@@ -34,8 +34,9 @@
   return written.attach(kj::mv(text));
 }
 
-// A worker that answers one stop, reads the next order and resets the
-// connection, and answers the copy that comes over a new one.
+// A worker that answers one stop, reads the next order, closes the connection
+// without answering, and answers the second copy, which arrives over a new
+// connection.
 class WorkerClientRepeatTest : public testing::Test {
  protected:
   struct Parts {
@@ -70,9 +71,10 @@
         });
   }
 
-  // What becomes of a start whose second copy is answered so.
+  // Returns the result of a start whose second copy is answered with `status`
+  // and `body`.
   OrderResult StartTwice(const std::string& status, const std::string& body) {
-    // A thread has one event loop at a time.
+    // A thread can have only one event loop at a time.
     this->parts.reset();
     this->parts = std::make_unique<Parts>();
     const kj::Promise<void> served =
@@ -96,10 +98,10 @@
   std::unique_ptr<Parts> parts;
 };
 
-// A start went out over a kept connection that was reset before the answer, and
-// a second copy over a new one. The first copy had been carried out and its run
-// had ended, so the second was refused; the refusal was taken for the word that
-// nothing ran, and the task was started elsewhere.
+// A start is sent over a kept connection that is reset before the answer, and a
+// second copy over a new connection. If the first copy was carried out and its
+// run has ended, the second is refused. The refusal must not be treated as
+// proof that nothing ran, or the task is started elsewhere.
 TEST_F(WorkerClientRepeatTest, ARefusedSecondCopySaysNothingOfTheFirst) {
   for (const char* reason : {"old", "late", "room"}) {
     EXPECT_EQ(this->StartTwice("409 Conflict",
--- a/tests/platform/worker_client_test.cc
+++ b/tests/platform/worker_client_test.cc
@@ -19,14 +19,14 @@
 constexpr const char* kAddress = "127.0.7.33:18733";
 constexpr const char* kExpectedWorkerHeader = "Sumacstack-Expected-Instance";
 constexpr std::uint32_t kOtherLifeStatus = 421;
-// What a silent order takes, and a renewal beyond the time for which it may be
-// kept back.
+// The timeout of an order, and that of a renewal beyond the time for which the
+// worker may delay its answer.
 constexpr Milliseconds kOrderLimit{400};
-// For a busy computer.
+// The extra time allowed on a busy machine.
 constexpr Milliseconds kSlack{1'000};
 
-// A worker that answers at once and only for itself, over a path that can go
-// silent.
+// A worker that answers at once and only calls that are meant for it, through a
+// relay that can stop forwarding.
 struct Parts {
   Parts()
       : io(kj::setupAsyncIo()),
@@ -67,16 +67,16 @@
   }
 
   kj::AsyncIoContext io;
-  // The life that runs there.
+  // The name of the worker that runs at the address.
   std::string present = "i-1";
   http::AsyncDoor door;
   stand_ins::Relay relay;
   WorkerClient client;
 };
 
-// An address is reused, by the next life or by a worker of another service. A
-// call that is meant for the life before is not taken by the present one, and
-// says nothing against it.
+// An address is reused, by the next incarnation of the worker or by a worker of
+// another service. A call meant for the previous worker must not be handled by
+// the current one, and must not count against it.
 TEST(WorkerClientTest, AReusedAddressAnswersOnlyForThePresentLife) {
   auto parts = std::make_unique<Parts>();
   EXPECT_EQ(parts->Renew("i-1"), scheduler::OrderResult::kDone);
@@ -105,8 +105,8 @@
   EXPECT_EQ(parts->relay.open(), 1U);
 }
 
-// All connections for orders are silent at once. Each costs one order, and as
-// many new ones take their place.
+// All connections for orders become silent at once. One order on each times
+// out, and the same number of new connections replaces them.
 TEST(WorkerClientTest, SilentOrdersAreNoticedAndNoConnectionIsKept) {
   constexpr std::size_t kOrders = 20;
   auto parts = std::make_unique<Parts>();
--- a/tests/platform/worker_lives_test.cc
+++ b/tests/platform/worker_lives_test.cc
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-// A worker that crashes may start again under the id that it had, knowing
-// nothing of before: its ends are numbered anew, its clock starts anew, and it
-// takes fencing tokens and leases that were meant for the life before. Ids were
-// taken for lives, so that its announcements were thrown away until they
-// outnumbered the earlier ones, or for good, the acknowledgement of the earlier
-// life's ends made it forget its own, and it carried out starts that were meant
-// for the earlier life.
+// A worker that crashes may restart under the same id without any state: it
+// numbers its ends and its clock from the beginning, and accepts fencing tokens
+// and leases that were meant for the previous incarnation. If an id identified
+// an incarnation, the restarted worker's announcements would be discarded until
+// their sequence numbers exceed the earlier ones, or for ever; it would drop
+// its own ends when the earlier ones are acknowledged; and it would carry out
+// starts meant for the previous incarnation.
 #include <gtest/gtest.h>
 #include <kj/async-io.h>
 
@@ -59,7 +59,7 @@
   return *ReadText(AnnouncementText(born, sequence, address));
 }
 
-// What controllers have on record.
+// Tests of the recorded state of workers in the controllers.
 class WorkerLivesTest : public testing::Test {
  protected:
   fleet::Answer Record(const jobs::Worker& worker) {
@@ -133,7 +133,8 @@
   EXPECT_EQ(this->state.workers().begin()->second.address, "10.0.0.1:80");
 }
 
-// One life of the worker's process, with all that it was told.
+// An incarnation of the worker that counts the orders and acknowledgements it
+// receives.
 class Life {
  public:
   Life(kj::AsyncIoContext& io, std::optional<std::int64_t> born)
@@ -147,7 +148,7 @@
     this->door.Listen(io.provider->getNetwork()).wait(io.waitScope);
   }
 
-  // It takes requests and answers none of them.
+  // True if it reads requests but does not answer them.
   bool is_mute = false;
   std::size_t starts = 0;
   std::size_t stops = 0;
@@ -183,10 +184,11 @@
 };
 
 enum class Call { kStart, kStop, kRenewal, kReport };
-// What was going on over the connections when the worker crashed.
+// The state of the connections when the worker crashes.
 enum class Before { kNothing, kIdle, kUnderWay };
 
-// Every call to a life that has ended, at each state of its connections.
+// Tests of every kind of call after a restart of the worker, in each state of
+// the connections.
 class WorkerRestartTest : public testing::Test {
  protected:
   struct Parts {
@@ -248,7 +250,7 @@
            this->parts->life->acknowledged == 0;
   }
 
-  // Runs a check for every call at each state of the connections.
+  // Runs a check for every kind of call in each state of the connections.
   void ForEach(const std::function<void(Call, Before)>& check) {
     for (const Call call :
          {Call::kStart, Call::kStop, Call::kRenewal, Call::kReport}) {
@@ -281,7 +283,7 @@
       EXPECT_EQ(this->SendAndWait(call, this->first), OrderResult::kDone);
       this->parts->life->is_mute = true;
       under_way.push_back(this->Send(call, this->first));
-      // The call is taken, and not answered.
+      // The worker reads the call and does not answer it.
       this->parts->io.provider->getTimer()
           .afterDelay(20 * kj::MILLISECONDS)
           .wait(this->parts->io.waitScope);
@@ -308,7 +310,8 @@
   });
 }
 
-// The announcement of a life may be read before the one before it has ended.
+// The announcement of an incarnation may be handled before the previous
+// incarnation has ended.
 TEST_F(WorkerRestartTest, ACallForALaterLifeReachesNoEarlierOne) {
   this->ForEach([this](Call call, Before /*before*/) {
     this->Begin(kFirstStart);
