--- a/libraries/http/async_door.h
+++ b/libraries/http/async_http_server.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef LIBRARIES_HTTP_ASYNC_DOOR_H_
-#define LIBRARIES_HTTP_ASYNC_DOOR_H_
+#ifndef LIBRARIES_HTTP_ASYNC_HTTP_SERVER_H_
+#define LIBRARIES_HTTP_ASYNC_HTTP_SERVER_H_
 
 #include <kj/async-io.h>
 #include <kj/async.h>
@@ -22,18 +22,18 @@
 namespace sumac::http {
 
 // A request that was read completely, with its body.
-struct DoorRequest {
+struct ServerRequest {
   kj::HttpMethod method = kj::HttpMethod::GET;
   // The path with its query, as sent.
   std::string path;
   std::string host;
-  // The present ones of the headers listed in DoorSettings::headers.
+  // The present ones of the headers listed in AsyncServerSettings::headers.
   std::map<std::string, std::string> headers;
   std::string body;
 };
 
 // The answer to one request.
-struct DoorReply {
+struct ServerReply {
   std::uint32_t status = 200;
   // The body; empty for none.
   std::string body;
@@ -42,7 +42,7 @@
 };
 
 // The settings of a listener.
-struct DoorSettings {
+struct AsyncServerSettings {
   // The address to listen on, as IP:PORT.
   std::string address;
   // The maximum size of a request's body. A larger body is answered with 413
@@ -53,7 +53,7 @@
   Milliseconds header_time{3'000};
   // The time after which a connection without a request is closed.
   Milliseconds idle_time{15'000};
-  // The names of the headers that are copied into DoorRequest::headers.
+  // The names of the headers that are copied into ServerRequest::headers.
   std::vector<std::string> headers;
   // The maximum number of open connections; 0 for no limit. A further
   // connection replaces the one that has been idle for the longest; if none is
@@ -63,15 +63,17 @@
 
 // An HTTP/1.1 server on the event loop. It serves many connections with one
 // handler for all requests, and has no threads of its own.
-class AsyncDoor : private kj::HttpServerCallbacks,
-                  private kj::TaskSet::ErrorHandler {
+class AsyncHttpServer : private kj::HttpServerCallbacks,
+                        private kj::TaskSet::ErrorHandler {
  public:
-  using Handler = std::function<kj::Promise<DoorReply>(DoorRequest)>;
+  using Handler = std::function<kj::Promise<ServerReply>(ServerRequest)>;
 
-  AsyncDoor(kj::Timer& timer, DoorSettings settings, Handler handler);
-  ~AsyncDoor();
-  AsyncDoor(const AsyncDoor&) = delete;
-  AsyncDoor& operator=(const AsyncDoor&) = delete;
+  AsyncHttpServer(kj::Timer& timer,
+                  AsyncServerSettings settings,
+                  Handler handler);
+  ~AsyncHttpServer();
+  AsyncHttpServer(const AsyncHttpServer&) = delete;
+  AsyncHttpServer& operator=(const AsyncHttpServer&) = delete;
 
   // Starts to listen. The promise fails with kj::Exception if that is not
   // possible.
@@ -104,10 +106,10 @@
                            Response& response);
   bool shouldClose() override { return this->is_closing; }
   void taskFailed(kj::Exception&& exception) override;
-  kj::Promise<void> Reply(Response& response, const DoorReply& reply);
+  kj::Promise<void> Reply(Response& response, const ServerReply& reply);
 
   kj::Timer& timer;
-  DoorSettings settings;
+  AsyncServerSettings settings;
   Handler handler;
   ConnectionBudget budget;
   std::map<std::string, kj::HttpHeaderId> header_ids;
@@ -128,4 +130,4 @@
 
 }  // namespace sumac::http
 
-#endif  // LIBRARIES_HTTP_ASYNC_DOOR_H_
+#endif  // LIBRARIES_HTTP_ASYNC_HTTP_SERVER_H_
--- a/services/sumacd/node_daemon.cc
+++ b/services/sumacd/node_daemon.cc
@@ -19,7 +19,7 @@
 #include "libraries/base/text.h"
 #include "libraries/base/try.h"
 #include "libraries/codec/json_writer.h"
-#include "libraries/http/async_door.h"
+#include "libraries/http/async_http_server.h"
 #include "libraries/http/connection_budget.h"
 #include "libraries/http/metrics.h"
 #include "libraries/log/json_log.h"
@@ -136,15 +136,15 @@
   std::size_t EntryConnections() const;
   void ShowConnections(const std::string& kind,
                        const http::ConnectionBudget& connections);
-  absl::Status OpenDoor(std::unique_ptr<http::AsyncDoor>& door,
-                        http::DoorSettings door_settings,
-                        http::AsyncDoor::Handler handler);
+  absl::Status OpenDoor(std::unique_ptr<http::AsyncHttpServer>& door,
+                        http::AsyncServerSettings door_settings,
+                        http::AsyncHttpServer::Handler handler);
   absl::Status OpenMetricsDoor();
   absl::Status ListenToPeers();
   absl::Status OpenRpcDoor(const std::string& address,
                            capnp::Capability::Client service);
   platform::AskLeader AskLeader();
-  http::DoorReply ReplyToHealthCheck() const;
+  http::ServerReply ReplyToHealthCheck() const;
   bool IsReady() const;
   kj::Promise<void> ProbeLoop();
   kj::Promise<void> ReloadLoop();
@@ -170,10 +170,10 @@
   std::unique_ptr<JobsLink> link;
   std::optional<platform::CallerDoor> caller_adapter;
   std::optional<platform::ControlDoor> control_adapter;
-  std::unique_ptr<http::AsyncDoor> control_door;
-  std::unique_ptr<http::AsyncDoor> caller_door;
-  std::unique_ptr<http::AsyncDoor> health_door;
-  std::unique_ptr<http::AsyncDoor> metrics_door;
+  std::unique_ptr<http::AsyncHttpServer> control_door;
+  std::unique_ptr<http::AsyncHttpServer> caller_door;
+  std::unique_ptr<http::AsyncHttpServer> health_door;
+  std::unique_ptr<http::AsyncHttpServer> metrics_door;
   std::vector<std::unique_ptr<rpc::Door>> rpc_doors;
   bool is_stopping = false;
   std::int64_t file_changed_at = 0;
@@ -234,10 +234,10 @@
   this->control_adapter.emplace(this->AskLeader(), this->controller->state());
   return this->OpenDoor(
       this->control_door,
-      http::DoorSettings{.address = this->settings.control_door,
-                         .most_body_bytes = kMostControlBody,
-                         .most_connections = this->shares.doors},
-      [this](http::DoorRequest request) {
+      http::AsyncServerSettings{.address = this->settings.control_door,
+                                .most_body_bytes = kMostControlBody,
+                                .most_connections = this->shares.doors},
+      [this](http::ServerRequest request) {
         return this->control_adapter->Handle(std::move(request));
       });
 }
@@ -257,18 +257,18 @@
   this->running.push_back(this->ProbeLoop().eagerlyEvaluate(nullptr));
   TRY(this->OpenDoor(
       this->caller_door,
-      http::DoorSettings{.address = this->settings.caller_door,
-                         .most_body_bytes = kMostCallerBody,
-                         .headers = platform::CallerDoor::Headers(),
-                         .most_connections = this->EntryConnections()},
-      [this](const http::DoorRequest& request) {
+      http::AsyncServerSettings{.address = this->settings.caller_door,
+                                .most_body_bytes = kMostCallerBody,
+                                .headers = platform::CallerDoor::Headers(),
+                                .most_connections = this->EntryConnections()},
+      [this](const http::ServerRequest& request) {
         return this->caller_adapter->Handle(request);
       }));
   return this->OpenDoor(
       this->health_door,
-      http::DoorSettings{.address = this->settings.health_door},
-      [this](const http::DoorRequest& /*request*/)
-          -> kj::Promise<http::DoorReply> {
+      http::AsyncServerSettings{.address = this->settings.health_door},
+      [this](const http::ServerRequest& /*request*/)
+          -> kj::Promise<http::ServerReply> {
         return this->ReplyToHealthCheck();
       });
 }
@@ -279,11 +279,11 @@
   return this->shares.doors + this->shares.outgoing;
 }
 
-absl::Status NodeDaemon::OpenDoor(std::unique_ptr<http::AsyncDoor>& door,
-                                  http::DoorSettings door_settings,
-                                  http::AsyncDoor::Handler handler) {
+absl::Status NodeDaemon::OpenDoor(std::unique_ptr<http::AsyncHttpServer>& door,
+                                  http::AsyncServerSettings door_settings,
+                                  http::AsyncHttpServer::Handler handler) {
   const std::string address = door_settings.address;
-  door = std::make_unique<http::AsyncDoor>(
+  door = std::make_unique<http::AsyncHttpServer>(
       this->timer, std::move(door_settings), std::move(handler));
   try {
     door->Listen(this->io.provider->getNetwork()).wait(this->io.waitScope);
@@ -334,11 +334,11 @@
   }
   return this->OpenDoor(
       this->metrics_door,
-      http::DoorSettings{.address = this->settings.metrics_door},
-      [this](const http::DoorRequest& /*request*/)
-          -> kj::Promise<http::DoorReply> {
-        return http::DoorReply{.body = this->metrics.ToText(),
-                               .content_type = "text/plain; version=0.0.4"};
+      http::AsyncServerSettings{.address = this->settings.metrics_door},
+      [this](const http::ServerRequest& /*request*/)
+          -> kj::Promise<http::ServerReply> {
+        return http::ServerReply{.body = this->metrics.ToText(),
+                                 .content_type = "text/plain; version=0.0.4"};
       });
 }
 
@@ -347,10 +347,10 @@
          this->clock.SteadyNow() - this->link->last_answer() < kOutOfTouchTime;
 }
 
-http::DoorReply NodeDaemon::ReplyToHealthCheck() const {
+http::ServerReply NodeDaemon::ReplyToHealthCheck() const {
   constexpr std::uint32_t kOk = 200;
   constexpr std::uint32_t kUnavailable = 503;
-  return http::DoorReply{.status = this->IsReady() ? kOk : kUnavailable};
+  return http::ServerReply{.status = this->IsReady() ? kOk : kUnavailable};
 }
 
 // Asks for a sign of a leader now and then, so that an entry without traffic
--- a/tests/libraries/http/async_connection_test.cc
+++ b/tests/libraries/http/async_connection_test.cc
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "libraries/base/kj_time.h"
-#include "libraries/http/async_door.h"
+#include "libraries/http/async_http_server.h"
 #include "tests/stand_ins/relay.h"
 
 namespace sumac::http {
@@ -26,15 +26,16 @@
   Parts()
       : io(kj::setupAsyncIo()),
         headers(this->builder.build()),
-        door(this->io.provider->getTimer(),
-             DoorSettings{.address = kAddress},
-             [](const DoorRequest&) { return DoorReply{.body = "{}"}; }),
+        server(this->io.provider->getTimer(),
+               AsyncServerSettings{.address = kAddress},
+               [](const ServerRequest&) { return ServerReply{.body = "{}"}; }),
         relay(this->io, kAddress),
         connection(this->io.provider->getNetwork(),
                    this->io.provider->getTimer(),
                    *this->headers,
                    this->relay.address()) {
-    this->door.Listen(this->io.provider->getNetwork()).wait(this->io.waitScope);
+    this->server.Listen(this->io.provider->getNetwork())
+        .wait(this->io.waitScope);
   }
 
   kj::Promise<CallReply> Call(bool is_idempotent) {
@@ -45,7 +46,7 @@
   kj::AsyncIoContext io;
   kj::HttpHeaderTable::Builder builder;
   kj::Own<kj::HttpHeaderTable> headers;
-  AsyncDoor door;
+  AsyncHttpServer server;
   stand_ins::Relay relay;
   AsyncConnection connection;
 };
--- a/tests/libraries/http/async_door_test.cc
+++ b/tests/libraries/http/async_http_server_test.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "libraries/http/async_door.h"
+#include "libraries/http/async_http_server.h"
 
 #include <gtest/gtest.h>
 #include <kj/async-io.h>
@@ -15,11 +15,12 @@
 // The address above in the notation of /proc/net/tcp.
 constexpr const char* kKernelAddress = "2707007F:4933";
 
-TEST(AsyncDoorTest, ACallerThatFallsSilentWithinItsBodyIsKeptForGood) {
+TEST(AsyncHttpServerTest, ACallerThatFallsSilentWithinItsBodyIsKeptForGood) {
   kj::AsyncIoContext io = kj::setupAsyncIo();
-  AsyncDoor door(io.provider->getTimer(), DoorSettings{.address = kAddress},
-                 [](const DoorRequest&) { return DoorReply{}; });
-  door.Listen(io.provider->getNetwork()).wait(io.waitScope);
+  AsyncHttpServer server(io.provider->getTimer(),
+                         AsyncServerSettings{.address = kAddress},
+                         [](const ServerRequest&) { return ServerReply{}; });
+  server.Listen(io.provider->getNetwork()).wait(io.waitScope);
   auto stream = io.provider->getNetwork()
                     .parseAddress(kAddress)
                     .wait(io.waitScope)
--- a/tests/libraries/http/connection_budget_test.cc
+++ b/tests/libraries/http/connection_budget_test.cc
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "libraries/http/async_connection.h"
-#include "libraries/http/async_door.h"
+#include "libraries/http/async_http_server.h"
 
 namespace sumac::http {
 namespace {
@@ -59,15 +59,16 @@
       : io(kj::setupAsyncIo()),
         headers(this->builder.build()),
         budget(most),
-        door(this->io.provider->getTimer(),
-             DoorSettings{.address = kAddress},
-             [](const DoorRequest& request) -> kj::Promise<DoorReply> {
-               if (request.path == "/hang") {
-                 return kj::NEVER_DONE;
-               }
-               return DoorReply{.body = "{}"};
-             }) {
-    this->door.Listen(this->io.provider->getNetwork()).wait(this->io.waitScope);
+        server(this->io.provider->getTimer(),
+               AsyncServerSettings{.address = kAddress},
+               [](const ServerRequest& request) -> kj::Promise<ServerReply> {
+                 if (request.path == "/hang") {
+                   return kj::NEVER_DONE;
+                 }
+                 return ServerReply{.body = "{}"};
+               }) {
+    this->server.Listen(this->io.provider->getNetwork())
+        .wait(this->io.waitScope);
     for (std::size_t count = 0; count < kConnections; ++count) {
       this->connections.push_back(std::make_unique<AsyncConnection>(
           this->io.provider->getNetwork(), this->io.provider->getTimer(),
@@ -82,7 +83,7 @@
   kj::HttpHeaderTable::Builder builder;
   kj::Own<kj::HttpHeaderTable> headers;
   ConnectionBudget budget;
-  AsyncDoor door;
+  AsyncHttpServer server;
   std::vector<std::unique_ptr<AsyncConnection>> connections;
 };
 
@@ -163,11 +164,11 @@
 // connecting.
 TEST(ConnectionBudgetTest, ADoorClosesIdleConnectionsForNewOnes) {
   auto parts = std::make_unique<Parts>(Parts::kConnections);
-  AsyncDoor door(
+  AsyncHttpServer server(
       parts->io.provider->getTimer(),
-      DoorSettings{.address = "127.0.7.34:18735", .most_connections = 2},
-      [](const DoorRequest&) { return DoorReply{.body = "{}"}; });
-  door.Listen(parts->io.provider->getNetwork()).wait(parts->io.waitScope);
+      AsyncServerSettings{.address = "127.0.7.34:18735", .most_connections = 2},
+      [](const ServerRequest&) { return ServerReply{.body = "{}"}; });
+  server.Listen(parts->io.provider->getNetwork()).wait(parts->io.waitScope);
   std::vector<std::unique_ptr<AsyncConnection>> callers;
   for (int count = 0; count < 6; ++count) {
     callers.push_back(std::make_unique<AsyncConnection>(
@@ -179,8 +180,8 @@
                   .status,
               200U);
   }
-  EXPECT_LE(door.connections().open(), 2U);
-  EXPECT_EQ(door.connections().closed(), 4U);
+  EXPECT_LE(server.connections().open(), 2U);
+  EXPECT_EQ(server.connections().closed(), 4U);
 }
 
 // While all connections are busy, a further caller is refused at once with a
@@ -189,14 +190,14 @@
   auto parts = std::make_unique<Parts>(Parts::kConnections);
   auto paf = kj::newPromiseAndFulfiller<void>();
   kj::ForkedPromise<void> released = paf.promise.fork();
-  AsyncDoor door(
+  AsyncHttpServer server(
       parts->io.provider->getTimer(),
-      DoorSettings{.address = "127.0.7.34:18736", .most_connections = 1},
-      [&](const DoorRequest&) {
+      AsyncServerSettings{.address = "127.0.7.34:18736", .most_connections = 1},
+      [&](const ServerRequest&) {
         return released.addBranch().then(
-            [] { return DoorReply{.body = "{}"}; });
+            [] { return ServerReply{.body = "{}"}; });
       });
-  door.Listen(parts->io.provider->getNetwork()).wait(parts->io.waitScope);
+  server.Listen(parts->io.provider->getNetwork()).wait(parts->io.waitScope);
   const auto make = [&] {
     return std::make_unique<AsyncConnection>(
         parts->io.provider->getNetwork(), parts->io.provider->getTimer(),
@@ -221,24 +222,24 @@
 // each request must return its place in the budget.
 TEST(ConnectionBudgetTest, ADoorMayGoWithARequestUnderWay) {
   auto parts = std::make_unique<Parts>(Parts::kConnections);
-  auto door = std::make_unique<AsyncDoor>(
+  auto server = std::make_unique<AsyncHttpServer>(
       parts->io.provider->getTimer(),
-      DoorSettings{.address = "127.0.7.34:18737", .most_connections = 4},
-      [](const DoorRequest&) -> kj::Promise<DoorReply> {
+      AsyncServerSettings{.address = "127.0.7.34:18737", .most_connections = 4},
+      [](const ServerRequest&) -> kj::Promise<ServerReply> {
         return kj::NEVER_DONE;
       });
-  door->Listen(parts->io.provider->getNetwork()).wait(parts->io.waitScope);
+  server->Listen(parts->io.provider->getNetwork()).wait(parts->io.waitScope);
   AsyncConnection caller(parts->io.provider->getNetwork(),
                          parts->io.provider->getTimer(), *parts->headers,
                          "127.0.7.34:18737");
   kj::Promise<CallReply> call =
       caller.Call({.path = "/ok"}, kLimit).eagerlyEvaluate(nullptr);
-  while (door->open_requests() == 0) {
+  while (server->open_requests() == 0) {
     parts->io.provider->getTimer()
         .afterDelay(1 * kj::MILLISECONDS)
         .wait(parts->io.waitScope);
   }
-  door.reset();
+  server.reset();
   EXPECT_EQ(call.wait(parts->io.waitScope).outcome, CallOutcome::kNoAnswer);
 }
 
--- a/tests/libraries/http/connection_pool_test.cc
+++ b/tests/libraries/http/connection_pool_test.cc
@@ -7,7 +7,7 @@
 #include <memory>
 #include <vector>
 
-#include "libraries/http/async_door.h"
+#include "libraries/http/async_http_server.h"
 
 namespace sumac::http {
 namespace {
@@ -21,26 +21,27 @@
   Parts()
       : io(kj::setupAsyncIo()),
         headers(this->builder.build()),
-        door(this->io.provider->getTimer(),
-             DoorSettings{.address = kAddress},
-             [](const DoorRequest& request) -> kj::Promise<DoorReply> {
-               if (request.path == "/hang") {
-                 return kj::NEVER_DONE;
-               }
-               return DoorReply{.body = "{}"};
-             }),
+        server(this->io.provider->getTimer(),
+               AsyncServerSettings{.address = kAddress},
+               [](const ServerRequest& request) -> kj::Promise<ServerReply> {
+                 if (request.path == "/hang") {
+                   return kj::NEVER_DONE;
+                 }
+                 return ServerReply{.body = "{}"};
+               }),
         pool(this->io.provider->getNetwork(),
              this->io.provider->getTimer(),
              *this->headers,
              kAddress,
              2) {
-    this->door.Listen(this->io.provider->getNetwork()).wait(this->io.waitScope);
+    this->server.Listen(this->io.provider->getNetwork())
+        .wait(this->io.waitScope);
   }
 
   kj::AsyncIoContext io;
   kj::HttpHeaderTable::Builder builder;
   kj::Own<kj::HttpHeaderTable> headers;
-  AsyncDoor door;
+  AsyncHttpServer server;
   ConnectionPool pool;
 };
 
--- a/tests/platform/worker_client_test.cc
+++ b/tests/platform/worker_client_test.cc
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "libraries/base/kj_time.h"
-#include "libraries/http/async_door.h"
+#include "libraries/http/async_http_server.h"
 #include "tests/stand_ins/relay.h"
 
 namespace sumac::platform {
@@ -30,21 +30,23 @@
 struct Parts {
   Parts()
       : io(kj::setupAsyncIo()),
-        door(this->io.provider->getTimer(),
-             http::DoorSettings{.address = kAddress,
-                                .headers = {kExpectedWorkerHeader}},
-             [this](const http::DoorRequest& request) {
-               const auto header = request.headers.find(kExpectedWorkerHeader);
-               const bool is_meant = header != request.headers.end() &&
-                                     header->second == this->present;
-               return is_meant ? http::DoorReply{.body = R"({"clock_ms":5,)"
-                                                         R"("running":[],)"
-                                                         R"("ended":[]})"}
-                               : http::DoorReply{.status = kOtherLifeStatus};
-             }),
+        server(
+            this->io.provider->getTimer(),
+            http::AsyncServerSettings{.address = kAddress,
+                                      .headers = {kExpectedWorkerHeader}},
+            [this](const http::ServerRequest& request) {
+              const auto header = request.headers.find(kExpectedWorkerHeader);
+              const bool is_meant = header != request.headers.end() &&
+                                    header->second == this->present;
+              return is_meant ? http::ServerReply{.body = R"({"clock_ms":5,)"
+                                                          R"("running":[],)"
+                                                          R"("ended":[]})"}
+                              : http::ServerReply{.status = kOtherLifeStatus};
+            }),
         relay(this->io, kAddress),
         client(this->io.provider->getNetwork(), this->io.provider->getTimer()) {
-    this->door.Listen(this->io.provider->getNetwork()).wait(this->io.waitScope);
+    this->server.Listen(this->io.provider->getNetwork())
+        .wait(this->io.waitScope);
   }
 
   scheduler::OrderResult Renew(const std::string& worker,
@@ -69,7 +71,7 @@
   kj::AsyncIoContext io;
   // The name of the worker that runs at the address.
   std::string present = "i-1";
-  http::AsyncDoor door;
+  http::AsyncHttpServer server;
   stand_ins::Relay relay;
   WorkerClient client;
 };
