--- a/libraries/http/async_http_server.cc
+++ b/libraries/http/async_http_server.cc
@@ -21,7 +21,7 @@
 constexpr Milliseconds kAcceptPause{50};
 // The maximum number of connections beyond the budget that are open at once to
 // be answered with a refusal.
-constexpr std::size_t kMostRefusedAtOnce = 16;
+constexpr std::size_t kMaxConcurrentRefusals = 16;
 // The Retry-After value for a refused caller, in seconds. A connection becomes
 // idle once its request is answered.
 constexpr const char* kRetryAfterSeconds = "1";
@@ -47,7 +47,7 @@
           std::uint64_t number,
           std::optional<ConnectionBudget::Place> place)
       : owner(owner), number(number), place(std::move(place)) {
-    this->NoteIdle();
+    this->MarkPlaceIdle();
   }
   // Cancels a request in progress first, since its end marks the place as idle,
   // and `place` must still exist then.
@@ -63,21 +63,21 @@
                             kj::AsyncInputStream& request_body,
                             Response& response) override {
     if (this->is_refused()) {
-      return this->owner.Reply(response, CrowdedReply());
+      return this->owner.Reply(response, RefusalReply());
     }
     this->place->MarkBusy();
     return this->owner.Answer(method, url, headers, request_body, response)
-        .attach(kj::defer([this] { this->NoteIdle(); }));
+        .attach(kj::defer([this] { this->MarkPlaceIdle(); }));
   }
 
   // The promise that serves the connection until it ends.
   kj::Promise<void> served = nullptr;
 
  private:
-  static ServerReply CrowdedReply();
-  void NoteIdle() {
+  static ServerReply RefusalReply();
+  void MarkPlaceIdle() {
     if (this->place) {
-      this->place->MarkIdle([this] { this->owner.End(this->number); });
+      this->place->MarkIdle([this] { this->owner.CloseSession(this->number); });
     }
   }
 
@@ -86,7 +86,7 @@
   std::optional<ConnectionBudget::Place> place;
 };
 
-ServerReply AsyncHttpServer::Session::CrowdedReply() {
+ServerReply AsyncHttpServer::Session::RefusalReply() {
   const ResultInfo& info = InfoFor(ResultCode::kCrowded);
   return ServerReply{
       .status = static_cast<std::uint32_t>(info.http_status),
@@ -141,7 +141,7 @@
       .then(
           [this](kj::Own<kj::AsyncIoStream>&& stream) -> kj::Promise<void> {
             this->Serve(kj::mv(stream));
-            return this->AwaitRoom();
+            return this->AwaitRefusalSlot();
           },
           [this](kj::Exception&& error) -> kj::Promise<void> {
             LogEvent(LogLevel::kError, "accept-failed",
@@ -154,12 +154,12 @@
 
 // Waits until another connection can be accepted, if only to be answered with a
 // refusal.
-kj::Promise<void> AsyncHttpServer::AwaitRoom() {
-  if (this->refusing < kMostRefusedAtOnce) {
+kj::Promise<void> AsyncHttpServer::AwaitRefusalSlot() {
+  if (this->open_refusals < kMaxConcurrentRefusals) {
     return kj::READY_NOW;
   }
   return this->timer.afterDelay(ToKj(kAcceptPause)).then([this] {
-    return this->AwaitRoom();
+    return this->AwaitRefusalSlot();
   });
 }
 
@@ -175,12 +175,14 @@
   }
   const std::uint64_t number = this->next_session++;
   auto session = kj::heap<Session>(*this, number, this->budget.Take());
-  this->refusing += static_cast<std::size_t>(session->is_refused());
+  this->open_refusals += static_cast<std::size_t>(session->is_refused());
   Session& added = *session;
   this->sessions.emplace(number, kj::mv(session));
   const auto ended = [this, number] {
-    // Deferred, because End destroys the promise that calls this function.
-    this->tasks.add(kj::evalLater([this, number] { this->End(number); }));
+    // Deferred, because CloseSession destroys the promise that calls this
+    // function.
+    this->tasks.add(
+        kj::evalLater([this, number] { this->CloseSession(number); }));
   };
   // A broken connection affects only its caller, so the error is dropped.
   added.served = this->server->listenHttp(kj::mv(stream))
@@ -189,10 +191,11 @@
                      .eagerlyEvaluate(nullptr);
 }
 
-void AsyncHttpServer::End(std::uint64_t session) {
+void AsyncHttpServer::CloseSession(std::uint64_t session) {
   const auto found = this->sessions.find(session);
   if (found != this->sessions.end()) {
-    this->refusing -= static_cast<std::size_t>(found->second->is_refused());
+    this->open_refusals -=
+        static_cast<std::size_t>(found->second->is_refused());
     this->sessions.erase(found);
   }
 }
--- a/libraries/http/async_http_server.h
+++ b/libraries/http/async_http_server.h
@@ -96,9 +96,9 @@
   class Session;
 
   kj::Promise<void> AcceptLoop();
-  kj::Promise<void> AwaitRoom();
+  kj::Promise<void> AwaitRefusalSlot();
   void Serve(kj::Own<kj::AsyncIoStream> stream);
-  void End(std::uint64_t session);
+  void CloseSession(std::uint64_t session);
   kj::Promise<void> Answer(kj::HttpMethod method,
                            kj::StringPtr url,
                            const kj::HttpHeaders& headers,
@@ -122,7 +122,7 @@
   std::map<std::uint64_t, kj::Own<Session>> sessions;
   std::uint64_t next_session = 1;
   // The number of open connections beyond the budget, which are being refused.
-  std::size_t refusing = 0;
+  std::size_t open_refusals = 0;
   bool is_closing = false;
   std::uint64_t open_count = 0;
   kj::TaskSet tasks;
