--- a/libraries/rpc/door.cc
+++ b/libraries/rpc/rpc_server.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "libraries/rpc/door.h"
+#include "libraries/rpc/rpc_server.h"
 
 #include "libraries/base/error.h"
 #include "libraries/base/kj_keep_alive.h"
@@ -8,7 +8,7 @@
 
 namespace sumac::rpc {
 
-absl::StatusOr<std::unique_ptr<Door>> Door::Create(
+absl::StatusOr<std::unique_ptr<RpcServer>> RpcServer::Create(
     kj::AsyncIoContext& io,
     const std::string& address,
     capnp::Capability::Client bootstrap) {
@@ -17,7 +17,8 @@
                         .parseAddress(address)
                         .wait(io.waitScope)
                         ->listen();
-    return std::unique_ptr<Door>(new Door(kj::mv(receiver), kj::mv(bootstrap)));
+    return std::unique_ptr<RpcServer>(
+        new RpcServer(kj::mv(receiver), kj::mv(bootstrap)));
   } catch (const kj::Exception& error) {
     return MakeError(ResultCode::kSettingsInvalid,
                      StrCat("can't listen on ", address, ": ",
@@ -25,8 +26,8 @@
   }
 }
 
-Door::Door(kj::Own<kj::ConnectionReceiver> receiver,
-           capnp::Capability::Client bootstrap)
+RpcServer::RpcServer(kj::Own<kj::ConnectionReceiver> receiver,
+                     capnp::Capability::Client bootstrap)
     : receiver(kj::mv(receiver)),
       server(kj::mv(bootstrap)),
       listening(this->Accept().eagerlyEvaluate([](kj::Exception&& error) {
@@ -34,7 +35,7 @@
                  {{"error", error.getDescription().cStr()}});
       })) {}
 
-kj::Promise<void> Door::Accept() {
+kj::Promise<void> RpcServer::Accept() {
   return this->receiver->accept().then(
       [this](kj::Own<kj::AsyncIoStream>&& stream) {
         KJ_IF_MAYBE (error, KeepAlive::TryApply(*stream)) {
--- a/libraries/rpc/door.h
+++ b/libraries/rpc/rpc_server.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef LIBRARIES_RPC_DOOR_H_
-#define LIBRARIES_RPC_DOOR_H_
+#ifndef LIBRARIES_RPC_RPC_SERVER_H_
+#define LIBRARIES_RPC_RPC_SERVER_H_
 
 #include <capnp/rpc-twoparty.h>
 #include <kj/async-io.h>
@@ -15,18 +15,18 @@
 
 // A Cap'n Proto server that listens on one address until it is destroyed. It
 // belongs to the event loop.
-class Door {
+class RpcServer {
  public:
   // Listens on `address` (IP:PORT) and offers `bootstrap` to each client. The
   // error is kSettingsInvalid if it can't listen there.
-  static absl::StatusOr<std::unique_ptr<Door>> Create(
+  static absl::StatusOr<std::unique_ptr<RpcServer>> Create(
       kj::AsyncIoContext& io,
       const std::string& address,
       capnp::Capability::Client bootstrap);
 
  private:
-  Door(kj::Own<kj::ConnectionReceiver> receiver,
-       capnp::Capability::Client bootstrap);
+  RpcServer(kj::Own<kj::ConnectionReceiver> receiver,
+            capnp::Capability::Client bootstrap);
 
   kj::Promise<void> Accept();
 
@@ -39,4 +39,4 @@
 
 }  // namespace sumac::rpc
 
-#endif  // LIBRARIES_RPC_DOOR_H_
+#endif  // LIBRARIES_RPC_RPC_SERVER_H_
--- a/services/sumacd/daemon.cc
+++ b/services/sumacd/daemon.cc
@@ -19,7 +19,7 @@
 #include "libraries/fleet/charts.h"
 #include "libraries/http/metrics.h"
 #include "libraries/log/json_log.h"
-#include "libraries/rpc/door.h"
+#include "libraries/rpc/rpc_server.h"
 #include "libraries/storage/data_folder.h"
 #include "libraries/storage/posix_disk.h"
 #include "services/sumacd/controller.h"
@@ -77,7 +77,7 @@
   std::unique_ptr<CoreLink> core;
   std::unique_ptr<Entry> entry;
   std::unique_ptr<ViewFollower> follower;
-  std::vector<std::unique_ptr<rpc::Door>> doors;
+  std::vector<std::unique_ptr<rpc::RpcServer>> doors;
   std::vector<kj::Promise<void>> running;
   std::unique_ptr<http::HttpServer> caller_door;
   std::unique_ptr<http::HttpServer> target_door;
@@ -108,7 +108,7 @@
 absl::Status Daemon::Listen(const std::string& address,
                             capnp::Capability::Client bootstrap) {
   this->doors.push_back(
-      TRY(rpc::Door::Create(this->io, address, kj::mv(bootstrap))));
+      TRY(rpc::RpcServer::Create(this->io, address, kj::mv(bootstrap))));
   return absl::OkStatus();
 }
 
--- a/services/sumacd/node_daemon.cc
+++ b/services/sumacd/node_daemon.cc
@@ -23,7 +23,7 @@
 #include "libraries/http/connection_budget.h"
 #include "libraries/http/metrics.h"
 #include "libraries/log/json_log.h"
-#include "libraries/rpc/door.h"
+#include "libraries/rpc/rpc_server.h"
 #include "libraries/storage/data_folder.h"
 #include "libraries/storage/posix_disk.h"
 #include "platform/advice_client.h"
@@ -174,7 +174,7 @@
   std::unique_ptr<http::AsyncHttpServer> caller_door;
   std::unique_ptr<http::AsyncHttpServer> health_door;
   std::unique_ptr<http::AsyncHttpServer> metrics_door;
-  std::vector<std::unique_ptr<rpc::Door>> rpc_doors;
+  std::vector<std::unique_ptr<rpc::RpcServer>> rpc_doors;
   bool is_stopping = false;
   std::int64_t file_changed_at = 0;
   std::vector<kj::Promise<void>> running;
@@ -303,7 +303,7 @@
 absl::Status NodeDaemon::OpenRpcDoor(const std::string& address,
                                      capnp::Capability::Client service) {
   this->rpc_doors.push_back(
-      TRY(rpc::Door::Create(this->io, address, kj::mv(service))));
+      TRY(rpc::RpcServer::Create(this->io, address, kj::mv(service))));
   return absl::OkStatus();
 }
 
--- a/tests/libraries/rpc/door_test.cc
+++ b/tests/libraries/rpc/rpc_server_test.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "libraries/rpc/door.h"
+#include "libraries/rpc/rpc_server.h"
 
 #include <gtest/gtest.h>
 #include <kj/async-io.h>
@@ -21,10 +21,10 @@
 // If another process is lost without closing its connections, they would
 // otherwise stay open here for ever, since this side sends nothing over an idle
 // connection.
-TEST(DoorTest, ConnectionsOfOthersAreProbedWhileTheyAreIdle) {
+TEST(RpcServerTest, ConnectionsOfOthersAreProbedWhileTheyAreIdle) {
   kj::AsyncIoContext io = kj::setupAsyncIo();
-  auto door = Door::Create(io, kAddress, kj::heap<QuietPeer>());
-  ASSERT_TRUE(door.ok()) << door.status();
+  auto server = RpcServer::Create(io, kAddress, kj::heap<QuietPeer>());
+  ASSERT_TRUE(server.ok()) << server.status();
   auto stream = io.provider->getNetwork()
                     .parseAddress(kAddress)
                     .wait(io.waitScope)
