--- a/libraries/rpc/channel.cc
+++ b/libraries/rpc/channel.cc
@@ -33,8 +33,8 @@
   return client;
 }
 
-void Channel::NoteFailure(const kj::Exception& exception,
-                          const CallStart& start) {
+void Channel::DropIfDead(const kj::Exception& exception,
+                         const CallStart& start) {
   const bool is_gone = exception.getType() == kj::Exception::Type::DISCONNECTED;
   const bool is_silent =
       exception.getType() == kj::Exception::Type::OVERLOADED &&
--- a/libraries/rpc/channel.h
+++ b/libraries/rpc/channel.h
@@ -37,9 +37,9 @@
   template <typename T>
   kj::Promise<T> Guard(Milliseconds limit, kj::Promise<T> call) {
     const CallStart start{this->generation, this->clock.SteadyNow()};
-    return TimeoutAfter(this->timer, limit, this->NoteAnswer(kj::mv(call)))
+    return TimeoutAfter(this->timer, limit, this->TrackAnswer(kj::mv(call)))
         .catch_([this, start](kj::Exception&& exception) -> kj::Promise<T> {
-          this->NoteFailure(exception, start);
+          this->DropIfDead(exception, start);
           return kj::mv(exception);
         });
   }
@@ -59,7 +59,7 @@
   };
 
   template <typename T>
-  kj::Promise<T> NoteAnswer(kj::Promise<T> call) {
+  kj::Promise<T> TrackAnswer(kj::Promise<T> call) {
     if constexpr (std::is_void_v<T>) {
       return call.then(
           [this] { this->last_answer_at = this->clock.SteadyNow(); });
@@ -72,7 +72,7 @@
   }
 
   capnp::Capability::Client GetBootstrap();
-  void NoteFailure(const kj::Exception& exception, const CallStart& start);
+  void DropIfDead(const kj::Exception& exception, const CallStart& start);
 
   kj::Network& network;
   kj::Timer& timer;
