--- a/services/sumacd/node_daemon.cc
+++ b/services/sumacd/node_daemon.cc
@@ -27,8 +27,8 @@
 #include "libraries/storage/data_folder.h"
 #include "libraries/storage/posix_disk.h"
 #include "platform/advice_client.h"
-#include "platform/doors.h"
 #include "platform/instance_client.h"
+#include "platform/request_handlers.h"
 #include "platform/wire_codec.h"
 #include "platform/worker_client.h"
 #include "services/sumacd/job_controller.h"
@@ -168,8 +168,8 @@
   platform::AdviceClient advice;
   std::unique_ptr<JobController> controller;
   std::unique_ptr<JobsLink> link;
-  std::optional<platform::CallerDoor> caller_adapter;
-  std::optional<platform::ControlDoor> control_adapter;
+  std::optional<platform::CallerRequestHandler> caller_adapter;
+  std::optional<platform::ControlRequestHandler> control_adapter;
   std::unique_ptr<http::AsyncHttpServer> control_door;
   std::unique_ptr<http::AsyncHttpServer> caller_door;
   std::unique_ptr<http::AsyncHttpServer> health_door;
@@ -255,15 +255,15 @@
                                           this->timer, nullptr);
   this->caller_adapter.emplace(this->AskLeader(), this->metrics);
   this->running.push_back(this->ProbeLoop().eagerlyEvaluate(nullptr));
-  TRY(this->OpenDoor(
-      this->caller_door,
-      http::AsyncServerSettings{.address = this->settings.caller_door,
-                                .most_body_bytes = kMostCallerBody,
-                                .headers = platform::CallerDoor::Headers(),
-                                .most_connections = this->EntryConnections()},
-      [this](const http::ServerRequest& request) {
-        return this->caller_adapter->Handle(request);
-      }));
+  TRY(this->OpenDoor(this->caller_door,
+                     http::AsyncServerSettings{
+                         .address = this->settings.caller_door,
+                         .most_body_bytes = kMostCallerBody,
+                         .headers = platform::CallerRequestHandler::Headers(),
+                         .most_connections = this->EntryConnections()},
+                     [this](const http::ServerRequest& request) {
+                       return this->caller_adapter->Handle(request);
+                     }));
   return this->OpenDoor(
       this->health_door,
       http::AsyncServerSettings{.address = this->settings.health_door},
--- a/tests/platform/doors_test.cc
+++ b/tests/platform/request_handlers_test.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "platform/doors.h"
+#include "platform/request_handlers.h"
 
 #include <gtest/gtest.h>
 #include <kj/async.h>
@@ -19,9 +19,9 @@
 
 // The listeners' request handlers, with a leader that gives `answer` to every
 // request.
-class DoorsTest : public testing::Test {
+class RequestHandlersTest : public testing::Test {
  protected:
-  DoorsTest()
+  RequestHandlersTest()
       : state([](std::string_view text) { return ReadDeclaration(text); }) {}
 
   AskLeader Leader() {
@@ -35,19 +35,19 @@
   http::ServerReply Call(kj::HttpMethod method,
                          const std::string& body = "",
                          const std::string& deadline = "3000") {
-    CallerDoor door(this->Leader(), this->metrics);
+    CallerRequestHandler handler(this->Leader(), this->metrics);
     http::ServerRequest request{.method = method,
                                 .path = "/clips/5c0e7a21d94b36f8",
                                 .host = "desk.example:80",
                                 .body = body};
     request.headers["Sumacstack-Deadline-Ms"] = deadline;
-    return door.Handle(request).wait(this->turns->scope);
+    return handler.Handle(request).wait(this->turns->scope);
   }
   http::ServerReply Control(kj::HttpMethod method,
                             const std::string& path,
                             const std::string& body = "") {
-    ControlDoor door(this->Leader(), this->state);
-    return door
+    ControlRequestHandler handler(this->Leader(), this->state);
+    return handler
         .Handle(
             http::ServerRequest{.method = method, .path = path, .body = body})
         .wait(this->turns->scope);
@@ -74,7 +74,7 @@
   Milliseconds limit{0};
 };
 
-TEST_F(DoorsTest, AJobIsPassedOnByHostAndPath) {
+TEST_F(RequestHandlersTest, AJobIsPassedOnByHostAndPath) {
   EXPECT_EQ(this->Call(kj::HttpMethod::POST, kJob).status, 200U);
   const auto& submit = std::get<jobs::SubmitAt>(*this->asked);
   EXPECT_EQ(submit.host, "desk.example");
@@ -83,7 +83,7 @@
 
 // A job that was certainly not accepted is refused with a Retry-After header.
 // One that may have been accepted is answered without that header.
-TEST_F(DoorsTest, RefusalsSayWhetherTheJobMayRun) {
+TEST_F(RequestHandlersTest, RefusalsSayWhetherTheJobMayRun) {
   struct Case {
     ResultCode code;
     std::uint32_t status;
@@ -103,7 +103,7 @@
   }
 }
 
-TEST_F(DoorsTest, WhatIsNoJobNeverReachesTheLeader) {
+TEST_F(RequestHandlersTest, WhatIsNoJobNeverReachesTheLeader) {
   for (const char* body :
        {"", "[]", "{}", R"({"spec":1,"steps":[]})",
         R"({"spec":"x","steps":[{"count":0}]})",
@@ -113,7 +113,7 @@
   }
 }
 
-TEST_F(DoorsTest, TheCallersDeadlineBoundsTheSearch) {
+TEST_F(RequestHandlersTest, TheCallersDeadlineBoundsTheSearch) {
   this->Call(kj::HttpMethod::GET, "", "500");
   EXPECT_LT(this->limit, Milliseconds(500));
   this->Call(kj::HttpMethod::GET, "", "nonsense");
@@ -125,13 +125,13 @@
 // A caller with little time left still needs an answer from the leader. If the
 // whole time for the way back were subtracted, the request would be given up
 // after 1 ms and the caller told that the job may run.
-TEST_F(DoorsTest, ALastTryIsGivenUpBeforeALeaderCanAnswer) {
+TEST_F(RequestHandlersTest, ALastTryIsGivenUpBeforeALeaderCanAnswer) {
   this->Call(kj::HttpMethod::GET, "", "120");
   EXPECT_GE(this->limit, Milliseconds(80));
   EXPECT_LT(this->limit, Milliseconds(120));
 }
 
-TEST_F(DoorsTest, RequestsAreCountedByTheirEnd) {
+TEST_F(RequestHandlersTest, RequestsAreCountedByTheirEnd) {
   this->Call(kj::HttpMethod::POST, kJob);
   this->answer = fleet::Answer{.code = ResultCode::kUnknownJob};
   this->Call(kj::HttpMethod::GET);
@@ -144,13 +144,13 @@
       << text;
 }
 
-TEST_F(DoorsTest, AnUnknownJobIsGone) {
+TEST_F(RequestHandlersTest, AnUnknownJobIsGone) {
   this->answer = fleet::Answer{.code = ResultCode::kUnknownJob};
   EXPECT_EQ(this->Call(kj::HttpMethod::GET).status, 410U);
   EXPECT_EQ(this->Call(kj::HttpMethod::DELETE).status, 410U);
 }
 
-TEST_F(DoorsTest, InvalidDocumentsNeverReachTheLeader) {
+TEST_F(RequestHandlersTest, InvalidDocumentsNeverReachTheLeader) {
   for (const char* body : {"", "{", R"({"version":1})",
                            R"({"version":2,"routes":[{}],"services":[]})"}) {
     EXPECT_EQ(this->Control(kj::HttpMethod::PUT, "/config", body).status, 400U)
@@ -159,7 +159,7 @@
   }
 }
 
-TEST_F(DoorsTest, AnAnnouncementIsCommittedOnceAndAgainWhenItLeaves) {
+TEST_F(RequestHandlersTest, AnAnnouncementIsCommittedOnceAndAgainWhenItLeaves) {
   const std::string ready =
       R"({"service":"s","address":"10.0.0.1:80","state":"ready","seq":1})";
   const std::string leaving =
@@ -181,7 +181,8 @@
 
 // A worker ends, a worker of another service reuses its address, and delayed
 // messages of the first worker arrive after a network partition heals.
-TEST_F(DoorsTest, WhatComesLateOfALifeThatIsOverLeavesTheNextOneAlone) {
+TEST_F(RequestHandlersTest,
+       WhatComesLateOfALifeThatIsOverLeavesTheNextOneAlone) {
   const std::string before =
       R"({"service":"s","address":"10.0.0.1:80","state":"ready","seq":7})";
   const std::string next =
