--- a/libraries/http/async_connection.h
+++ b/libraries/http/async_connection.h
@@ -55,7 +55,7 @@
 };
 
 // The result of checking whether an answer comes from the expected process.
-enum class PeerVerdict { kExpected, kOther, kUnclear };
+enum class PeerCheckResult { kExpected, kOther, kUnclear };
 
 // A check, on a newly opened connection, that the expected process is at the
 // other end. A connection ends with its process, so the result holds for as
@@ -67,7 +67,7 @@
   std::string path;
   std::vector<std::pair<std::string, std::string>> headers;
   std::string body;
-  std::function<PeerVerdict(const CallReply&)> judge;
+  std::function<PeerCheckResult(const CallReply&)> evaluate;
 };
 
 // One request.
