--- a/libraries/http/async_connection.cc
+++ b/libraries/http/async_connection.cc
@@ -10,7 +10,7 @@
 namespace {
 
 // The maximum size of an answer's body, in bytes.
-constexpr std::uint64_t kMostAnswerBytes = 8ULL << 20;
+constexpr std::uint64_t kMaxAnswerBytes = 8ULL << 20;
 
 bool IsDisconnect(const kj::Exception& exception) {
   return exception.getType() == kj::Exception::Type::DISCONNECTED;
@@ -67,18 +67,18 @@
   auto call =
       kj::heap<Pending>(Pending{std::move(request), SystemClock().SteadyNow()});
   const Pending& pending = *call;
-  return this->AwaitTurn()
+  return this->AwaitEarlierCalls()
       .then([this, &pending, limit]() -> kj::Promise<CallReply> {
-        auto turn = kj::defer([this] { this->EndTurn(); });
+        auto finish = kj::defer([this] { this->StartNextCall(); });
         if (pending.IsTooLate()) {
           return TooLate();
         }
-        return this->Try(pending, limit, false).attach(kj::mv(turn));
+        return this->Try(pending, limit, false).attach(kj::mv(finish));
       })
       .attach(kj::mv(call));
 }
 
-kj::Promise<void> AsyncConnection::AwaitTurn() {
+kj::Promise<void> AsyncConnection::AwaitEarlierCalls() {
   if (!std::exchange(this->is_busy, true)) {
     this->MarkBusy();
     return kj::READY_NOW;
@@ -88,7 +88,7 @@
   return kj::mv(paf.promise);
 }
 
-void AsyncConnection::EndTurn() {
+void AsyncConnection::StartNextCall() {
   while (!this->waiting.empty()) {
     kj::Own<kj::PromiseFulfiller<void>> next = kj::mv(this->waiting.front());
     this->waiting.pop_front();
@@ -267,7 +267,7 @@
       })
       .then([](kj::HttpClient::Response&& response) {
         const std::uint32_t status = response.statusCode;
-        auto read = response.body->readAllText(kMostAnswerBytes);
+        auto read = response.body->readAllText(kMaxAnswerBytes);
         return read.attach(kj::mv(response.body))
             .then([status](kj::String&& body) {
               return CallReply{.outcome = CallOutcome::kAnswered,
--- a/libraries/http/async_connection.h
+++ b/libraries/http/async_connection.h
@@ -146,8 +146,8 @@
     std::uint64_t generation = 0;
   };
 
-  kj::Promise<void> AwaitTurn();
-  void EndTurn();
+  kj::Promise<void> AwaitEarlierCalls();
+  void StartNextCall();
   void MarkIdle();
   void MarkBusy();
   kj::Promise<CallReply> Try(const Pending& call,
--- a/libraries/http/connection_pool.cc
+++ b/libraries/http/connection_pool.cc
@@ -22,12 +22,12 @@
                                             Milliseconds limit) {
   // min_element returns the first of several equal ones, so that connections
   // that are not needed stay closed.
-  const auto least =
+  const auto least_busy =
       std::min_element(this->connections.begin(), this->connections.end(),
                        [](const auto& left, const auto& right) {
                          return left->open_calls() < right->open_calls();
                        });
-  return (*least)->Call(std::move(request), limit);
+  return (*least_busy)->Call(std::move(request), limit);
 }
 
 }  // namespace sumac::http
