--- a/libraries/http/async_http_server.cc
+++ b/libraries/http/async_http_server.cc
@@ -26,9 +26,9 @@
 // idle once its request is answered.
 constexpr const char* kRetryAfterSeconds = "1";
 
-std::size_t BudgetOf(std::size_t most_connections) {
-  return most_connections == 0 ? std::numeric_limits<std::size_t>::max()
-                               : most_connections;
+std::size_t BudgetOf(std::size_t max_connections) {
+  return max_connections == 0 ? std::numeric_limits<std::size_t>::max()
+                              : max_connections;
 }
 
 const std::string& ReasonFor(std::uint32_t status) {
@@ -102,7 +102,7 @@
     : timer(timer),
       settings(std::move(settings)),
       handler(std::move(handler)),
-      budget(BudgetOf(this->settings.most_connections)),
+      budget(BudgetOf(this->settings.max_connections)),
       tasks(*this) {
   kj::HttpHeaderTable::Builder builder;
   for (const std::string& name : this->settings.headers) {
@@ -229,12 +229,12 @@
     }
   }
   KJ_IF_MAYBE (length, request_body.tryGetLength()) {
-    if (*length > this->settings.most_body_bytes) {
+    if (*length > this->settings.max_body_bytes) {
       return this->Reply(response, ServerReply{.status = kBodyTooLargeStatus});
     }
   }
   ++this->open_count;
-  return request_body.readAllText(this->settings.most_body_bytes)
+  return request_body.readAllText(this->settings.max_body_bytes)
       .then([this, &response,
              request = kj::mv(request)](kj::String&& body) mutable {
         request->body.assign(body.begin(), body.size());
--- a/libraries/http/async_http_server.h
+++ b/libraries/http/async_http_server.h
@@ -47,7 +47,7 @@
   std::string address;
   // The maximum size of a request's body. A larger body is answered with 413
   // and its connection is closed.
-  std::uint64_t most_body_bytes = 1U << 20;
+  std::uint64_t max_body_bytes = 1U << 20;
   // The maximum time from the first byte of a request to the end of its
   // headers.
   Milliseconds header_time{3'000};
@@ -58,7 +58,7 @@
   // The maximum number of open connections; 0 for no limit. A further
   // connection replaces the one that has been idle for the longest; if none is
   // idle, its request is answered with a refusal.
-  std::size_t most_connections = 0;
+  std::size_t max_connections = 0;
 };
 
 // An HTTP/1.1 server on the event loop. It serves many connections with one
--- a/libraries/http/caller_message.h
+++ b/libraries/http/caller_message.h
@@ -43,7 +43,7 @@
 };
 
 // The longest deadline that a caller may request.
-inline constexpr Milliseconds kLongestDeadline{3'600'000};
+inline constexpr Milliseconds kMaxDeadline{3'600'000};
 
 // Returns an answer with an error as JSON.
 CallerAnswer MakeErrorAnswer(ResultCode code,
--- a/libraries/http/connection_budget.cc
+++ b/libraries/http/connection_budget.cc
@@ -5,8 +5,8 @@
 
 namespace sumac::http {
 
-ConnectionBudget::ConnectionBudget(std::size_t most)
-    : limit(std::max<std::size_t>(most, 1)) {}
+ConnectionBudget::ConnectionBudget(std::size_t max_open)
+    : limit(std::max<std::size_t>(max_open, 1)) {}
 
 std::optional<ConnectionBudget::Place> ConnectionBudget::Take() {
   if (this->open_count >= this->limit && !this->idle_connections.empty()) {
--- a/libraries/http/connection_budget.h
+++ b/libraries/http/connection_budget.h
@@ -53,8 +53,8 @@
     std::optional<IdleList::iterator> idle;
   };
 
-  // Allows up to `most` connections; 0 counts as 1.
-  explicit ConnectionBudget(std::size_t most);
+  // Allows up to `max_open` connections; 0 counts as 1.
+  explicit ConnectionBudget(std::size_t max_open);
   ConnectionBudget(const ConnectionBudget&) = delete;
   ConnectionBudget& operator=(const ConnectionBudget&) = delete;
 
@@ -62,7 +62,7 @@
   // for the longest if necessary. Returns std::nullopt while all are busy.
   std::optional<Place> Take();
 
-  std::size_t most() const { return this->limit; }
+  std::size_t max_open() const { return this->limit; }
   std::size_t open() const { return this->open_count; }
   // Returns the number of idle connections that were closed for others.
   std::uint64_t closed() const { return this->closed_count; }
--- a/libraries/http/http_server.cc
+++ b/libraries/http/http_server.cc
@@ -99,24 +99,23 @@
 
 HttpServer::HttpServer(const ServerSettings& settings, Handler handler)
     : threads(
-          std::make_unique<Poco::ThreadPool>(2,
-                                             settings.most_connections + 1)) {
+          std::make_unique<Poco::ThreadPool>(2, settings.max_connections + 1)) {
   this->threads->setStackSize(kThreadStackBytes);
   Poco::Net::ServerSocket socket;
   socket.bind(Poco::Net::SocketAddress(settings.address), true, false);
   socket.listen(kListenBacklog);
   Poco::Net::HTTPServerParams::Ptr params = new Poco::Net::HTTPServerParams;
-  params->setMaxThreads(settings.most_connections);
-  params->setMaxQueued(settings.most_connections);
+  params->setMaxThreads(settings.max_connections);
+  params->setMaxQueued(settings.max_connections);
   params->setKeepAlive(true);
   params->setMaxKeepAliveRequests(0);
   params->setKeepAliveTimeout(ToTimespan(settings.idle_time));
   params->setTimeout(ToTimespan(settings.io_time));
   Poco::Net::HTTPRequestHandlerFactory::Ptr factory =
       new FunctionHandlerFactory(
-          std::move(handler), [this, most = settings.most_connections] {
+          std::move(handler), [this, max_open = settings.max_connections] {
             return this->server->currentConnections() * kCrowdedDenominator >
-                   most * kCrowdedNumerator;
+                   max_open * kCrowdedNumerator;
           });
   this->server = std::make_unique<Poco::Net::HTTPServer>(
       factory, *this->threads, socket, params);
@@ -138,7 +137,7 @@
 
 absl::StatusOr<std::string> ReadRequestBody(
     Poco::Net::HTTPServerRequest& request,
-    std::uint64_t most_bytes) {
+    std::uint64_t max_bytes) {
   if (!request.hasContentLength()) {
     if (request.getChunkedTransferEncoding()) {
       return MakeError(ResultCode::kBadRequest,
@@ -147,10 +146,10 @@
     return std::string();
   }
   const auto length = static_cast<std::uint64_t>(request.getContentLength64());
-  if (length > most_bytes) {
-    return MakeError(ResultCode::kBodyTooLarge,
-                     StrCat("the body has ", length, " bytes; ", most_bytes,
-                            " are allowed"));
+  if (length > max_bytes) {
+    return MakeError(
+        ResultCode::kBodyTooLarge,
+        StrCat("the body has ", length, " bytes; ", max_bytes, " are allowed"));
   }
   std::string body;
   std::array<char, kBufferBytes> buffer{};
--- a/libraries/http/http_server.h
+++ b/libraries/http/http_server.h
@@ -25,7 +25,7 @@
   std::string address;
   // The maximum number of connections served at once; further ones wait in the
   // listen queue.
-  int most_connections = 512;
+  int max_connections = 512;
   // The time after which a connection without a request is closed.
   Milliseconds idle_time{15'000};
   // The timeout of each read and write; a caller that is slower is
@@ -63,10 +63,10 @@
 };
 
 // Reads a request's body. The error is kBadRequest if the body is truncated or
-// of unknown length, and kBodyTooLarge if it is longer than `most_bytes`.
+// of unknown length, and kBodyTooLarge if it is longer than `max_bytes`.
 absl::StatusOr<std::string> ReadRequestBody(
     Poco::Net::HTTPServerRequest& request,
-    std::uint64_t most_bytes);
+    std::uint64_t max_bytes);
 
 // Sends a complete answer.
 void SendAnswer(Poco::Net::HTTPServerResponse& response,
--- a/libraries/http/minion_client.cc
+++ b/libraries/http/minion_client.cc
@@ -116,7 +116,7 @@
 void MinionClient::Keep(const std::string& address, Connection connection) {
   const std::lock_guard lock(this->mutex);
   std::deque<Connection>& connections = this->kept[address];
-  if (connections.size() < kMostKept) {
+  if (connections.size() < kMaxKeptConnections) {
     connections.push_back(std::move(connection));
   }
 }
@@ -124,7 +124,7 @@
 TryResult MinionClient::Exchange(const std::string& address,
                                  Connection connection,
                                  const MinionRequest& request,
-                                 std::uint32_t most_body_bytes,
+                                 std::uint32_t max_body_bytes,
                                  SteadyTime deadline) {
   TryResult result;
   connection->StartRequest();
@@ -150,10 +150,10 @@
       return Broken(std::move(result), "the answer declares no length");
     }
     const auto length = static_cast<std::uint64_t>(head.getContentLength64());
-    if (length > most_body_bytes) {
+    if (length > max_body_bytes) {
       return Broken(std::move(result),
                     StrCat("the answer has ", length, " bytes of ",
-                           most_body_bytes, " allowed"));
+                           max_body_bytes, " allowed"));
     }
     absl::StatusOr<std::string> body =
         ReadBody(*connection, stream, length, deadline);
--- a/libraries/http/minion_client.h
+++ b/libraries/http/minion_client.h
@@ -69,17 +69,17 @@
                      SteadyTime deadline);
 
   // Sends the request and waits for the complete answer, whose body may have up
-  // to `most_body_bytes` bytes.
+  // to `max_body_bytes` bytes.
   TryResult Exchange(const std::string& address,
                      Connection connection,
                      const MinionRequest& request,
-                     std::uint32_t most_body_bytes,
+                     std::uint32_t max_body_bytes,
                      SteadyTime deadline);
 
  private:
   // The maximum number of idle connections kept per minion; further ones are
   // closed.
-  static constexpr std::size_t kMostKept = 16;
+  static constexpr std::size_t kMaxKeptConnections = 16;
 
   void Keep(const std::string& address, Connection connection);
 
--- a/services/sumacd/doors.cc
+++ b/services/sumacd/doors.cc
@@ -67,10 +67,10 @@
   std::int64_t milliseconds = 0;
   if (!ParseNumber(std::string_view(request.get(http::kDeadlineHeader)),
                    &milliseconds) ||
-      milliseconds < 1 || milliseconds > http::kLongestDeadline.count()) {
+      milliseconds < 1 || milliseconds > http::kMaxDeadline.count()) {
     return MakeError(ResultCode::kBadRequest,
                      StrCat(http::kDeadlineHeader, " must be 1 to ",
-                            http::kLongestDeadline.count(), " milliseconds"));
+                            http::kMaxDeadline.count(), " milliseconds"));
   }
   return Milliseconds(milliseconds);
 }
--- a/services/sumacd/node_daemon.cc
+++ b/services/sumacd/node_daemon.cc
@@ -235,8 +235,8 @@
   return this->OpenDoor(
       this->control_door,
       http::AsyncServerSettings{.address = this->settings.control_door,
-                                .most_body_bytes = kMostControlBody,
-                                .most_connections = this->shares.doors},
+                                .max_body_bytes = kMostControlBody,
+                                .max_connections = this->shares.doors},
       [this](http::ServerRequest request) {
         return this->control_adapter->Handle(std::move(request));
       });
@@ -258,9 +258,9 @@
   TRY(this->OpenDoor(this->caller_door,
                      http::AsyncServerSettings{
                          .address = this->settings.caller_door,
-                         .most_body_bytes = kMostCallerBody,
+                         .max_body_bytes = kMostCallerBody,
                          .headers = platform::CallerRequestHandler::Headers(),
-                         .most_connections = this->EntryConnections()},
+                         .max_connections = this->EntryConnections()},
                      [this](const http::ServerRequest& request) {
                        return this->caller_adapter->Handle(request);
                      }));
@@ -316,7 +316,7 @@
   });
   this->metrics.SetGauge(
       StrCat("sumac_connections_most", label),
-      [&connections] { return static_cast<double>(connections.most()); });
+      [&connections] { return static_cast<double>(connections.max_open()); });
   this->metrics.SetCounter(
       StrCat("sumac_connections_closed_for_others_total", label),
       [&connections] { return static_cast<double>(connections.closed()); });
--- a/tests/libraries/http/connection_budget_test.cc
+++ b/tests/libraries/http/connection_budget_test.cc
@@ -55,10 +55,10 @@
 // A server and 20 connections to it that share one budget, as a leader's
 // connections to its workers do.
 struct Parts {
-  explicit Parts(std::size_t most)
+  explicit Parts(std::size_t max_open)
       : io(kj::setupAsyncIo()),
         headers(this->builder.build()),
-        budget(most),
+        budget(max_open),
         server(this->io.provider->getTimer(),
                AsyncServerSettings{.address = kAddress},
                [](const ServerRequest& request) -> kj::Promise<ServerReply> {
@@ -166,7 +166,7 @@
   auto parts = std::make_unique<Parts>(Parts::kConnections);
   AsyncHttpServer server(
       parts->io.provider->getTimer(),
-      AsyncServerSettings{.address = "127.0.7.34:18735", .most_connections = 2},
+      AsyncServerSettings{.address = "127.0.7.34:18735", .max_connections = 2},
       [](const ServerRequest&) { return ServerReply{.body = "{}"}; });
   server.Listen(parts->io.provider->getNetwork()).wait(parts->io.waitScope);
   std::vector<std::unique_ptr<AsyncConnection>> callers;
@@ -192,7 +192,7 @@
   kj::ForkedPromise<void> released = paf.promise.fork();
   AsyncHttpServer server(
       parts->io.provider->getTimer(),
-      AsyncServerSettings{.address = "127.0.7.34:18736", .most_connections = 1},
+      AsyncServerSettings{.address = "127.0.7.34:18736", .max_connections = 1},
       [&](const ServerRequest&) {
         return released.addBranch().then(
             [] { return ServerReply{.body = "{}"}; });
@@ -224,7 +224,7 @@
   auto parts = std::make_unique<Parts>(Parts::kConnections);
   auto server = std::make_unique<AsyncHttpServer>(
       parts->io.provider->getTimer(),
-      AsyncServerSettings{.address = "127.0.7.34:18737", .most_connections = 4},
+      AsyncServerSettings{.address = "127.0.7.34:18737", .max_connections = 4},
       [](const ServerRequest&) -> kj::Promise<ServerReply> {
         return kj::NEVER_DONE;
       });
