--- a/libraries/http/async_connection.cc
+++ b/libraries/http/async_connection.cc
@@ -254,7 +254,7 @@
     sent_headers.add(kj::str(name), kj::str(value));
   }
   if (!request.body.empty()) {
-    open->stream->HoldNextWrite();
+    open->stream->BufferNextWrite();
   }
   auto call = open->client->request(request.method, request.path, sent_headers,
                                     request.body.size());
--- a/libraries/http/minion_client.cc
+++ b/libraries/http/minion_client.cc
@@ -72,7 +72,7 @@
 
 // Copies the minion's load and its notice of leaving from the head of an answer
 // to `result`.
-void TakeReport(const Poco::Net::HTTPResponse& head, TryResult& result) {
+void ReadLoadReport(const Poco::Net::HTTPResponse& head, TryResult& result) {
   std::uint32_t load = 0;
   if (ParseNumber(std::string_view(head.get(kInFlightHeader, "")), &load)) {
     result.reported_load = load;
@@ -113,7 +113,8 @@
   }
 }
 
-void MinionClient::Keep(const std::string& address, Connection connection) {
+void MinionClient::KeepConnection(const std::string& address,
+                                  Connection connection) {
   const std::lock_guard lock(this->mutex);
   std::deque<Connection>& connections = this->kept[address];
   if (connections.size() < kMaxKeptConnections) {
@@ -133,7 +134,7 @@
     WriteRequest(*connection, request, deadline);
     Poco::Net::HTTPResponse head;
     std::istream& stream = connection->receiveResponse(head);
-    TakeReport(head, result);
+    ReadLoadReport(head, result);
     if (head.get(kRequestHeader, "") != request.number) {
       return Broken(std::move(result), "the answer belongs to another request");
     }
@@ -168,7 +169,7 @@
     result.answer = MinionAnswer{static_cast<std::uint16_t>(head.getStatus()),
                                  head.getContentType(), *std::move(body)};
     if (head.getKeepAlive()) {
-      this->Keep(address, std::move(connection));
+      this->KeepConnection(address, std::move(connection));
     }
     return result;
   } catch (const Poco::TimeoutException& error) {
--- a/libraries/http/minion_client.h
+++ b/libraries/http/minion_client.h
@@ -81,7 +81,7 @@
   // closed.
   static constexpr std::size_t kMaxKeptConnections = 16;
 
-  void Keep(const std::string& address, Connection connection);
+  void KeepConnection(const std::string& address, Connection connection);
 
   std::mutex mutex;
   std::map<std::string, std::deque<Connection>> kept;
--- a/libraries/http/platform_client.cc
+++ b/libraries/http/platform_client.cc
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-absl::StatusOr<fleet::RecordPlatformReport> PlatformClient::Tell(
+absl::StatusOr<fleet::RecordPlatformReport> PlatformClient::SendOperation(
     const fleet::PlatformStep& step) {
   const nlohmann::json body = {{"operation", step.operation.value()},
                                {"instance", step.instance.value()},
--- a/libraries/http/platform_client.h
+++ b/libraries/http/platform_client.h
@@ -17,7 +17,7 @@
 template <typename T>
 concept Platform = requires(T& platform, const fleet::PlatformStep& step) {
   {
-    platform.Tell(step)
+    platform.SendOperation(step)
     } -> std::same_as<absl::StatusOr<fleet::RecordPlatformReport>>;
 };
 
@@ -31,7 +31,7 @@
 
   // Sends one operation and returns its progress. Blocks until the answer
   // arrives. The error is kUnreachable or kMalformedMessage.
-  absl::StatusOr<fleet::RecordPlatformReport> Tell(
+  absl::StatusOr<fleet::RecordPlatformReport> SendOperation(
       const fleet::PlatformStep& step);
 
  private:
--- a/libraries/http/whole_request_stream.h
+++ b/libraries/http/whole_request_stream.h
@@ -20,16 +20,16 @@
       : inner(kj::mv(inner)) {}
 
   // Buffers the next write until the one after it, and sends both together.
-  void HoldNextWrite() { this->holds_next = true; }
+  void BufferNextWrite() { this->is_buffering_next = true; }
 
   kj::Promise<std::size_t> tryRead(void* buffer,
-                                   std::size_t least,
-                                   std::size_t most) override {
-    return this->inner->tryRead(buffer, least, most);
+                                   std::size_t min_bytes,
+                                   std::size_t max_bytes) override {
+    return this->inner->tryRead(buffer, min_bytes, max_bytes);
   }
   kj::Promise<void> write(const void* buffer, std::size_t size) override;
   kj::Promise<void> write(
-      kj::ArrayPtr<const kj::ArrayPtr<const kj::byte>> pieces) override;
+      kj::ArrayPtr<const kj::ArrayPtr<const kj::byte>> parts) override;
   kj::Promise<void> whenWriteDisconnected() override {
     return this->inner->whenWriteDisconnected();
   }
@@ -37,14 +37,14 @@
   void abortRead() override { this->inner->abortRead(); }
 
  private:
-  // Appends the bytes to the buffer. Returns true if they are to be held until
-  // the next write.
-  bool Gather(const void* buffer, std::size_t size);
+  // Appends the bytes to the buffer. Returns true if they are to be buffered
+  // until the next write.
+  bool AppendToBuffer(const void* buffer, std::size_t size);
   kj::Promise<void> Flush();
 
   kj::Own<kj::AsyncIoStream> inner;
-  bool holds_next = false;
-  std::string held;
+  bool is_buffering_next = false;
+  std::string buffered;
 };
 
 }  // namespace sumac::http
--- a/services/sumacd/platform_teller.cc
+++ b/services/sumacd/platform_teller.cc
@@ -64,7 +64,7 @@
       step = this->queue.front();
       this->queue.pop_front();
     }
-    const auto report = this->client.Tell(step);
+    const auto report = this->client.SendOperation(step);
     if (report.ok()) {
       this->on_report(*report);
     } else {
