--- a/tests/libraries/http/connection_budget_test.cc
+++ b/tests/libraries/http/connection_budget_test.cc
@@ -42,10 +42,10 @@
 // that is ever asked.
 TEST(ConnectionBudgetTest, OneThatKeepsItsPlaceDoesNotKeepOthersFromGivingWay) {
   ConnectionBudget budget(2);
-  std::optional<ConnectionBudget::Place> stubborn = budget.Take();
+  std::optional<ConnectionBudget::Place> unclosable = budget.Take();
   std::optional<ConnectionBudget::Place> other = budget.Take();
   int asked = 0;
-  stubborn->MarkIdle([&] { ++asked; });
+  unclosable->MarkIdle([&] { ++asked; });
   other->MarkIdle([&] { other.reset(); });
   EXPECT_FALSE(budget.Take().has_value());
   EXPECT_TRUE(budget.Take().has_value());
--- a/tests/platform/late_loop_test.cc
+++ b/tests/platform/late_loop_test.cc
@@ -23,7 +23,7 @@
 namespace {
 
 // A pause of the event loop that is longer than the timeout of a renewal.
-constexpr Milliseconds kStandstill{2'000};
+constexpr Milliseconds kLoopPause{2'000};
 // The time for which the worker may delay its answer. It leaves room for a busy
 // machine.
 constexpr Milliseconds kWait{1'000};
@@ -96,7 +96,7 @@
     ASSERT_FALSE(renewal.poll(io.waitScope));
   }
   worker.Answer();
-  std::this_thread::sleep_for(kStandstill);
+  std::this_thread::sleep_for(kLoopPause);
   EXPECT_EQ(renewal.wait(io.waitScope).result, scheduler::OrderResult::kDone);
   client.reset();
 }
--- a/tests/platform/request_handlers_test.cc
+++ b/tests/platform/request_handlers_test.cc
@@ -41,7 +41,7 @@
                                 .host = "desk.example:80",
                                 .body = body};
     request.headers["Sumacstack-Deadline-Ms"] = deadline;
-    return handler.Handle(request).wait(this->turns->scope);
+    return handler.Handle(request).wait(this->loop_parts->scope);
   }
   http::ServerReply Control(kj::HttpMethod method,
                             const std::string& path,
@@ -50,7 +50,7 @@
     return handler
         .Handle(
             http::ServerRequest{.method = method, .path = path, .body = body})
-        .wait(this->turns->scope);
+        .wait(this->loop_parts->scope);
   }
   static std::string RetryAfter(const http::ServerReply& reply) {
     for (const auto& [name, value] : reply.headers) {
@@ -61,12 +61,12 @@
     return "";
   }
 
-  struct Turns {
+  struct LoopParts {
     kj::EventLoop loop;
     kj::WaitScope scope{this->loop};
   };
 
-  std::unique_ptr<Turns> turns = std::make_unique<Turns>();
+  std::unique_ptr<LoopParts> loop_parts = std::make_unique<LoopParts>();
   http::Metrics metrics;
   jobs::JobsState state;
   fleet::Answer answer;
--- a/tests/platform/worker_client_test.cc
+++ b/tests/platform/worker_client_test.cc
@@ -18,7 +18,7 @@
 
 constexpr const char* kAddress = "127.0.7.33:18733";
 constexpr const char* kExpectedWorkerHeader = "Sumacstack-Expected-Instance";
-constexpr std::uint32_t kOtherLifeStatus = 421;
+constexpr std::uint32_t kOtherIncarnationStatus = 421;
 // The timeout of an order, and that of a renewal beyond the time for which the
 // worker may delay its answer.
 constexpr Milliseconds kOrderLimit{400};
@@ -37,11 +37,12 @@
             [this](const http::ServerRequest& request) {
               const auto header = request.headers.find(kExpectedWorkerHeader);
               const bool is_meant = header != request.headers.end() &&
-                                    header->second == this->present;
-              return is_meant ? http::ServerReply{.body = R"({"clock_ms":5,)"
-                                                          R"("running":[],)"
-                                                          R"("ended":[]})"}
-                              : http::ServerReply{.status = kOtherLifeStatus};
+                                    header->second == this->current_worker;
+              return is_meant
+                         ? http::ServerReply{.body = R"({"clock_ms":5,)"
+                                                     R"("running":[],)"
+                                                     R"("ended":[]})"}
+                         : http::ServerReply{.status = kOtherIncarnationStatus};
             }),
         relay(this->io, kAddress),
         client(this->io.provider->getNetwork(), this->io.provider->getTimer()) {
@@ -70,7 +71,7 @@
 
   kj::AsyncIoContext io;
   // The name of the worker that runs at the address.
-  std::string present = "i-1";
+  std::string current_worker = "i-1";
   http::AsyncHttpServer server;
   stand_ins::Relay relay;
   WorkerClient client;
@@ -82,7 +83,7 @@
 TEST(WorkerClientTest, AReusedAddressAnswersOnlyForThePresentLife) {
   auto parts = std::make_unique<Parts>();
   EXPECT_EQ(parts->Renew("i-1"), scheduler::OrderResult::kDone);
-  parts->present = "i-2";
+  parts->current_worker = "i-2";
   EXPECT_EQ(parts->Renew("i-1"), scheduler::OrderResult::kOtherIncarnation);
   EXPECT_EQ(parts->Stop("i-1").wait(parts->io.waitScope).result,
             scheduler::OrderResult::kOtherIncarnation);
--- a/tests/platform/worker_lives_test.cc
+++ b/tests/platform/worker_lives_test.cc
@@ -135,9 +135,9 @@
 
 // An incarnation of the worker that counts the orders and acknowledgements it
 // receives.
-class Life {
+class FakeIncarnation {
  public:
-  Life(kj::AsyncIoContext& io, std::optional<std::int64_t> born)
+  FakeIncarnation(kj::AsyncIoContext& io, std::optional<std::int64_t> born)
       : born(born),
         server(io.provider->getTimer(),
                http::AsyncServerSettings{.address = kAddress,
@@ -149,7 +149,7 @@
   }
 
   // True if it reads requests but does not answer them.
-  bool is_mute = false;
+  bool never_answers = false;
   std::size_t starts = 0;
   std::size_t stops = 0;
   std::uint64_t acknowledged = 0;
@@ -173,7 +173,7 @@
     }
     this->starts += static_cast<std::size_t>(request.path == "/run-start");
     this->stops += static_cast<std::size_t>(request.path == "/run-stop");
-    if (this->is_mute) {
+    if (this->never_answers) {
       return kj::Promise<http::ServerReply>(kj::NEVER_DONE);
     }
     return http::ServerReply{.body = reply.dump()};
@@ -185,7 +185,7 @@
 
 enum class Call { kStart, kStop, kRenewal, kReport };
 // The state of the connections when the worker crashes.
-enum class Before { kNothing, kIdle, kUnderWay };
+enum class ConnectionState { kNothing, kIdle, kInProgress };
 
 // Tests of every kind of call after a restart of the worker, in each state of
 // the connections.
@@ -195,7 +195,7 @@
     kj::AsyncIoContext io = kj::setupAsyncIo();
     WorkerClient client{this->io.provider->getNetwork(),
                         this->io.provider->getTimer()};
-    std::unique_ptr<Life> life;
+    std::unique_ptr<FakeIncarnation> incarnation;
   };
 
   kj::Promise<OrderResult> Send(Call call, const WorkerId& worker) {
@@ -241,26 +241,30 @@
   OrderResult SendAndWait(Call call, const WorkerId& worker) {
     return this->Send(call, worker).wait(this->parts->io.waitScope);
   }
-  void Begin(std::optional<std::int64_t> born) {
-    this->parts->life.reset();
-    this->parts->life = std::make_unique<Life>(this->parts->io, born);
+  void StartWorker(std::optional<std::int64_t> born) {
+    this->parts->incarnation.reset();
+    this->parts->incarnation =
+        std::make_unique<FakeIncarnation>(this->parts->io, born);
   }
-  bool HeardNothing() const {
-    return this->parts->life->starts == 0 && this->parts->life->stops == 0 &&
-           this->parts->life->acknowledged == 0;
+  bool HasReceivedNothing() const {
+    return this->parts->incarnation->starts == 0 &&
+           this->parts->incarnation->stops == 0 &&
+           this->parts->incarnation->acknowledged == 0;
   }
 
   // Runs a check for every kind of call in each state of the connections.
-  void ForEach(const std::function<void(Call, Before)>& check) {
+  void ForEachCallAndState(
+      const std::function<void(Call, ConnectionState)>& check) {
     for (const Call call :
          {Call::kStart, Call::kStop, Call::kRenewal, Call::kReport}) {
-      for (const Before before :
-           {Before::kNothing, Before::kIdle, Before::kUnderWay}) {
+      for (const ConnectionState state_before :
+           {ConnectionState::kNothing, ConnectionState::kIdle,
+            ConnectionState::kInProgress}) {
         SCOPED_TRACE(StrCat("call ", static_cast<int>(call), ", before ",
-                            static_cast<int>(before)));
+                            static_cast<int>(state_before)));
         this->parts.reset();
         this->parts = std::make_unique<Parts>();
-        check(call, before);
+        check(call, state_before);
       }
     }
   }
@@ -271,62 +275,64 @@
 };
 
 TEST_F(WorkerRestartTest, ACallForAnEndedLifeReachesNoLaterOne) {
-  this->ForEach([this](Call call, Before before) {
-    this->Begin(kFirstStart);
-    std::vector<kj::Promise<OrderResult>> under_way;
-    if (before == Before::kIdle) {
+  this->ForEachCallAndState([this](Call call, ConnectionState state_before) {
+    this->StartWorker(kFirstStart);
+    std::vector<kj::Promise<OrderResult>> in_progress;
+    if (state_before == ConnectionState::kIdle) {
       for (const Call earlier :
            {Call::kStart, Call::kStop, Call::kRenewal, Call::kReport}) {
         EXPECT_EQ(this->SendAndWait(earlier, this->first), OrderResult::kDone);
       }
-    } else if (before == Before::kUnderWay) {
+    } else if (state_before == ConnectionState::kInProgress) {
       EXPECT_EQ(this->SendAndWait(call, this->first), OrderResult::kDone);
-      this->parts->life->is_mute = true;
-      under_way.push_back(this->Send(call, this->first));
+      this->parts->incarnation->never_answers = true;
+      in_progress.push_back(this->Send(call, this->first));
       // The worker reads the call and does not answer it.
       this->parts->io.provider->getTimer()
           .afterDelay(20 * kj::MILLISECONDS)
           .wait(this->parts->io.waitScope);
     }
-    this->Begin(kSecondStart);
-    for (auto& earlier : under_way) {
+    this->StartWorker(kSecondStart);
+    for (auto& earlier : in_progress) {
       EXPECT_NE(earlier.wait(this->parts->io.waitScope), OrderResult::kDone);
     }
     EXPECT_EQ(this->SendAndWait(call, this->first),
               OrderResult::kOtherIncarnation);
-    EXPECT_TRUE(this->HeardNothing());
+    EXPECT_TRUE(this->HasReceivedNothing());
   });
 }
 
 TEST_F(WorkerRestartTest, ACallForTheLaterLifeReachesIt) {
-  this->ForEach([this](Call call, Before before) {
-    this->Begin(kFirstStart);
-    if (before != Before::kNothing) {
+  this->ForEachCallAndState([this](Call call, ConnectionState state_before) {
+    this->StartWorker(kFirstStart);
+    if (state_before != ConnectionState::kNothing) {
       EXPECT_EQ(this->SendAndWait(call, this->first), OrderResult::kDone);
     }
-    this->Begin(kSecondStart);
+    this->StartWorker(kSecondStart);
     EXPECT_EQ(this->SendAndWait(call, this->second), OrderResult::kDone);
-    EXPECT_FALSE(this->HeardNothing());
+    EXPECT_FALSE(this->HasReceivedNothing());
   });
 }
 
-// The announcement of an incarnation may be handled before the previous
+// The announcement of an incarnation may be handled state_before the previous
 // incarnation has ended.
 TEST_F(WorkerRestartTest, ACallForALaterLifeReachesNoEarlierOne) {
-  this->ForEach([this](Call call, Before /*before*/) {
-    this->Begin(kFirstStart);
-    EXPECT_EQ(this->SendAndWait(call, this->second),
-              OrderResult::kOtherIncarnation);
-    EXPECT_TRUE(this->HeardNothing());
-  });
+  this->ForEachCallAndState(
+      [this](Call call, ConnectionState /*state_before*/) {
+        this->StartWorker(kFirstStart);
+        EXPECT_EQ(this->SendAndWait(call, this->second),
+                  OrderResult::kOtherIncarnation);
+        EXPECT_TRUE(this->HasReceivedNothing());
+      });
 }
 
 TEST_F(WorkerRestartTest, AWorkerThatTellsNoStartIsCalledByItsId) {
   const WorkerId worker = Announced(std::nullopt, 1).id;
-  this->ForEach([this, &worker](Call call, Before /*before*/) {
-    this->Begin(std::nullopt);
-    EXPECT_EQ(this->SendAndWait(call, worker), OrderResult::kDone);
-  });
+  this->ForEachCallAndState(
+      [this, &worker](Call call, ConnectionState /*state_before*/) {
+        this->StartWorker(std::nullopt);
+        EXPECT_EQ(this->SendAndWait(call, worker), OrderResult::kDone);
+      });
 }
 
 }  // namespace
