--- a/tests/libraries/http/async_http_server_test.cc
+++ b/tests/libraries/http/async_http_server_test.cc
@@ -15,7 +15,7 @@
 // The address above in the notation of /proc/net/tcp.
 constexpr const char* kKernelAddress = "2707007F:4933";
 
-TEST(AsyncHttpServerTest, ACallerThatFallsSilentWithinItsBodyIsKeptForGood) {
+TEST(AsyncHttpServerTest, AConnectionIsProbedWhileItsRequestBodyIsIncomplete) {
   kj::AsyncIoContext io = kj::setupAsyncIo();
   AsyncHttpServer server(io.provider->getTimer(),
                          AsyncServerSettings{.address = kAddress},
--- a/tests/libraries/http/connection_budget_test.cc
+++ b/tests/libraries/http/connection_budget_test.cc
@@ -20,7 +20,7 @@
 
 constexpr Milliseconds kLimit{60'000};
 
-TEST(ConnectionBudgetTest, TheOneThatIsIdleForTheLongestGivesWay) {
+TEST(ConnectionBudgetTest, TheLongestIdleConnectionIsClosed) {
   ConnectionBudget budget(2);
   std::optional<ConnectionBudget::Place> first = budget.Take();
   std::optional<ConnectionBudget::Place> second = budget.Take();
@@ -40,7 +40,7 @@
 
 // An idle connection that does not close when asked must not be the only one
 // that is ever asked.
-TEST(ConnectionBudgetTest, OneThatKeepsItsPlaceDoesNotKeepOthersFromGivingWay) {
+TEST(ConnectionBudgetTest, AnotherIdleConnectionIsClosedIfTheFirstStaysOpen) {
   ConnectionBudget budget(2);
   std::optional<ConnectionBudget::Place> unclosable = budget.Take();
   std::optional<ConnectionBudget::Place> other = budget.Take();
@@ -135,8 +135,7 @@
 
 // A silent peer must not be reported as a lack of connections: an unreachable
 // worker would then never be noticed.
-TEST(ConnectionBudgetTest,
-     AConnectionThatNobodyAcceptsIsSilenceAndNotAShortage) {
+TEST(ConnectionBudgetTest, AConnectionThatNobodyAcceptsIsReportedAsNoAnswer) {
   auto parts = std::make_unique<Parts>(1);
   SilentNetwork network;
   AsyncConnection connection(network, parts->io.provider->getTimer(),
@@ -162,7 +161,7 @@
 
 // Callers that keep idle connections open must not prevent others from
 // connecting.
-TEST(ConnectionBudgetTest, ADoorClosesIdleConnectionsForNewOnes) {
+TEST(ConnectionBudgetTest, AServerClosesIdleConnectionsForNewOnes) {
   auto parts = std::make_unique<Parts>(Parts::kConnections);
   AsyncHttpServer server(
       parts->io.provider->getTimer(),
@@ -186,7 +185,7 @@
 
 // While all connections are busy, a further caller is refused at once with a
 // numbered error, and the requests in progress are still answered.
-TEST(ConnectionBudgetTest, ADoorWithoutAnIdleConnectionRefuses) {
+TEST(ConnectionBudgetTest, AServerWithoutAnIdleConnectionRefuses) {
   auto parts = std::make_unique<Parts>(Parts::kConnections);
   auto paf = kj::newPromiseAndFulfiller<void>();
   kj::ForkedPromise<void> released = paf.promise.fork();
@@ -220,7 +219,7 @@
 
 // A process that stops destroys its listeners while requests are in progress;
 // each request must return its place in the budget.
-TEST(ConnectionBudgetTest, ADoorMayGoWithARequestUnderWay) {
+TEST(ConnectionBudgetTest, AServerMayBeDestroyedWithARequestInProgress) {
   auto parts = std::make_unique<Parts>(Parts::kConnections);
   auto server = std::make_unique<AsyncHttpServer>(
       parts->io.provider->getTimer(),
--- a/tests/libraries/http/connection_pool_test.cc
+++ b/tests/libraries/http/connection_pool_test.cc
@@ -45,7 +45,7 @@
   ConnectionPool pool;
 };
 
-TEST(ConnectionPoolTest, ACallWithoutAnAnswerHoldsUpNoOther) {
+TEST(ConnectionPoolTest, ACallWithoutAnAnswerDelaysNoOther) {
   auto parts = std::make_unique<Parts>();
   bool has_hung_up = false;
   kj::Promise<void> hanging =
--- a/tests/libraries/http/http_server_test.cc
+++ b/tests/libraries/http/http_server_test.cc
@@ -64,7 +64,7 @@
   }
 }
 
-TEST(HttpServerTest, ABodyThatIsCutShortIsNoRequest) {
+TEST(HttpServerTest, ATruncatedBodyIsRefused) {
   const std::string address = FreeAddress();
   std::atomic<int> whole = 0;
   std::atomic<int> cut = 0;
--- a/tests/libraries/http/minion_client_test.cc
+++ b/tests/libraries/http/minion_client_test.cc
@@ -109,7 +109,7 @@
       deadline);
 }
 
-TEST(MinionClientTest, AWholeAnswerComesBack) {
+TEST(MinionClientTest, ACompleteAnswerIsReturned) {
   RawMinion minion([](auto& peer, const std::string& number) {
     Send(peer,
          Head(number, "Content-Length: 5\r\nSumac-In-Flight: 3\r\n") + "hello");
@@ -121,7 +121,7 @@
   EXPECT_EQ(result.reported_load, 3U);
 }
 
-TEST(MinionClientTest, AnythingLessIsNeverPassedOn) {
+TEST(MinionClientTest, ABrokenAnswerIsNeverReturned) {
   const std::vector<std::function<std::string(const std::string&)>> broken = {
       // Truncated within the body, within the head, and before the head.
       [](const std::string& number) {
@@ -168,7 +168,7 @@
   }
 }
 
-TEST(MinionClientTest, ALateAnswerMeetsAClosedDoorAndNoOtherRequest) {
+TEST(MinionClientTest, ALateAnswerIsNotMatchedToAnotherRequest) {
   RawMinion minion([](auto& peer, const std::string& number) {
     // Only the first answer is late.
     static int answers = 0;
@@ -188,7 +188,7 @@
   EXPECT_EQ(minion.connections(), 2);
 }
 
-TEST(MinionClientTest, AMinionsOwnWordThatItDidNotRunIsBelieved) {
+TEST(MinionClientTest, AMinionsReportThatARequestDidNotRunIsAccepted) {
   RawMinion minion([](auto& peer, const std::string& number) {
     Send(peer, Head(number,
                     "Content-Length: 0\r\nSumac-Not-Run: "
@@ -236,7 +236,7 @@
   EXPECT_EQ(minion.connections(), 1);
 }
 
-TEST(MinionClientTest, AResetConnectionIsNotReplacedBehindTheEntrysBack) {
+TEST(MinionClientTest, AResetConnectionIsNotReopenedForARequest) {
   // The claim was made for this connection. POCO's own write would open another
   // one and send the request over it.
   RawMinion minion(
--- a/tests/libraries/rpc/channel_test.cc
+++ b/tests/libraries/rpc/channel_test.cc
@@ -79,7 +79,7 @@
 
 // The timeout of a slow read must not drop the connection and so leave the
 // outcome of concurrent submissions unknown.
-TEST_F(ChannelTest, ASlowCallAmongAnsweredOnesLeavesTheConnection) {
+TEST_F(ChannelTest, ASlowCallAmongAnsweredOnesKeepsTheConnection) {
   auto slow = this->Call(kShort);
   this->AwaitHeld(1);
   auto waiting = this->Call(kLong);
--- a/tests/platform/late_loop_test.cc
+++ b/tests/platform/late_loop_test.cc
@@ -83,7 +83,7 @@
   std::jthread thread{[this] { this->Serve(); }};
 };
 
-TEST(LateLoopTest, AnAnswerThatCameDuringAStandstillIsTaken) {
+TEST(LateLoopTest, AnAnswerThatArrivedDuringAPauseIsRead) {
   AnsweringWorker worker;
   kj::AsyncIoContext io = kj::setupAsyncIo();
   auto client = std::make_unique<WorkerClient>(io.provider->getNetwork(),
--- a/tests/platform/request_handlers_test.cc
+++ b/tests/platform/request_handlers_test.cc
@@ -103,7 +103,7 @@
   }
 }
 
-TEST_F(RequestHandlersTest, WhatIsNoJobNeverReachesTheLeader) {
+TEST_F(RequestHandlersTest, AnInvalidJobNeverReachesTheLeader) {
   for (const char* body :
        {"", "[]", "{}", R"({"spec":1,"steps":[]})",
         R"({"spec":"x","steps":[{"count":0}]})",
@@ -131,7 +131,7 @@
   EXPECT_LT(this->limit, Milliseconds(120));
 }
 
-TEST_F(RequestHandlersTest, RequestsAreCountedByTheirEnd) {
+TEST_F(RequestHandlersTest, RequestsAreCountedByMethodAndStatus) {
   this->Call(kj::HttpMethod::POST, kJob);
   this->answer = fleet::Answer{.code = ResultCode::kUnknownJob};
   this->Call(kj::HttpMethod::GET);
@@ -159,7 +159,7 @@
   }
 }
 
-TEST_F(RequestHandlersTest, AnAnnouncementIsCommittedOnceAndAgainWhenItLeaves) {
+TEST_F(RequestHandlersTest, AnAnnouncementIsCommittedOnlyWhenItChanges) {
   const std::string ready =
       R"({"service":"s","address":"10.0.0.1:80","state":"ready","seq":1})";
   const std::string leaving =
--- a/tests/platform/wire_codec_test.cc
+++ b/tests/platform/wire_codec_test.cc
@@ -78,7 +78,7 @@
   EXPECT_FALSE(ReadAdviceAnswer(question, "[]").ok());
 }
 
-TEST(WireCodecTest, TheLongestPrefixTakesTheRequest) {
+TEST(WireCodecTest, TheLongestPrefixDeterminesTheQueue) {
   const auto read = ReadDeclaration(Manifest().dump());
   ASSERT_TRUE(read.ok());
   EXPECT_EQ(read->FindByAddress("desk.example", "/clips/deep/1")->name.value(),
@@ -135,7 +135,7 @@
   EXPECT_EQ(second.disruption_budget, 0U);
 }
 
-TEST(WireCodecTest, RefusesWhatIsNoJob) {
+TEST(WireCodecTest, RefusesAnInvalidJob) {
   for (const char* body :
        {"", "{", "[]", R"({"spec":"x"})", R"({"spec":1,"steps":[{"count":1}]})",
         R"({"spec":"x","steps":[]})", R"({"spec":"x","steps":[{"count":0}]})",
@@ -242,7 +242,7 @@
   EXPECT_EQ(ReadOrderAnswer(503, "").result, kRefused);
 }
 
-TEST(WireCodecTest, ReadsInstancesAndWhatBecameOfOrdersAboutThem) {
+TEST(WireCodecTest, ReadsInstancesAndResultsOfOrders) {
   const auto page = ReadInstancePage(
       R"({"machines":[{"machine":"m-1","pool":"p","state":"upkeep","id":"i-1","zone":"z",
           "labels":["a","r1"],
@@ -267,7 +267,7 @@
 // A malformed row must not make the whole list of instances unreadable. An
 // instance in an unknown state must not count as down, since its worker's tasks
 // would then be started elsewhere.
-TEST(WireCodecTest, ARowThatCannotBeReadSpoilsNoOther) {
+TEST(WireCodecTest, AMalformedRowDoesNotAffectOthers) {
   const auto page = ReadInstancePage(
       R"({"machines":[{"machine":"m-1","pool":"p","state":"up","id":"i-1"},
           {"machine":"m-2","pool":7,"state":"up"},{"machine":"m-3","pool":"p","state":"resting"},
--- a/tests/platform/worker_client_repeat_test.cc
+++ b/tests/platform/worker_client_repeat_test.cc
@@ -117,7 +117,7 @@
             OrderResult::kDone);
 }
 
-TEST_F(WorkerClientRepeatTest, AnotherLifeAtTheAddressSettlesBoth) {
+TEST_F(WorkerClientRepeatTest, AnotherIncarnationAtTheAddressSettlesBoth) {
   EXPECT_EQ(this->StartTwice("421 Misdirected", "{}"),
             OrderResult::kOtherIncarnation);
 }
--- a/tests/platform/worker_client_test.cc
+++ b/tests/platform/worker_client_test.cc
@@ -80,7 +80,7 @@
 // An address is reused, by the next incarnation of the worker or by a worker of
 // another service. A call meant for the previous worker must not be handled by
 // the current one, and must not count against it.
-TEST(WorkerClientTest, AReusedAddressAnswersOnlyForThePresentLife) {
+TEST(WorkerClientTest, AReusedAddressAnswersOnlyForTheCurrentWorker) {
   auto parts = std::make_unique<Parts>();
   EXPECT_EQ(parts->Renew("i-1"), scheduler::OrderResult::kDone);
   parts->current_worker = "i-2";
--- a/tests/platform/worker_lives_test.cc
+++ b/tests/platform/worker_lives_test.cc
@@ -75,12 +75,12 @@
   const jobs::Worker second = Announced(kSecondStart, 1, "10.0.0.2:80");
 };
 
-TEST_F(WorkerLivesTest, TwoLivesOfOneIdAreTwoWorkers) {
+TEST_F(WorkerLivesTest, TwoIncarnationsOfOneNameAreTwoWorkers) {
   EXPECT_NE(this->first.id, this->second.id);
   EXPECT_EQ(this->first.id, Announced(kFirstStart, 1).id);
 }
 
-TEST_F(WorkerLivesTest, ALaterLifeCountsFromItsFirstAnnouncement) {
+TEST_F(WorkerLivesTest, ALaterIncarnationReplacesTheEarlierOne) {
   this->Record(this->first);
   this->Record(this->second);
   ASSERT_EQ(this->state.workers().size(), 1U);
@@ -89,21 +89,21 @@
   EXPECT_EQ(present.sequence, 1U);
 }
 
-TEST_F(WorkerLivesTest, ALaterLifeIsUsedAfterTheEarlierOneHasEnded) {
+TEST_F(WorkerLivesTest, ALaterIncarnationIsUsedAfterTheEarlierOneHasEnded) {
   this->Record(this->first);
   this->End(this->first.id);
   this->Record(this->second);
   EXPECT_EQ(this->state.workers().size(), 1U);
 }
 
-TEST_F(WorkerLivesTest, AnEarlierLifeIsNotBelievedAfterALaterOne) {
+TEST_F(WorkerLivesTest, AnEarlierIncarnationIsIgnoredAfterALaterOne) {
   this->Record(this->second);
   this->Record(this->first);
   ASSERT_EQ(this->state.workers().size(), 1U);
   EXPECT_EQ(this->state.workers().begin()->second.address, "10.0.0.2:80");
 }
 
-TEST_F(WorkerLivesTest, ALateAnnouncementOfALifeThatIsOverChangesNothing) {
+TEST_F(WorkerLivesTest, ALateAnnouncementOfAnEndedIncarnationChangesNothing) {
   this->Record(this->first);
   this->Record(this->second);
   this->Record(Announced(kFirstStart, 58, "10.0.0.1:80"));
@@ -121,11 +121,12 @@
   }
 }
 
-TEST_F(WorkerLivesTest, AWorkerThatTellsNoStartIsItsId) {
+TEST_F(WorkerLivesTest, AWorkerWithoutAStartTimeIsIdentifiedByItsName) {
   EXPECT_EQ(Announced(std::nullopt, 3).id.value(), kName);
 }
 
-TEST_F(WorkerLivesTest, AStatementWithoutAStartHarmsNothing) {
+TEST_F(WorkerLivesTest,
+       AnAnnouncementWithoutAStartTimeIsRefusedAfterOneWithIt) {
   this->Record(this->first);
   EXPECT_FALSE(
       this->Record(Announced(std::nullopt, 60, "10.0.0.9:80")).is_ok());
@@ -274,7 +275,7 @@
   const WorkerId second = Announced(kSecondStart, 1).id;
 };
 
-TEST_F(WorkerRestartTest, ACallForAnEndedLifeReachesNoLaterOne) {
+TEST_F(WorkerRestartTest, ACallForAnEndedIncarnationReachesNoLaterOne) {
   this->ForEachCallAndState([this](Call call, ConnectionState state_before) {
     this->StartWorker(kFirstStart);
     std::vector<kj::Promise<OrderResult>> in_progress;
@@ -302,7 +303,7 @@
   });
 }
 
-TEST_F(WorkerRestartTest, ACallForTheLaterLifeReachesIt) {
+TEST_F(WorkerRestartTest, ACallForTheLaterIncarnationReachesIt) {
   this->ForEachCallAndState([this](Call call, ConnectionState state_before) {
     this->StartWorker(kFirstStart);
     if (state_before != ConnectionState::kNothing) {
@@ -316,7 +317,7 @@
 
 // The announcement of an incarnation may be handled state_before the previous
 // incarnation has ended.
-TEST_F(WorkerRestartTest, ACallForALaterLifeReachesNoEarlierOne) {
+TEST_F(WorkerRestartTest, ACallForALaterIncarnationReachesNoEarlierOne) {
   this->ForEachCallAndState(
       [this](Call call, ConnectionState /*state_before*/) {
         this->StartWorker(kFirstStart);
@@ -326,7 +327,7 @@
       });
 }
 
-TEST_F(WorkerRestartTest, AWorkerThatTellsNoStartIsCalledByItsId) {
+TEST_F(WorkerRestartTest, AWorkerWithoutAStartTimeIsCalledByItsName) {
   const WorkerId worker = Announced(std::nullopt, 1).id;
   this->ForEachCallAndState(
       [this, &worker](Call call, ConnectionState /*state_before*/) {
