--- a/libraries/http/async_connection.cc
+++ b/libraries/http/async_connection.cc
@@ -38,7 +38,7 @@
 
 CallReply TooLate() {
   return CallReply{.outcome = CallOutcome::kNotSent,
-                   .error = "its turn came too late"};
+                   .error = "the request waited too long to be sent"};
 }
 
 }  // namespace
@@ -223,12 +223,13 @@
           case PeerCheckResult::kOther:
             this->Drop(this->generation);
             return CallReply{.outcome = CallOutcome::kOtherPeer,
-                             .error = "another process is there"};
+                             .error = "another process is at the address"};
           case PeerCheckResult::kUnclear:
             break;
         }
         this->Drop(this->generation);
-        return CallReply{.error = "the process there did not identify itself"};
+        return CallReply{
+            .error = "the process at the address did not identify itself"};
       });
 }
 
--- a/libraries/http/async_http_server.cc
+++ b/libraries/http/async_http_server.cc
@@ -116,7 +116,7 @@
   this->server = kj::heap<kj::HttpServer>(
       timer, *this->header_table,
       [this](kj::AsyncIoStream& /*connection*/) -> kj::Own<kj::HttpService> {
-        // The sessions are owned by this listener; the server only calls them.
+        // This object owns the sessions; the kj server only calls them.
         Session& newest = *this->sessions.rbegin()->second;
         return kj::Own<kj::HttpService>(&newest, kj::NullDisposer::instance);
       },
--- a/tests/platform/worker_lives_test.cc
+++ b/tests/platform/worker_lives_test.cc
@@ -315,7 +315,7 @@
   });
 }
 
-// The announcement of an incarnation may be handled state_before the previous
+// The announcement of an incarnation may be handled before the previous
 // incarnation has ended.
 TEST_F(WorkerRestartTest, ACallForALaterIncarnationReachesNoEarlierOne) {
   this->ForEachCallAndState(
