--- a/libraries/http/async_connection.cc
+++ b/libraries/http/async_connection.cc
@@ -175,7 +175,7 @@
   }
   std::optional<ConnectionBudget::Place> place;
   if (this->budget != nullptr) {
-    place = this->budget->Take();
+    place = this->budget->AcquirePlace();
     if (!place) {
       return KJ_EXCEPTION(FAILED, kNoPlace.data());
     }
--- a/libraries/http/async_http_server.cc
+++ b/libraries/http/async_http_server.cc
@@ -174,7 +174,7 @@
               {"error", error->getDescription().cStr()}});
   }
   const std::uint64_t number = this->next_session++;
-  auto session = kj::heap<Session>(*this, number, this->budget.Take());
+  auto session = kj::heap<Session>(*this, number, this->budget.AcquirePlace());
   this->open_refusals += static_cast<std::size_t>(session->is_refused());
   Session& added = *session;
   this->sessions.emplace(number, kj::mv(session));
--- a/libraries/http/connection_budget.cc
+++ b/libraries/http/connection_budget.cc
@@ -8,7 +8,7 @@
 ConnectionBudget::ConnectionBudget(std::size_t max_open)
     : limit(std::max<std::size_t>(max_open, 1)) {}
 
-std::optional<ConnectionBudget::Place> ConnectionBudget::Take() {
+std::optional<ConnectionBudget::Place> ConnectionBudget::AcquirePlace() {
   if (this->open_count >= this->limit && !this->idle_connections.empty()) {
     // The connection moves to the end of the list first. If it does not return
     // its place, the next call tries another one.
--- a/libraries/http/connection_budget.h
+++ b/libraries/http/connection_budget.h
@@ -60,7 +60,7 @@
 
   // Returns a place for one more connection, closing the one that has been idle
   // for the longest if necessary. Returns std::nullopt while all are busy.
-  std::optional<Place> Take();
+  std::optional<Place> AcquirePlace();
 
   std::size_t max_open() const { return this->limit; }
   std::size_t open() const { return this->open_count; }
--- a/tests/libraries/http/connection_budget_test.cc
+++ b/tests/libraries/http/connection_budget_test.cc
@@ -22,18 +22,18 @@
 
 TEST(ConnectionBudgetTest, TheLongestIdleConnectionIsClosed) {
   ConnectionBudget budget(2);
-  std::optional<ConnectionBudget::Place> first = budget.Take();
-  std::optional<ConnectionBudget::Place> second = budget.Take();
-  EXPECT_FALSE(budget.Take().has_value());
+  std::optional<ConnectionBudget::Place> first = budget.AcquirePlace();
+  std::optional<ConnectionBudget::Place> second = budget.AcquirePlace();
+  EXPECT_FALSE(budget.AcquirePlace().has_value());
   EXPECT_EQ(budget.refused(), 1U);
   second->MarkIdle([&] { second.reset(); });
   first->MarkIdle([&] { first.reset(); });
-  std::optional<ConnectionBudget::Place> third = budget.Take();
+  std::optional<ConnectionBudget::Place> third = budget.AcquirePlace();
   EXPECT_TRUE(third.has_value());
   EXPECT_FALSE(second.has_value());
   EXPECT_TRUE(first.has_value());
   first->MarkBusy();
-  EXPECT_FALSE(budget.Take().has_value());
+  EXPECT_FALSE(budget.AcquirePlace().has_value());
   EXPECT_EQ(budget.open(), 2U);
   EXPECT_EQ(budget.closed(), 1U);
 }
@@ -42,13 +42,13 @@
 // that is ever asked.
 TEST(ConnectionBudgetTest, AnotherIdleConnectionIsClosedIfTheFirstStaysOpen) {
   ConnectionBudget budget(2);
-  std::optional<ConnectionBudget::Place> unclosable = budget.Take();
-  std::optional<ConnectionBudget::Place> other = budget.Take();
+  std::optional<ConnectionBudget::Place> unclosable = budget.AcquirePlace();
+  std::optional<ConnectionBudget::Place> other = budget.AcquirePlace();
   int asked = 0;
   unclosable->MarkIdle([&] { ++asked; });
   other->MarkIdle([&] { other.reset(); });
-  EXPECT_FALSE(budget.Take().has_value());
-  EXPECT_TRUE(budget.Take().has_value());
+  EXPECT_FALSE(budget.AcquirePlace().has_value());
+  EXPECT_TRUE(budget.AcquirePlace().has_value());
   EXPECT_EQ(asked, 1);
 }
 
--- a/tests/platform/wire_codec_test.cc
+++ b/tests/platform/wire_codec_test.cc
@@ -225,7 +225,7 @@
   }
 }
 
-TEST(WireCodecTest, TellsOrderAnswersApart) {
+TEST(WireCodecTest, DistinguishesOrderAnswers) {
   using enum scheduler::OrderResult;
   EXPECT_EQ(ReadOrderAnswer(200, R"({"clock_ms":5})").result, kDone);
   EXPECT_EQ(ReadOrderAnswer(200, R"({"clock_ms":5})").clock,
--- a/tests/platform/worker_client_repeat_test.cc
+++ b/tests/platform/worker_client_repeat_test.cc
@@ -18,9 +18,9 @@
 
 // Reads a request. The bodies here are small and arrive together with the head.
 kj::Promise<void> ReadRequest(kj::AsyncIoStream& stream) {
-  constexpr std::size_t kMost = 8'192;
-  auto buffer = kj::heapArray<char>(kMost);
-  auto read = stream.tryRead(buffer.begin(), 1, kMost);
+  constexpr std::size_t kMaxRequestBytes = 8'192;
+  auto buffer = kj::heapArray<char>(kMaxRequestBytes);
+  auto read = stream.tryRead(buffer.begin(), 1, kMaxRequestBytes);
   return read.attach(kj::mv(buffer)).ignoreResult();
 }
 
