--- a/tests/libraries/base/suspended_machine_test.cc
+++ b/tests/libraries/base/suspended_machine_test.cc
@@ -50,7 +50,7 @@
   http::AsyncConnection connection;
 };
 
-TEST(SuspendedMachineTest, TheTimeOfASuspensionCounts) {
+TEST(SuspendedMachineTest, SteadyTimeIncludesASuspension) {
   const SystemClock clock;
   const SteadyTime before = clock.SteadyNow();
   PassSuspended(kSuspended);
