--- a/libraries/http/async_door.cc
+++ b/libraries/http/async_http_server.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "libraries/http/async_door.h"
+#include "libraries/http/async_http_server.h"
 
 #include <Poco/Net/HTTPResponse.h>
 
@@ -16,17 +16,19 @@
 namespace {
 
 constexpr std::uint32_t kBodyTooLargeStatus = 413;
-// After an accept that failed, or while too many connections are being refused.
+// The pause before the next accept, after a failed one or while too many
+// connections are being refused.
 constexpr Milliseconds kAcceptPause{50};
-// Connections beyond the budget that are open at once, to be told so.
-constexpr std::size_t kMostRefusedAtOnce = 16;
-// When a refused caller should come back, in seconds: connections become idle
-// within the time of a request.
+// The maximum number of connections beyond the budget that are open at once to
+// be answered with a refusal.
+constexpr std::size_t kMaxConcurrentRefusals = 16;
+// The Retry-After value for a refused caller, in seconds. A connection becomes
+// idle once its request is answered.
 constexpr const char* kRetryAfterSeconds = "1";
 
-std::size_t BudgetOf(std::size_t most_connections) {
-  return most_connections == 0 ? std::numeric_limits<std::size_t>::max()
-                               : most_connections;
+std::size_t BudgetOf(std::size_t max_connections) {
+  return max_connections == 0 ? std::numeric_limits<std::size_t>::max()
+                              : max_connections;
 }
 
 const std::string& ReasonFor(std::uint32_t status) {
@@ -37,16 +39,18 @@
 }  // namespace
 
 // One open connection.
-class AsyncDoor::Session : public kj::HttpService {
+class AsyncHttpServer::Session : public kj::HttpService {
  public:
-  // Without a place it is only told that it is refused.
-  Session(AsyncDoor& door,
+  // Without a place in the budget, each request on the connection is answered
+  // with a refusal.
+  Session(AsyncHttpServer& owner,
           std::uint64_t number,
           std::optional<ConnectionBudget::Place> place)
-      : door(door), number(number), place(std::move(place)) {
-    this->NoteIdle();
+      : owner(owner), number(number), place(std::move(place)) {
+    this->MarkPlaceIdle();
   }
-  // A request under way ends here and notes so, which needs the place.
+  // Cancels a request in progress first, since its end marks the place as idle,
+  // and `place` must still exist then.
   ~Session() { this->served = nullptr; }
   Session(const Session&) = delete;
   Session& operator=(const Session&) = delete;
@@ -59,32 +63,32 @@
                             kj::AsyncInputStream& request_body,
                             Response& response) override {
     if (this->is_refused()) {
-      return this->door.Reply(response, CrowdedReply());
+      return this->owner.Reply(response, RefusalReply());
     }
     this->place->MarkBusy();
-    return this->door.Answer(method, url, headers, request_body, response)
-        .attach(kj::defer([this] { this->NoteIdle(); }));
+    return this->owner.Answer(method, url, headers, request_body, response)
+        .attach(kj::defer([this] { this->MarkPlaceIdle(); }));
   }
 
-  // Serves the connection until it ends.
+  // The promise that serves the connection until it ends.
   kj::Promise<void> served = nullptr;
 
  private:
-  static DoorReply CrowdedReply();
-  void NoteIdle() {
+  static ServerReply RefusalReply();
+  void MarkPlaceIdle() {
     if (this->place) {
-      this->place->MarkIdle([this] { this->door.End(this->number); });
+      this->place->MarkIdle([this] { this->owner.CloseSession(this->number); });
     }
   }
 
-  AsyncDoor& door;
+  AsyncHttpServer& owner;
   std::uint64_t number;
   std::optional<ConnectionBudget::Place> place;
 };
 
-DoorReply AsyncDoor::Session::CrowdedReply() {
+ServerReply AsyncHttpServer::Session::RefusalReply() {
   const ResultInfo& info = InfoFor(ResultCode::kCrowded);
-  return DoorReply{
+  return ServerReply{
       .status = static_cast<std::uint32_t>(info.http_status),
       .body = StrCat(R"({"code":)", static_cast<int>(ResultCode::kCrowded),
                      R"(,"error":")", info.name, R"("})"),
@@ -92,11 +96,13 @@
                   {"Connection", "close"}}};
 }
 
-AsyncDoor::AsyncDoor(kj::Timer& timer, DoorSettings settings, Handler handler)
+AsyncHttpServer::AsyncHttpServer(kj::Timer& timer,
+                                 AsyncServerSettings settings,
+                                 Handler handler)
     : timer(timer),
       settings(std::move(settings)),
       handler(std::move(handler)),
-      budget(BudgetOf(this->settings.most_connections)),
+      budget(BudgetOf(this->settings.max_connections)),
       tasks(*this) {
   kj::HttpHeaderTable::Builder builder;
   for (const std::string& name : this->settings.headers) {
@@ -110,16 +116,16 @@
   this->server = kj::heap<kj::HttpServer>(
       timer, *this->header_table,
       [this](kj::AsyncIoStream& /*connection*/) -> kj::Own<kj::HttpService> {
-        // The door owns the sessions; the server only calls them.
+        // This object owns the sessions; the kj server only calls them.
         Session& newest = *this->sessions.rbegin()->second;
         return kj::Own<kj::HttpService>(&newest, kj::NullDisposer::instance);
       },
       server_settings);
 }
 
-AsyncDoor::~AsyncDoor() = default;
+AsyncHttpServer::~AsyncHttpServer() = default;
 
-kj::Promise<void> AsyncDoor::Listen(kj::Network& network) {
+kj::Promise<void> AsyncHttpServer::Listen(kj::Network& network) {
   return network.parseAddress(this->settings.address)
       .then([this](kj::Own<kj::NetworkAddress>&& address) {
         this->receiver = address->listen();
@@ -127,14 +133,15 @@
       });
 }
 
-// NOTE: A failure to accept passes: the process may be out of descriptors for a
-// moment. A door that stopped listening for it would stay shut.
-kj::Promise<void> AsyncDoor::AcceptLoop() {
+// NOTE: A failed accept is usually temporary: the process may be out of
+// descriptors for a moment. If the loop ended on one, the process would accept
+// no connections until it restarts.
+kj::Promise<void> AsyncHttpServer::AcceptLoop() {
   return this->receiver->accept()
       .then(
           [this](kj::Own<kj::AsyncIoStream>&& stream) -> kj::Promise<void> {
             this->Serve(kj::mv(stream));
-            return this->AwaitRoom();
+            return this->AwaitRefusalSlot();
           },
           [this](kj::Exception&& error) -> kj::Promise<void> {
             LogEvent(LogLevel::kError, "accept-failed",
@@ -145,66 +152,72 @@
       .then([this] { return this->AcceptLoop(); });
 }
 
-// Until another connection can at least be told that it is refused.
-kj::Promise<void> AsyncDoor::AwaitRoom() {
-  if (this->refusing < kMostRefusedAtOnce) {
+// Waits until another connection can be accepted, if only to be answered with a
+// refusal.
+kj::Promise<void> AsyncHttpServer::AwaitRefusalSlot() {
+  if (this->open_refusals < kMaxConcurrentRefusals) {
     return kj::READY_NOW;
   }
   return this->timer.afterDelay(ToKj(kAcceptPause)).then([this] {
-    return this->AwaitRoom();
+    return this->AwaitRefusalSlot();
   });
 }
 
-// NOTE: The server's own limits end with a request's head: a caller that falls
-// silent within its body, or reads no answer, would be kept for good.
-void AsyncDoor::Serve(kj::Own<kj::AsyncIoStream> stream) {
+// NOTE: TCP keep-alive is needed because the server's own timeouts cover a
+// request only up to the end of its head. The connection of a caller that
+// disappears within the body, or does not read the answer, would otherwise stay
+// open for ever.
+void AsyncHttpServer::Serve(kj::Own<kj::AsyncIoStream> stream) {
   KJ_IF_MAYBE (error, KeepAlive::TryApply(*stream)) {
     LogEvent(LogLevel::kWarning, "connection-not-probed",
              {{"door", this->settings.address},
               {"error", error->getDescription().cStr()}});
   }
   const std::uint64_t number = this->next_session++;
-  auto session = kj::heap<Session>(*this, number, this->budget.Take());
-  this->refusing += static_cast<std::size_t>(session->is_refused());
+  auto session = kj::heap<Session>(*this, number, this->budget.AcquirePlace());
+  this->open_refusals += static_cast<std::size_t>(session->is_refused());
   Session& added = *session;
   this->sessions.emplace(number, kj::mv(session));
   const auto ended = [this, number] {
-    // Not from within the promise that ends with it.
-    this->tasks.add(kj::evalLater([this, number] { this->End(number); }));
+    // Deferred, because CloseSession destroys the promise that calls this
+    // function.
+    this->tasks.add(
+        kj::evalLater([this, number] { this->CloseSession(number); }));
   };
-  // A connection that breaks off concerns only its caller.
+  // A broken connection affects only its caller, so the error is dropped.
   added.served = this->server->listenHttp(kj::mv(stream))
                      .then([ended] { ended(); },
                            [ended](kj::Exception&& /*error*/) { ended(); })
                      .eagerlyEvaluate(nullptr);
 }
 
-void AsyncDoor::End(std::uint64_t session) {
+void AsyncHttpServer::CloseSession(std::uint64_t session) {
   const auto found = this->sessions.find(session);
   if (found != this->sessions.end()) {
-    this->refusing -= static_cast<std::size_t>(found->second->is_refused());
+    this->open_refusals -=
+        static_cast<std::size_t>(found->second->is_refused());
     this->sessions.erase(found);
   }
 }
 
-void AsyncDoor::taskFailed(kj::Exception&& exception) {
+void AsyncHttpServer::taskFailed(kj::Exception&& exception) {
   LogEvent(LogLevel::kError, "task-failed",
            {{"error", exception.getDescription().cStr()}});
 }
 
-kj::Promise<void> AsyncDoor::Drain() {
+kj::Promise<void> AsyncHttpServer::Drain() {
   this->is_closing = true;
   this->listening = nullptr;
   this->receiver = nullptr;
   return this->server->drain();
 }
 
-kj::Promise<void> AsyncDoor::Answer(kj::HttpMethod method,
-                                    kj::StringPtr url,
-                                    const kj::HttpHeaders& headers,
-                                    kj::AsyncInputStream& request_body,
-                                    Response& response) {
-  auto request = kj::heap<DoorRequest>();
+kj::Promise<void> AsyncHttpServer::Answer(kj::HttpMethod method,
+                                          kj::StringPtr url,
+                                          const kj::HttpHeaders& headers,
+                                          kj::AsyncInputStream& request_body,
+                                          Response& response) {
+  auto request = kj::heap<ServerRequest>();
   request->method = method;
   request->path = url.cStr();
   KJ_IF_MAYBE (host, headers.get(kj::HttpHeaderId::HOST)) {
@@ -216,24 +229,25 @@
     }
   }
   KJ_IF_MAYBE (length, request_body.tryGetLength()) {
-    if (*length > this->settings.most_body_bytes) {
-      return this->Reply(response, DoorReply{.status = kBodyTooLargeStatus});
+    if (*length > this->settings.max_body_bytes) {
+      return this->Reply(response, ServerReply{.status = kBodyTooLargeStatus});
     }
   }
   ++this->open_count;
-  return request_body.readAllText(this->settings.most_body_bytes)
+  return request_body.readAllText(this->settings.max_body_bytes)
       .then([this, &response,
              request = kj::mv(request)](kj::String&& body) mutable {
         request->body.assign(body.begin(), body.size());
         return this->handler(std::move(*request));
       })
-      .then([this, &response](DoorReply&& reply) {
+      .then([this, &response](ServerReply&& reply) {
         return this->Reply(response, reply);
       })
       .attach(kj::defer([this] { --this->open_count; }));
 }
 
-kj::Promise<void> AsyncDoor::Reply(Response& response, const DoorReply& reply) {
+kj::Promise<void> AsyncHttpServer::Reply(Response& response,
+                                         const ServerReply& reply) {
   kj::HttpHeaders headers(*this->header_table);
   if (!reply.body.empty()) {
     headers.set(kj::HttpHeaderId::CONTENT_TYPE, reply.content_type);
--- a/libraries/http/connection_pool.cc
+++ b/libraries/http/connection_pool.cc
@@ -20,14 +20,14 @@
 
 kj::Promise<CallReply> ConnectionPool::Call(CallRequest request,
                                             Milliseconds limit) {
-  // The first of those that are alike: connections that are not needed stay
-  // closed.
-  const auto least =
+  // min_element returns the first of several equal ones, so that connections
+  // that are not needed stay closed.
+  const auto least_busy =
       std::min_element(this->connections.begin(), this->connections.end(),
                        [](const auto& left, const auto& right) {
                          return left->open_calls() < right->open_calls();
                        });
-  return (*least)->Call(std::move(request), limit);
+  return (*least_busy)->Call(std::move(request), limit);
 }
 
 }  // namespace sumac::http
--- a/libraries/http/http_server.cc
+++ b/libraries/http/http_server.cc
@@ -24,10 +24,12 @@
 
 constexpr std::size_t kBufferBytes = 16'384;
 constexpr int kListenBacklog = 512;
-// A door is crowded when more than this part of its connections is open.
+// The server is crowded when more than this fraction (three quarters) of its
+// connections is open.
 constexpr int kCrowdedNumerator = 3;
 constexpr int kCrowdedDenominator = 4;
-// Each connection has a thread; a small stack keeps many idle ones cheap.
+// The stack size of the connection threads. Each connection has a thread, so a
+// small stack keeps many idle connections cheap.
 constexpr int kThreadStackBytes = 256 * 1024;
 constexpr std::int64_t kMicrosecondsPerMillisecond = 1'000;
 
@@ -35,7 +37,7 @@
   return Poco::Timespan(time.count() * kMicrosecondsPerMillisecond);
 }
 
-// Passes each request to the door's function.
+// Passes each request to the server's handler function.
 class FunctionHandler : public Poco::Net::HTTPRequestHandler {
  public:
   FunctionHandler(const HttpServer::Handler& handler, bool is_crowded)
@@ -43,15 +45,16 @@
 
   void handleRequest(Poco::Net::HTTPServerRequest& request,
                      Poco::Net::HTTPServerResponse& response) override {
-    // An idle connection holds a thread. While threads are short each
-    // connection ends with its answer, so that whoever waits to be let in is.
+    // An idle connection occupies a thread. While few threads are left, each
+    // connection is closed after its answer, so that waiting connections are
+    // accepted.
     if (this->is_crowded) {
       response.setKeepAlive(false);
     }
     try {
       this->handler(request, response);
     } catch (const Poco::Exception& error) {
-      // The peer is gone; nobody is left to answer.
+      // The peer has disconnected, so no answer can be sent.
       LogEvent(LogLevel::kDebug, "connection-lost",
                {{"detail", error.displayText()}});
       response.setKeepAlive(false);
@@ -96,24 +99,23 @@
 
 HttpServer::HttpServer(const ServerSettings& settings, Handler handler)
     : threads(
-          std::make_unique<Poco::ThreadPool>(2,
-                                             settings.most_connections + 1)) {
+          std::make_unique<Poco::ThreadPool>(2, settings.max_connections + 1)) {
   this->threads->setStackSize(kThreadStackBytes);
   Poco::Net::ServerSocket socket;
   socket.bind(Poco::Net::SocketAddress(settings.address), true, false);
   socket.listen(kListenBacklog);
   Poco::Net::HTTPServerParams::Ptr params = new Poco::Net::HTTPServerParams;
-  params->setMaxThreads(settings.most_connections);
-  params->setMaxQueued(settings.most_connections);
+  params->setMaxThreads(settings.max_connections);
+  params->setMaxQueued(settings.max_connections);
   params->setKeepAlive(true);
   params->setMaxKeepAliveRequests(0);
   params->setKeepAliveTimeout(ToTimespan(settings.idle_time));
   params->setTimeout(ToTimespan(settings.io_time));
   Poco::Net::HTTPRequestHandlerFactory::Ptr factory =
       new FunctionHandlerFactory(
-          std::move(handler), [this, most = settings.most_connections] {
+          std::move(handler), [this, max_open = settings.max_connections] {
             return this->server->currentConnections() * kCrowdedDenominator >
-                   most * kCrowdedNumerator;
+                   max_open * kCrowdedNumerator;
           });
   this->server = std::make_unique<Poco::Net::HTTPServer>(
       factory, *this->threads, socket, params);
@@ -135,7 +137,7 @@
 
 absl::StatusOr<std::string> ReadRequestBody(
     Poco::Net::HTTPServerRequest& request,
-    std::uint64_t most_bytes) {
+    std::uint64_t max_bytes) {
   if (!request.hasContentLength()) {
     if (request.getChunkedTransferEncoding()) {
       return MakeError(ResultCode::kBadRequest,
@@ -144,10 +146,10 @@
     return std::string();
   }
   const auto length = static_cast<std::uint64_t>(request.getContentLength64());
-  if (length > most_bytes) {
-    return MakeError(ResultCode::kBodyTooLarge,
-                     StrCat("the body has ", length, " bytes; ", most_bytes,
-                            " are allowed"));
+  if (length > max_bytes) {
+    return MakeError(
+        ResultCode::kBodyTooLarge,
+        StrCat("the body has ", length, " bytes; ", max_bytes, " are allowed"));
   }
   std::string body;
   std::array<char, kBufferBytes> buffer{};
--- a/libraries/http/minion_client.cc
+++ b/libraries/http/minion_client.cc
@@ -25,7 +25,8 @@
   return SystemClock().SteadyNow();
 }
 
-// Reads the body, which must have the length that the minion declared.
+// Reads the body. The error is DeadlineExceeded after `deadline`, and DataLoss
+// if the body is shorter than the declared `length`.
 absl::StatusOr<std::string> ReadBody(MinionSession& session,
                                      std::istream& stream,
                                      std::uint64_t length,
@@ -69,8 +70,9 @@
   stream.flush();
 }
 
-// Fills in what the head of the minion's answer says of the minion.
-void TakeReport(const Poco::Net::HTTPResponse& head, TryResult& result) {
+// Copies the minion's load and its notice of leaving from the head of an answer
+// to `result`.
+void ReadLoadReport(const Poco::Net::HTTPResponse& head, TryResult& result) {
   std::uint32_t load = 0;
   if (ParseNumber(std::string_view(head.get(kInFlightHeader, "")), &load)) {
     result.reported_load = load;
@@ -111,10 +113,11 @@
   }
 }
 
-void MinionClient::Keep(const std::string& address, Connection connection) {
+void MinionClient::KeepConnection(const std::string& address,
+                                  Connection connection) {
   const std::lock_guard lock(this->mutex);
   std::deque<Connection>& connections = this->kept[address];
-  if (connections.size() < kMostKept) {
+  if (connections.size() < kMaxKeptConnections) {
     connections.push_back(std::move(connection));
   }
 }
@@ -122,7 +125,7 @@
 TryResult MinionClient::Exchange(const std::string& address,
                                  Connection connection,
                                  const MinionRequest& request,
-                                 std::uint32_t most_body_bytes,
+                                 std::uint32_t max_body_bytes,
                                  SteadyTime deadline) {
   TryResult result;
   connection->StartRequest();
@@ -131,7 +134,7 @@
     WriteRequest(*connection, request, deadline);
     Poco::Net::HTTPResponse head;
     std::istream& stream = connection->receiveResponse(head);
-    TakeReport(head, result);
+    ReadLoadReport(head, result);
     if (head.get(kRequestHeader, "") != request.number) {
       return Broken(std::move(result), "the answer belongs to another request");
     }
@@ -142,16 +145,16 @@
       result.detail = head.get(kNotRunHeader);
       return result;
     }
-    // A chunked body that is cut off looks like a whole one through the
-    // library, so answers must declare their length.
+    // POCO does not distinguish a truncated chunked body from a complete one,
+    // so answers must declare their length.
     if (!head.hasContentLength()) {
       return Broken(std::move(result), "the answer declares no length");
     }
     const auto length = static_cast<std::uint64_t>(head.getContentLength64());
-    if (length > most_body_bytes) {
+    if (length > max_body_bytes) {
       return Broken(std::move(result),
                     StrCat("the answer has ", length, " bytes of ",
-                           most_body_bytes, " allowed"));
+                           max_body_bytes, " allowed"));
     }
     absl::StatusOr<std::string> body =
         ReadBody(*connection, stream, length, deadline);
@@ -166,7 +169,7 @@
     result.answer = MinionAnswer{static_cast<std::uint16_t>(head.getStatus()),
                                  head.getContentType(), *std::move(body)};
     if (head.getKeepAlive()) {
-      this->Keep(address, std::move(connection));
+      this->KeepConnection(address, std::move(connection));
     }
     return result;
   } catch (const Poco::TimeoutException& error) {
--- a/libraries/http/whole_request_stream.h
+++ b/libraries/http/whole_request_stream.h
@@ -11,25 +11,25 @@
 
 namespace sumac::http {
 
-// A stream that sends a request's head together with its body. An HTTP client
-// writes them apart, which costs a second system call and often a second
-// packet; a leader sends thousands of requests a second.
+// A stream that sends the head of a request together with its body. kj's HTTP
+// client writes them separately, which costs a second system call and often a
+// second packet; a leader sends thousands of requests per second.
 class WholeRequestStream : public kj::AsyncIoStream {
  public:
   explicit WholeRequestStream(kj::Own<kj::AsyncIoStream> inner)
       : inner(kj::mv(inner)) {}
 
-  // The next write is kept back until the one after it.
-  void HoldNextWrite() { this->holds_next = true; }
+  // Buffers the next write until the one after it, and sends both together.
+  void BufferNextWrite() { this->is_buffering_next = true; }
 
   kj::Promise<std::size_t> tryRead(void* buffer,
-                                   std::size_t least,
-                                   std::size_t most) override {
-    return this->inner->tryRead(buffer, least, most);
+                                   std::size_t min_bytes,
+                                   std::size_t max_bytes) override {
+    return this->inner->tryRead(buffer, min_bytes, max_bytes);
   }
   kj::Promise<void> write(const void* buffer, std::size_t size) override;
   kj::Promise<void> write(
-      kj::ArrayPtr<const kj::ArrayPtr<const kj::byte>> pieces) override;
+      kj::ArrayPtr<const kj::ArrayPtr<const kj::byte>> parts) override;
   kj::Promise<void> whenWriteDisconnected() override {
     return this->inner->whenWriteDisconnected();
   }
@@ -37,13 +37,14 @@
   void abortRead() override { this->inner->abortRead(); }
 
  private:
-  // True if the bytes were kept back; else they are added to what was.
-  bool Gather(const void* buffer, std::size_t size);
+  // Appends the bytes to the buffer. Returns true if they are to be buffered
+  // until the next write.
+  bool AppendToBuffer(const void* buffer, std::size_t size);
   kj::Promise<void> Flush();
 
   kj::Own<kj::AsyncIoStream> inner;
-  bool holds_next = false;
-  std::string held;
+  bool is_buffering_next = false;
+  std::string buffered;
 };
 
 }  // namespace sumac::http
--- a/services/sumacd/node_daemon.cc
+++ b/services/sumacd/node_daemon.cc
@@ -19,16 +19,16 @@
 #include "libraries/base/text.h"
 #include "libraries/base/try.h"
 #include "libraries/codec/json_writer.h"
-#include "libraries/http/async_door.h"
+#include "libraries/http/async_http_server.h"
 #include "libraries/http/connection_budget.h"
 #include "libraries/http/metrics.h"
 #include "libraries/log/json_log.h"
-#include "libraries/rpc/door.h"
+#include "libraries/rpc/rpc_server.h"
 #include "libraries/storage/data_folder.h"
 #include "libraries/storage/posix_disk.h"
 #include "platform/advice_client.h"
-#include "platform/doors.h"
 #include "platform/instance_client.h"
+#include "platform/request_handlers.h"
 #include "platform/wire_codec.h"
 #include "platform/worker_client.h"
 #include "services/sumacd/job_controller.h"
@@ -139,15 +139,15 @@
   std::size_t EntryConnections() const;
   void AddConnectionMetrics(const std::string& kind,
                             const http::ConnectionBudget& connections);
-  absl::Status OpenHttpListener(std::unique_ptr<http::AsyncDoor>& door,
-                                http::DoorSettings door_settings,
-                                http::AsyncDoor::Handler handler);
+  absl::Status OpenHttpListener(std::unique_ptr<http::AsyncHttpServer>& door,
+                                http::AsyncServerSettings door_settings,
+                                http::AsyncHttpServer::Handler handler);
   absl::Status OpenMetricsListener();
   absl::Status ListenToPeers();
   absl::Status OpenRpcListener(const std::string& address,
                                capnp::Capability::Client service);
   platform::AskLeader AskLeader();
-  http::DoorReply ReplyToHealthCheck() const;
+  http::ServerReply ReplyToHealthCheck() const;
   bool IsReady() const;
   kj::Promise<void> ProbeLoop();
   kj::Promise<void> ReloadLoop();
@@ -171,13 +171,13 @@
   platform::AdviceClient advice;
   std::unique_ptr<JobController> controller;
   std::unique_ptr<JobsLink> link;
-  std::optional<platform::CallerDoor> caller_adapter;
-  std::optional<platform::ControlDoor> control_adapter;
-  std::unique_ptr<http::AsyncDoor> control_listener;
-  std::unique_ptr<http::AsyncDoor> caller_listener;
-  std::unique_ptr<http::AsyncDoor> health_listener;
-  std::unique_ptr<http::AsyncDoor> metrics_listener;
-  std::vector<std::unique_ptr<rpc::Door>> rpc_listeners;
+  std::optional<platform::CallerRequestHandler> caller_adapter;
+  std::optional<platform::ControlRequestHandler> control_adapter;
+  std::unique_ptr<http::AsyncHttpServer> control_listener;
+  std::unique_ptr<http::AsyncHttpServer> caller_listener;
+  std::unique_ptr<http::AsyncHttpServer> health_listener;
+  std::unique_ptr<http::AsyncHttpServer> metrics_listener;
+  std::vector<std::unique_ptr<rpc::RpcServer>> rpc_listeners;
   bool is_stopping = false;
   std::int64_t file_changed_at = 0;
   std::vector<kj::Promise<void>> background_loops;
@@ -238,10 +238,10 @@
   this->control_adapter.emplace(this->AskLeader(), this->controller->state());
   return this->OpenHttpListener(
       this->control_listener,
-      http::DoorSettings{.address = this->settings.control_door,
-                         .most_body_bytes = kMaxControlBodyBytes,
-                         .most_connections = this->shares.incoming},
-      [this](http::DoorRequest request) {
+      http::AsyncServerSettings{.address = this->settings.control_door,
+                                .max_body_bytes = kMaxControlBodyBytes,
+                                .max_connections = this->shares.incoming},
+      [this](http::ServerRequest request) {
         return this->control_adapter->Handle(std::move(request));
       });
 }
@@ -262,18 +262,19 @@
   this->background_loops.push_back(this->ProbeLoop().eagerlyEvaluate(nullptr));
   TRY(this->OpenHttpListener(
       this->caller_listener,
-      http::DoorSettings{.address = this->settings.caller_door,
-                         .most_body_bytes = kMaxCallerBodyBytes,
-                         .headers = platform::CallerDoor::Headers(),
-                         .most_connections = this->EntryConnections()},
-      [this](const http::DoorRequest& request) {
+      http::AsyncServerSettings{
+          .address = this->settings.caller_door,
+          .max_body_bytes = kMaxCallerBodyBytes,
+          .headers = platform::CallerRequestHandler::Headers(),
+          .max_connections = this->EntryConnections()},
+      [this](const http::ServerRequest& request) {
         return this->caller_adapter->Handle(request);
       }));
   return this->OpenHttpListener(
       this->health_listener,
-      http::DoorSettings{.address = this->settings.health_door},
-      [this](const http::DoorRequest& /*request*/)
-          -> kj::Promise<http::DoorReply> {
+      http::AsyncServerSettings{.address = this->settings.health_door},
+      [this](const http::ServerRequest& /*request*/)
+          -> kj::Promise<http::ServerReply> {
         return this->ReplyToHealthCheck();
       });
 }
@@ -286,11 +287,11 @@
 }
 
 absl::Status NodeDaemon::OpenHttpListener(
-    std::unique_ptr<http::AsyncDoor>& door,
-    http::DoorSettings door_settings,
-    http::AsyncDoor::Handler handler) {
+    std::unique_ptr<http::AsyncHttpServer>& door,
+    http::AsyncServerSettings door_settings,
+    http::AsyncHttpServer::Handler handler) {
   const std::string address = door_settings.address;
-  door = std::make_unique<http::AsyncDoor>(
+  door = std::make_unique<http::AsyncHttpServer>(
       this->timer, std::move(door_settings), std::move(handler));
   try {
     door->Listen(this->io.provider->getNetwork()).wait(this->io.waitScope);
@@ -310,7 +311,7 @@
 absl::Status NodeDaemon::OpenRpcListener(const std::string& address,
                                          capnp::Capability::Client service) {
   this->rpc_listeners.push_back(
-      TRY(rpc::Door::Create(this->io, address, kj::mv(service))));
+      TRY(rpc::RpcServer::Create(this->io, address, kj::mv(service))));
   return absl::OkStatus();
 }
 
@@ -325,7 +326,7 @@
   });
   this->metrics.SetGauge(
       StrCat("sumac_connections_most", label),
-      [&connections] { return static_cast<double>(connections.most()); });
+      [&connections] { return static_cast<double>(connections.max_open()); });
   this->metrics.SetCounter(
       StrCat("sumac_connections_closed_for_others_total", label),
       [&connections] { return static_cast<double>(connections.closed()); });
@@ -344,11 +345,11 @@
   }
   return this->OpenHttpListener(
       this->metrics_listener,
-      http::DoorSettings{.address = this->settings.metrics_door},
-      [this](const http::DoorRequest& /*request*/)
-          -> kj::Promise<http::DoorReply> {
-        return http::DoorReply{.body = this->metrics.ToText(),
-                               .content_type = "text/plain; version=0.0.4"};
+      http::AsyncServerSettings{.address = this->settings.metrics_door},
+      [this](const http::ServerRequest& /*request*/)
+          -> kj::Promise<http::ServerReply> {
+        return http::ServerReply{.body = this->metrics.ToText(),
+                                 .content_type = "text/plain; version=0.0.4"};
       });
 }
 
@@ -358,10 +359,10 @@
              kLeaderContactTimeout;
 }
 
-http::DoorReply NodeDaemon::ReplyToHealthCheck() const {
+http::ServerReply NodeDaemon::ReplyToHealthCheck() const {
   constexpr std::uint32_t kOk = 200;
   constexpr std::uint32_t kUnavailable = 503;
-  return http::DoorReply{.status = this->IsReady() ? kOk : kUnavailable};
+  return http::ServerReply{.status = this->IsReady() ? kOk : kUnavailable};
 }
 
 // Probes the leader at an interval while no other call has reached it, so that
--- a/tests/libraries/http/async_connection_test.cc
+++ b/tests/libraries/http/async_connection_test.cc
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "libraries/base/kj_time.h"
-#include "libraries/http/async_door.h"
+#include "libraries/http/async_http_server.h"
 #include "tests/stand_ins/relay.h"
 
 namespace sumac::http {
@@ -17,24 +17,25 @@
 
 constexpr const char* kAddress = "127.0.7.32:18732";
 constexpr Milliseconds kLimit{200};
-// For a busy computer.
+// The extra time allowed on a busy machine.
 constexpr Milliseconds kSlack{1'000};
 
-// A connection to a server that answers at once, over a path that can go
-// silent.
+// A connection to a server that answers at once, through a relay that can stop
+// forwarding.
 struct Parts {
   Parts()
       : io(kj::setupAsyncIo()),
         headers(this->builder.build()),
-        door(this->io.provider->getTimer(),
-             DoorSettings{.address = kAddress},
-             [](const DoorRequest&) { return DoorReply{.body = "{}"}; }),
+        server(this->io.provider->getTimer(),
+               AsyncServerSettings{.address = kAddress},
+               [](const ServerRequest&) { return ServerReply{.body = "{}"}; }),
         relay(this->io, kAddress),
         connection(this->io.provider->getNetwork(),
                    this->io.provider->getTimer(),
                    *this->headers,
                    this->relay.address()) {
-    this->door.Listen(this->io.provider->getNetwork()).wait(this->io.waitScope);
+    this->server.Listen(this->io.provider->getNetwork())
+        .wait(this->io.waitScope);
   }
 
   kj::Promise<CallReply> Call(bool is_idempotent) {
@@ -45,12 +46,13 @@
   kj::AsyncIoContext io;
   kj::HttpHeaderTable::Builder builder;
   kj::Own<kj::HttpHeaderTable> headers;
-  AsyncDoor door;
+  AsyncHttpServer server;
   stand_ins::Relay relay;
   AsyncConnection connection;
 };
 
-// Only one of the calls that wait for their turn has to find out.
+// Only the first of the queued calls times out; the others use a new
+// connection.
 TEST(AsyncConnectionTest, ASilentConnectionCostsOneCallAndIsNotKept) {
   for (const bool is_idempotent : {false, true}) {
     auto parts = std::make_unique<Parts>();
--- a/tests/libraries/http/connection_budget_test.cc
+++ b/tests/libraries/http/connection_budget_test.cc
@@ -13,59 +13,62 @@
 #include <vector>
 
 #include "libraries/http/async_connection.h"
-#include "libraries/http/async_door.h"
+#include "libraries/http/async_http_server.h"
 
 namespace sumac::http {
 namespace {
 
 constexpr Milliseconds kLimit{60'000};
 
-TEST(ConnectionBudgetTest, TheOneThatIsIdleForTheLongestGivesWay) {
+TEST(ConnectionBudgetTest, TheLongestIdleConnectionIsClosed) {
   ConnectionBudget budget(2);
-  std::optional<ConnectionBudget::Place> first = budget.Take();
-  std::optional<ConnectionBudget::Place> second = budget.Take();
-  EXPECT_FALSE(budget.Take().has_value());
+  std::optional<ConnectionBudget::Place> first = budget.AcquirePlace();
+  std::optional<ConnectionBudget::Place> second = budget.AcquirePlace();
+  EXPECT_FALSE(budget.AcquirePlace().has_value());
   EXPECT_EQ(budget.refused(), 1U);
   second->MarkIdle([&] { second.reset(); });
   first->MarkIdle([&] { first.reset(); });
-  std::optional<ConnectionBudget::Place> third = budget.Take();
+  std::optional<ConnectionBudget::Place> third = budget.AcquirePlace();
   EXPECT_TRUE(third.has_value());
   EXPECT_FALSE(second.has_value());
   EXPECT_TRUE(first.has_value());
   first->MarkBusy();
-  EXPECT_FALSE(budget.Take().has_value());
+  EXPECT_FALSE(budget.AcquirePlace().has_value());
   EXPECT_EQ(budget.open(), 2U);
   EXPECT_EQ(budget.closed(), 1U);
 }
 
-// A connection that is closed late must not be asked in vain for ever.
-TEST(ConnectionBudgetTest, OneThatKeepsItsPlaceDoesNotKeepOthersFromGivingWay) {
+// An idle connection that does not close when asked must not be the only one
+// that is ever asked.
+TEST(ConnectionBudgetTest, AnotherIdleConnectionIsClosedIfTheFirstStaysOpen) {
   ConnectionBudget budget(2);
-  std::optional<ConnectionBudget::Place> stubborn = budget.Take();
-  std::optional<ConnectionBudget::Place> other = budget.Take();
+  std::optional<ConnectionBudget::Place> unclosable = budget.AcquirePlace();
+  std::optional<ConnectionBudget::Place> other = budget.AcquirePlace();
   int asked = 0;
-  stubborn->MarkIdle([&] { ++asked; });
+  unclosable->MarkIdle([&] { ++asked; });
   other->MarkIdle([&] { other.reset(); });
-  EXPECT_FALSE(budget.Take().has_value());
-  EXPECT_TRUE(budget.Take().has_value());
+  EXPECT_FALSE(budget.AcquirePlace().has_value());
+  EXPECT_TRUE(budget.AcquirePlace().has_value());
   EXPECT_EQ(asked, 1);
 }
 
-// As many servers as a leader has workers, and connections with one budget.
+// A server and 20 connections to it that share one budget, as a leader's
+// connections to its workers do.
 struct Parts {
-  explicit Parts(std::size_t most)
+  explicit Parts(std::size_t max_open)
       : io(kj::setupAsyncIo()),
         headers(this->builder.build()),
-        budget(most),
-        door(this->io.provider->getTimer(),
-             DoorSettings{.address = kAddress},
-             [](const DoorRequest& request) -> kj::Promise<DoorReply> {
-               if (request.path == "/hang") {
-                 return kj::NEVER_DONE;
-               }
-               return DoorReply{.body = "{}"};
-             }) {
-    this->door.Listen(this->io.provider->getNetwork()).wait(this->io.waitScope);
+        budget(max_open),
+        server(this->io.provider->getTimer(),
+               AsyncServerSettings{.address = kAddress},
+               [](const ServerRequest& request) -> kj::Promise<ServerReply> {
+                 if (request.path == "/hang") {
+                   return kj::NEVER_DONE;
+                 }
+                 return ServerReply{.body = "{}"};
+               }) {
+    this->server.Listen(this->io.provider->getNetwork())
+        .wait(this->io.waitScope);
     for (std::size_t count = 0; count < kConnections; ++count) {
       this->connections.push_back(std::make_unique<AsyncConnection>(
           this->io.provider->getNetwork(), this->io.provider->getTimer(),
@@ -80,7 +83,7 @@
   kj::HttpHeaderTable::Builder builder;
   kj::Own<kj::HttpHeaderTable> headers;
   ConnectionBudget budget;
-  AsyncDoor door;
+  AsyncHttpServer server;
   std::vector<std::unique_ptr<AsyncConnection>> connections;
 };
 
@@ -97,8 +100,8 @@
   }
 }
 
-// What finds no place is told so at once, and that nothing was sent: it says
-// nothing against the other side.
+// A call without a place in the budget fails at once with kNotSent, which does
+// not mean that the other side is down.
 TEST(ConnectionBudgetTest, WithoutAPlaceNothingIsSent) {
   auto parts = std::make_unique<Parts>(1);
   kj::Promise<CallReply> hanging = parts->connections[0]
@@ -111,7 +114,7 @@
             CallOutcome::kNotSent);
 }
 
-// A network on which nobody ever answers.
+// A network on which no connection attempt ever ends.
 class SilentNetwork : public kj::Network {
  public:
   kj::Promise<kj::Own<kj::NetworkAddress>> parseAddress(
@@ -130,10 +133,9 @@
   }
 };
 
-// Silence must not pass for a want of connections: a worker that is cut off
-// would never be missed.
-TEST(ConnectionBudgetTest,
-     AConnectionThatNobodyAcceptsIsSilenceAndNotAShortage) {
+// A silent peer must not be reported as a lack of connections: an unreachable
+// worker would then never be noticed.
+TEST(ConnectionBudgetTest, AConnectionThatNobodyAcceptsIsReportedAsNoAnswer) {
   auto parts = std::make_unique<Parts>(1);
   SilentNetwork network;
   AsyncConnection connection(network, parts->io.provider->getTimer(),
@@ -157,14 +159,15 @@
   EXPECT_EQ(patient.wait(parts->io.waitScope).outcome, CallOutcome::kAnswered);
 }
 
-// Callers that keep their connections open must not keep others out.
-TEST(ConnectionBudgetTest, ADoorClosesIdleConnectionsForNewOnes) {
+// Callers that keep idle connections open must not prevent others from
+// connecting.
+TEST(ConnectionBudgetTest, AServerClosesIdleConnectionsForNewOnes) {
   auto parts = std::make_unique<Parts>(Parts::kConnections);
-  AsyncDoor door(
+  AsyncHttpServer server(
       parts->io.provider->getTimer(),
-      DoorSettings{.address = "127.0.7.34:18735", .most_connections = 2},
-      [](const DoorRequest&) { return DoorReply{.body = "{}"}; });
-  door.Listen(parts->io.provider->getNetwork()).wait(parts->io.waitScope);
+      AsyncServerSettings{.address = "127.0.7.34:18735", .max_connections = 2},
+      [](const ServerRequest&) { return ServerReply{.body = "{}"}; });
+  server.Listen(parts->io.provider->getNetwork()).wait(parts->io.waitScope);
   std::vector<std::unique_ptr<AsyncConnection>> callers;
   for (int count = 0; count < 6; ++count) {
     callers.push_back(std::make_unique<AsyncConnection>(
@@ -176,24 +179,24 @@
                   .status,
               200U);
   }
-  EXPECT_LE(door.connections().open(), 2U);
-  EXPECT_EQ(door.connections().closed(), 4U);
+  EXPECT_LE(server.connections().open(), 2U);
+  EXPECT_EQ(server.connections().closed(), 4U);
 }
 
-// While all are busy, a further caller is refused at once with a number, and
-// the door serves on.
-TEST(ConnectionBudgetTest, ADoorWithoutAnIdleConnectionRefuses) {
+// While all connections are busy, a further caller is refused at once with a
+// numbered error, and the requests in progress are still answered.
+TEST(ConnectionBudgetTest, AServerWithoutAnIdleConnectionRefuses) {
   auto parts = std::make_unique<Parts>(Parts::kConnections);
   auto paf = kj::newPromiseAndFulfiller<void>();
   kj::ForkedPromise<void> released = paf.promise.fork();
-  AsyncDoor door(
+  AsyncHttpServer server(
       parts->io.provider->getTimer(),
-      DoorSettings{.address = "127.0.7.34:18736", .most_connections = 1},
-      [&](const DoorRequest&) {
+      AsyncServerSettings{.address = "127.0.7.34:18736", .max_connections = 1},
+      [&](const ServerRequest&) {
         return released.addBranch().then(
-            [] { return DoorReply{.body = "{}"}; });
+            [] { return ServerReply{.body = "{}"}; });
       });
-  door.Listen(parts->io.provider->getNetwork()).wait(parts->io.waitScope);
+  server.Listen(parts->io.provider->getNetwork()).wait(parts->io.waitScope);
   const auto make = [&] {
     return std::make_unique<AsyncConnection>(
         parts->io.provider->getNetwork(), parts->io.provider->getTimer(),
@@ -214,28 +217,28 @@
   EXPECT_EQ(first.wait(parts->io.waitScope).status, 200U);
 }
 
-// A process that stops closes its doors with requests under way; each of them
-// gives its place back.
-TEST(ConnectionBudgetTest, ADoorMayGoWithARequestUnderWay) {
+// A process that stops destroys its listeners while requests are in progress;
+// each request must return its place in the budget.
+TEST(ConnectionBudgetTest, AServerMayBeDestroyedWithARequestInProgress) {
   auto parts = std::make_unique<Parts>(Parts::kConnections);
-  auto door = std::make_unique<AsyncDoor>(
+  auto server = std::make_unique<AsyncHttpServer>(
       parts->io.provider->getTimer(),
-      DoorSettings{.address = "127.0.7.34:18737", .most_connections = 4},
-      [](const DoorRequest&) -> kj::Promise<DoorReply> {
+      AsyncServerSettings{.address = "127.0.7.34:18737", .max_connections = 4},
+      [](const ServerRequest&) -> kj::Promise<ServerReply> {
         return kj::NEVER_DONE;
       });
-  door->Listen(parts->io.provider->getNetwork()).wait(parts->io.waitScope);
+  server->Listen(parts->io.provider->getNetwork()).wait(parts->io.waitScope);
   AsyncConnection caller(parts->io.provider->getNetwork(),
                          parts->io.provider->getTimer(), *parts->headers,
                          "127.0.7.34:18737");
   kj::Promise<CallReply> call =
       caller.Call({.path = "/ok"}, kLimit).eagerlyEvaluate(nullptr);
-  while (door->open_requests() == 0) {
+  while (server->open_requests() == 0) {
     parts->io.provider->getTimer()
         .afterDelay(1 * kj::MILLISECONDS)
         .wait(parts->io.waitScope);
   }
-  door.reset();
+  server.reset();
   EXPECT_EQ(call.wait(parts->io.waitScope).outcome, CallOutcome::kNoAnswer);
 }
 
--- a/tests/libraries/http/connection_pool_test.cc
+++ b/tests/libraries/http/connection_pool_test.cc
@@ -7,13 +7,13 @@
 #include <memory>
 #include <vector>
 
-#include "libraries/http/async_door.h"
+#include "libraries/http/async_http_server.h"
 
 namespace sumac::http {
 namespace {
 
 constexpr const char* kAddress = "127.0.7.31:18731";
-// Long; nothing in these tests waits for it.
+// A timeout that no test here reaches.
 constexpr Milliseconds kLimit{60'000};
 
 // A server that never answers /hang, and a pool of two connections to it.
@@ -21,30 +21,31 @@
   Parts()
       : io(kj::setupAsyncIo()),
         headers(this->builder.build()),
-        door(this->io.provider->getTimer(),
-             DoorSettings{.address = kAddress},
-             [](const DoorRequest& request) -> kj::Promise<DoorReply> {
-               if (request.path == "/hang") {
-                 return kj::NEVER_DONE;
-               }
-               return DoorReply{.body = "{}"};
-             }),
+        server(this->io.provider->getTimer(),
+               AsyncServerSettings{.address = kAddress},
+               [](const ServerRequest& request) -> kj::Promise<ServerReply> {
+                 if (request.path == "/hang") {
+                   return kj::NEVER_DONE;
+                 }
+                 return ServerReply{.body = "{}"};
+               }),
         pool(this->io.provider->getNetwork(),
              this->io.provider->getTimer(),
              *this->headers,
              kAddress,
              2) {
-    this->door.Listen(this->io.provider->getNetwork()).wait(this->io.waitScope);
+    this->server.Listen(this->io.provider->getNetwork())
+        .wait(this->io.waitScope);
   }
 
   kj::AsyncIoContext io;
   kj::HttpHeaderTable::Builder builder;
   kj::Own<kj::HttpHeaderTable> headers;
-  AsyncDoor door;
+  AsyncHttpServer server;
   ConnectionPool pool;
 };
 
-TEST(ConnectionPoolTest, ACallWithoutAnAnswerHoldsUpNoOther) {
+TEST(ConnectionPoolTest, ACallWithoutAnAnswerDelaysNoOther) {
   auto parts = std::make_unique<Parts>();
   bool has_hung_up = false;
   kj::Promise<void> hanging =
--- a/tests/libraries/http/http_server_test.cc
+++ b/tests/libraries/http/http_server_test.cc
@@ -31,7 +31,7 @@
                                  HttpServer::Handler handler) {
   auto server =
       HttpServer::Create(ServerSettings{.address = address,
-                                        .most_connections = 4,
+                                        .max_connections = 4,
                                         .idle_time = Milliseconds(600'000)},
                          std::move(handler));
   EXPECT_TRUE(server.ok()) << server.status();
@@ -52,8 +52,8 @@
   const auto server = Open(address, [](auto& /*request*/, auto& response) {
     SendAnswer(response, 200, "text/plain", "hello");
   });
-  // Twice as many as there are threads, each staying open after its answer.
-  // Without room being made the fifth would wait for ten minutes.
+  // Twice as many connections as threads, each kept open after its answer. If
+  // idle ones were not closed, the fifth would wait for ten minutes.
   std::vector<Session> sessions;
   for (int number = 0; number < 8; ++number) {
     sessions.push_back(std::make_unique<Poco::Net::HTTPClientSession>(
@@ -64,7 +64,7 @@
   }
 }
 
-TEST(HttpServerTest, ABodyThatIsCutShortIsNoRequest) {
+TEST(HttpServerTest, ATruncatedBodyIsRefused) {
   const std::string address = FreeAddress();
   std::atomic<int> whole = 0;
   std::atomic<int> cut = 0;
--- a/tests/platform/doors_test.cc
+++ b/tests/platform/request_handlers_test.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "platform/doors.h"
+#include "platform/request_handlers.h"
 
 #include <gtest/gtest.h>
 #include <kj/async.h>
@@ -17,10 +17,11 @@
 constexpr const char* kJob =
     R"({"spec":"x","steps":[{"count":1,"cpu":100,"mem_mb":1}]})";
 
-// A door whose leader gives one answer to everything.
-class DoorsTest : public testing::Test {
+// The listeners' request handlers, with a leader that gives `answer` to every
+// request.
+class RequestHandlersTest : public testing::Test {
  protected:
-  DoorsTest()
+  RequestHandlersTest()
       : state([](std::string_view text) { return ReadDeclaration(text); }) {}
 
   AskLeader Leader() {
@@ -31,26 +32,27 @@
       return this->answer;
     };
   }
-  http::DoorReply Call(kj::HttpMethod method,
-                       const std::string& body = "",
-                       const std::string& deadline = "3000") {
-    CallerDoor door(this->Leader(), this->metrics);
-    http::DoorRequest request{.method = method,
-                              .path = "/clips/5c0e7a21d94b36f8",
-                              .host = "desk.example:80",
-                              .body = body};
+  http::ServerReply Call(kj::HttpMethod method,
+                         const std::string& body = "",
+                         const std::string& deadline = "3000") {
+    CallerRequestHandler handler(this->Leader(), this->metrics);
+    http::ServerRequest request{.method = method,
+                                .path = "/clips/5c0e7a21d94b36f8",
+                                .host = "desk.example:80",
+                                .body = body};
     request.headers["Sumacstack-Deadline-Ms"] = deadline;
-    return door.Handle(request).wait(this->turns->scope);
+    return handler.Handle(request).wait(this->loop_parts->scope);
   }
-  http::DoorReply Control(kj::HttpMethod method,
-                          const std::string& path,
-                          const std::string& body = "") {
-    ControlDoor door(this->Leader(), this->state);
-    return door
-        .Handle(http::DoorRequest{.method = method, .path = path, .body = body})
-        .wait(this->turns->scope);
+  http::ServerReply Control(kj::HttpMethod method,
+                            const std::string& path,
+                            const std::string& body = "") {
+    ControlRequestHandler handler(this->Leader(), this->state);
+    return handler
+        .Handle(
+            http::ServerRequest{.method = method, .path = path, .body = body})
+        .wait(this->loop_parts->scope);
   }
-  static std::string RetryAfter(const http::DoorReply& reply) {
+  static std::string RetryAfter(const http::ServerReply& reply) {
     for (const auto& [name, value] : reply.headers) {
       if (name == "Retry-After") {
         return value;
@@ -59,12 +61,12 @@
     return "";
   }
 
-  struct Turns {
+  struct LoopParts {
     kj::EventLoop loop;
     kj::WaitScope scope{this->loop};
   };
 
-  std::unique_ptr<Turns> turns = std::make_unique<Turns>();
+  std::unique_ptr<LoopParts> loop_parts = std::make_unique<LoopParts>();
   http::Metrics metrics;
   jobs::JobsState state;
   fleet::Answer answer;
@@ -72,16 +74,16 @@
   Milliseconds limit{0};
 };
 
-TEST_F(DoorsTest, AJobIsPassedOnByHostAndPath) {
+TEST_F(RequestHandlersTest, AJobIsPassedOnByHostAndPath) {
   EXPECT_EQ(this->Call(kj::HttpMethod::POST, kJob).status, 200U);
   const auto& submit = std::get<jobs::SubmitAt>(*this->asked);
   EXPECT_EQ(submit.host, "desk.example");
   EXPECT_EQ(submit.path, "/clips/5c0e7a21d94b36f8");
 }
 
-// What was certainly not taken is refused with when to come back; what may have
-// been taken is not called refused.
-TEST_F(DoorsTest, RefusalsSayWhetherTheJobMayRun) {
+// A job that was certainly not accepted is refused with a Retry-After header.
+// One that may have been accepted is answered without that header.
+TEST_F(RequestHandlersTest, RefusalsSayWhetherTheJobMayRun) {
   struct Case {
     ResultCode code;
     std::uint32_t status;
@@ -95,13 +97,13 @@
         Case{ResultCode::kSubmissionUnknown, 504, false},
         Case{ResultCode::kTimeout, 504, false}}) {
     this->answer = fleet::Answer{.code = code};
-    const http::DoorReply reply = this->Call(kj::HttpMethod::POST, kJob);
+    const http::ServerReply reply = this->Call(kj::HttpMethod::POST, kJob);
     EXPECT_EQ(reply.status, status) << static_cast<int>(code);
     EXPECT_EQ(!RetryAfter(reply).empty(), is_certain) << static_cast<int>(code);
   }
 }
 
-TEST_F(DoorsTest, WhatIsNoJobNeverReachesTheLeader) {
+TEST_F(RequestHandlersTest, AnInvalidJobNeverReachesTheLeader) {
   for (const char* body :
        {"", "[]", "{}", R"({"spec":1,"steps":[]})",
         R"({"spec":"x","steps":[{"count":0}]})",
@@ -111,7 +113,7 @@
   }
 }
 
-TEST_F(DoorsTest, TheCallersDeadlineBoundsTheSearch) {
+TEST_F(RequestHandlersTest, TheCallersDeadlineBoundsTheSearch) {
   this->Call(kj::HttpMethod::GET, "", "500");
   EXPECT_LT(this->limit, Milliseconds(500));
   this->Call(kj::HttpMethod::GET, "", "nonsense");
@@ -120,15 +122,16 @@
   EXPECT_GT(this->limit, Milliseconds(0));
 }
 
-// The last try of a caller who had been refused was given up after 1 ms, and
-// its caller told that the job may run.
-TEST_F(DoorsTest, ALastTryIsGivenUpBeforeALeaderCanAnswer) {
+// A caller with little time left still needs an answer from the leader. If the
+// whole time for the way back were subtracted, the request would be given up
+// after 1 ms and the caller told that the job may run.
+TEST_F(RequestHandlersTest, ALastTryIsGivenUpBeforeALeaderCanAnswer) {
   this->Call(kj::HttpMethod::GET, "", "120");
   EXPECT_GE(this->limit, Milliseconds(80));
   EXPECT_LT(this->limit, Milliseconds(120));
 }
 
-TEST_F(DoorsTest, RequestsAreCountedByTheirEnd) {
+TEST_F(RequestHandlersTest, RequestsAreCountedByMethodAndStatus) {
   this->Call(kj::HttpMethod::POST, kJob);
   this->answer = fleet::Answer{.code = ResultCode::kUnknownJob};
   this->Call(kj::HttpMethod::GET);
@@ -141,13 +144,13 @@
       << text;
 }
 
-TEST_F(DoorsTest, AnUnknownJobIsGone) {
+TEST_F(RequestHandlersTest, AnUnknownJobIsGone) {
   this->answer = fleet::Answer{.code = ResultCode::kUnknownJob};
   EXPECT_EQ(this->Call(kj::HttpMethod::GET).status, 410U);
   EXPECT_EQ(this->Call(kj::HttpMethod::DELETE).status, 410U);
 }
 
-TEST_F(DoorsTest, InvalidDocumentsNeverReachTheLeader) {
+TEST_F(RequestHandlersTest, InvalidDocumentsNeverReachTheLeader) {
   for (const char* body : {"", "{", R"({"version":1})",
                            R"({"version":2,"routes":[{}],"services":[]})"}) {
     EXPECT_EQ(this->Control(kj::HttpMethod::PUT, "/config", body).status, 400U)
@@ -156,7 +159,7 @@
   }
 }
 
-TEST_F(DoorsTest, AnAnnouncementIsCommittedOnceAndAgainWhenItLeaves) {
+TEST_F(RequestHandlersTest, AnAnnouncementIsCommittedOnlyWhenItChanges) {
   const std::string ready =
       R"({"service":"s","address":"10.0.0.1:80","state":"ready","seq":1})";
   const std::string leaving =
@@ -168,7 +171,7 @@
   this->asked.reset();
   this->Control(kj::HttpMethod::PUT, "/instances/i-1", ready);
   EXPECT_FALSE(this->asked.has_value());
-  // Not acknowledged while it is not on record.
+  // The announcement is not acknowledged until it is committed.
   this->answer = fleet::Answer{.code = ResultCode::kNoControllerInTime};
   EXPECT_EQ(
       this->Control(kj::HttpMethod::PUT, "/instances/i-1", leaving).status,
@@ -176,9 +179,10 @@
   EXPECT_TRUE(this->asked.has_value());
 }
 
-// The address went to a worker of another service, and what a cut had held up
-// of the life before comes after that.
-TEST_F(DoorsTest, WhatComesLateOfALifeThatIsOverLeavesTheNextOneAlone) {
+// A worker ends, a worker of another service reuses its address, and delayed
+// messages of the first worker arrive after a network partition heals.
+TEST_F(RequestHandlersTest,
+       WhatComesLateOfALifeThatIsOverLeavesTheNextOneAlone) {
   const std::string before =
       R"({"service":"s","address":"10.0.0.1:80","state":"ready","seq":7})";
   const std::string next =
--- a/tests/platform/worker_client_test.cc
+++ b/tests/platform/worker_client_test.cc
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "libraries/base/kj_time.h"
-#include "libraries/http/async_door.h"
+#include "libraries/http/async_http_server.h"
 #include "tests/stand_ins/relay.h"
 
 namespace sumac::platform {
@@ -18,33 +18,36 @@
 
 constexpr const char* kAddress = "127.0.7.33:18733";
 constexpr const char* kExpectedWorkerHeader = "Sumacstack-Expected-Instance";
-constexpr std::uint32_t kOtherLifeStatus = 421;
-// What a silent order takes, and a renewal beyond the time for which it may be
-// kept back.
+constexpr std::uint32_t kOtherIncarnationStatus = 421;
+// The timeout of an order, and that of a renewal beyond the time for which the
+// worker may delay its answer.
 constexpr Milliseconds kOrderLimit{400};
-// For a busy computer.
+// The extra time allowed on a busy machine.
 constexpr Milliseconds kSlack{1'000};
 
-// A worker that answers at once and only for itself, over a path that can go
-// silent.
+// A worker that answers at once and only calls that are meant for it, through a
+// relay that can stop forwarding.
 struct Parts {
   Parts()
       : io(kj::setupAsyncIo()),
-        door(this->io.provider->getTimer(),
-             http::DoorSettings{.address = kAddress,
-                                .headers = {kExpectedWorkerHeader}},
-             [this](const http::DoorRequest& request) {
-               const auto header = request.headers.find(kExpectedWorkerHeader);
-               const bool is_meant = header != request.headers.end() &&
-                                     header->second == this->present;
-               return is_meant ? http::DoorReply{.body = R"({"clock_ms":5,)"
-                                                         R"("running":[],)"
-                                                         R"("ended":[]})"}
-                               : http::DoorReply{.status = kOtherLifeStatus};
-             }),
+        server(
+            this->io.provider->getTimer(),
+            http::AsyncServerSettings{.address = kAddress,
+                                      .headers = {kExpectedWorkerHeader}},
+            [this](const http::ServerRequest& request) {
+              const auto header = request.headers.find(kExpectedWorkerHeader);
+              const bool is_meant = header != request.headers.end() &&
+                                    header->second == this->current_worker;
+              return is_meant
+                         ? http::ServerReply{.body = R"({"clock_ms":5,)"
+                                                     R"("running":[],)"
+                                                     R"("ended":[]})"}
+                         : http::ServerReply{.status = kOtherIncarnationStatus};
+            }),
         relay(this->io, kAddress),
         client(this->io.provider->getNetwork(), this->io.provider->getTimer()) {
-    this->door.Listen(this->io.provider->getNetwork()).wait(this->io.waitScope);
+    this->server.Listen(this->io.provider->getNetwork())
+        .wait(this->io.waitScope);
   }
 
   scheduler::OrderResult Renew(const std::string& worker,
@@ -67,20 +70,20 @@
   }
 
   kj::AsyncIoContext io;
-  // The life that runs there.
-  std::string present = "i-1";
-  http::AsyncDoor door;
+  // The name of the worker that runs at the address.
+  std::string current_worker = "i-1";
+  http::AsyncHttpServer server;
   stand_ins::Relay relay;
   WorkerClient client;
 };
 
-// An address is reused, by the next life or by a worker of another service. A
-// call that is meant for the life before is not taken by the present one, and
-// says nothing against it.
-TEST(WorkerClientTest, AReusedAddressAnswersOnlyForThePresentLife) {
+// An address is reused, by the next incarnation of the worker or by a worker of
+// another service. A call meant for the previous worker must not be handled by
+// the current one, and must not count against it.
+TEST(WorkerClientTest, AReusedAddressAnswersOnlyForTheCurrentWorker) {
   auto parts = std::make_unique<Parts>();
   EXPECT_EQ(parts->Renew("i-1"), scheduler::OrderResult::kDone);
-  parts->present = "i-2";
+  parts->current_worker = "i-2";
   EXPECT_EQ(parts->Renew("i-1"), scheduler::OrderResult::kOtherIncarnation);
   EXPECT_EQ(parts->Stop("i-1").wait(parts->io.waitScope).result,
             scheduler::OrderResult::kOtherIncarnation);
@@ -105,8 +108,8 @@
   EXPECT_EQ(parts->relay.open(), 1U);
 }
 
-// All connections for orders are silent at once. Each costs one order, and as
-// many new ones take their place.
+// All connections for orders become silent at once. One order on each times
+// out, and the same number of new connections replaces them.
 TEST(WorkerClientTest, SilentOrdersAreNoticedAndNoConnectionIsKept) {
   constexpr std::size_t kOrders = 20;
   auto parts = std::make_unique<Parts>();
--- a/tests/platform/worker_lives_test.cc
+++ b/tests/platform/worker_lives_test.cc
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-// A worker that crashes may start again under the id that it had, knowing
-// nothing of before: its ends are numbered anew, its clock starts anew, and it
-// takes fencing tokens and leases that were meant for the life before. Ids were
-// taken for lives, so that its announcements were thrown away until they
-// outnumbered the earlier ones, or for good, the acknowledgement of the earlier
-// life's ends made it forget its own, and it carried out starts that were meant
-// for the earlier life.
+// A worker that crashes may restart under the same id without any state: it
+// numbers its ends and its clock from the beginning, and accepts fencing tokens
+// and leases that were meant for the previous incarnation. If an id identified
+// an incarnation, the restarted worker's announcements would be discarded until
+// their sequence numbers exceed the earlier ones, or for ever; it would drop
+// its own ends when the earlier ones are acknowledged; and it would carry out
+// starts meant for the previous incarnation.
 #include <gtest/gtest.h>
 #include <kj/async-io.h>
 
@@ -20,7 +20,7 @@
 #include <vector>
 
 #include "libraries/base/text.h"
-#include "libraries/http/async_door.h"
+#include "libraries/http/async_http_server.h"
 #include "libraries/jobs/jobs_state.h"
 #include "nlohmann/json.hpp"
 #include "platform/wire_codec.h"
@@ -59,7 +59,7 @@
   return *ReadText(AnnouncementText(born, sequence, address));
 }
 
-// What controllers have on record.
+// Tests of the recorded state of workers in the controllers.
 class WorkerLivesTest : public testing::Test {
  protected:
   fleet::Answer Record(const jobs::Worker& worker) {
@@ -75,12 +75,12 @@
   const jobs::Worker second = Announced(kSecondStart, 1, "10.0.0.2:80");
 };
 
-TEST_F(WorkerLivesTest, TwoLivesOfOneIdAreTwoWorkers) {
+TEST_F(WorkerLivesTest, TwoIncarnationsOfOneNameAreTwoWorkers) {
   EXPECT_NE(this->first.id, this->second.id);
   EXPECT_EQ(this->first.id, Announced(kFirstStart, 1).id);
 }
 
-TEST_F(WorkerLivesTest, ALaterLifeCountsFromItsFirstAnnouncement) {
+TEST_F(WorkerLivesTest, ALaterIncarnationReplacesTheEarlierOne) {
   this->Record(this->first);
   this->Record(this->second);
   ASSERT_EQ(this->state.workers().size(), 1U);
@@ -89,21 +89,21 @@
   EXPECT_EQ(present.sequence, 1U);
 }
 
-TEST_F(WorkerLivesTest, ALaterLifeIsUsedAfterTheEarlierOneHasEnded) {
+TEST_F(WorkerLivesTest, ALaterIncarnationIsUsedAfterTheEarlierOneHasEnded) {
   this->Record(this->first);
   this->End(this->first.id);
   this->Record(this->second);
   EXPECT_EQ(this->state.workers().size(), 1U);
 }
 
-TEST_F(WorkerLivesTest, AnEarlierLifeIsNotBelievedAfterALaterOne) {
+TEST_F(WorkerLivesTest, AnEarlierIncarnationIsIgnoredAfterALaterOne) {
   this->Record(this->second);
   this->Record(this->first);
   ASSERT_EQ(this->state.workers().size(), 1U);
   EXPECT_EQ(this->state.workers().begin()->second.address, "10.0.0.2:80");
 }
 
-TEST_F(WorkerLivesTest, ALateAnnouncementOfALifeThatIsOverChangesNothing) {
+TEST_F(WorkerLivesTest, ALateAnnouncementOfAnEndedIncarnationChangesNothing) {
   this->Record(this->first);
   this->Record(this->second);
   this->Record(Announced(kFirstStart, 58, "10.0.0.1:80"));
@@ -121,11 +121,12 @@
   }
 }
 
-TEST_F(WorkerLivesTest, AWorkerThatTellsNoStartIsItsId) {
+TEST_F(WorkerLivesTest, AWorkerWithoutAStartTimeIsIdentifiedByItsName) {
   EXPECT_EQ(Announced(std::nullopt, 3).id.value(), kName);
 }
 
-TEST_F(WorkerLivesTest, AStatementWithoutAStartHarmsNothing) {
+TEST_F(WorkerLivesTest,
+       AnAnnouncementWithoutAStartTimeIsRefusedAfterOneWithIt) {
   this->Record(this->first);
   EXPECT_FALSE(
       this->Record(Announced(std::nullopt, 60, "10.0.0.9:80")).is_ok());
@@ -133,31 +134,32 @@
   EXPECT_EQ(this->state.workers().begin()->second.address, "10.0.0.1:80");
 }
 
-// One life of the worker's process, with all that it was told.
-class Life {
+// An incarnation of the worker that counts the orders and acknowledgements it
+// receives.
+class FakeIncarnation {
  public:
-  Life(kj::AsyncIoContext& io, std::optional<std::int64_t> born)
+  FakeIncarnation(kj::AsyncIoContext& io, std::optional<std::int64_t> born)
       : born(born),
-        door(io.provider->getTimer(),
-             http::DoorSettings{.address = kAddress,
-                                .headers = {kExpectedWorkerHeader}},
-             [this](const http::DoorRequest& request) {
-               return this->Handle(request);
-             }) {
-    this->door.Listen(io.provider->getNetwork()).wait(io.waitScope);
+        server(io.provider->getTimer(),
+               http::AsyncServerSettings{.address = kAddress,
+                                         .headers = {kExpectedWorkerHeader}},
+               [this](const http::ServerRequest& request) {
+                 return this->Handle(request);
+               }) {
+    this->server.Listen(io.provider->getNetwork()).wait(io.waitScope);
   }
 
-  // It takes requests and answers none of them.
-  bool is_mute = false;
+  // True if it reads requests but does not answer them.
+  bool never_answers = false;
   std::size_t starts = 0;
   std::size_t stops = 0;
   std::uint64_t acknowledged = 0;
 
  private:
-  kj::Promise<http::DoorReply> Handle(const http::DoorRequest& request) {
+  kj::Promise<http::ServerReply> Handle(const http::ServerRequest& request) {
     constexpr std::uint32_t kMisdirected = 421;
     if (request.headers.at(kExpectedWorkerHeader) != kName) {
-      return http::DoorReply{.status = kMisdirected};
+      return http::ServerReply{.status = kMisdirected};
     }
     const nlohmann::json body = nlohmann::json::parse(request.body);
     nlohmann::json reply = {{"clock_ms", 1}};
@@ -172,28 +174,29 @@
     }
     this->starts += static_cast<std::size_t>(request.path == "/run-start");
     this->stops += static_cast<std::size_t>(request.path == "/run-stop");
-    if (this->is_mute) {
-      return kj::Promise<http::DoorReply>(kj::NEVER_DONE);
+    if (this->never_answers) {
+      return kj::Promise<http::ServerReply>(kj::NEVER_DONE);
     }
-    return http::DoorReply{.body = reply.dump()};
+    return http::ServerReply{.body = reply.dump()};
   }
 
   std::optional<std::int64_t> born;
-  http::AsyncDoor door;
+  http::AsyncHttpServer server;
 };
 
 enum class Call { kStart, kStop, kRenewal, kReport };
-// What was going on over the connections when the worker crashed.
-enum class Before { kNothing, kIdle, kUnderWay };
+// The state of the connections when the worker crashes.
+enum class ConnectionState { kNothing, kIdle, kInProgress };
 
-// Every call to a life that has ended, at each state of its connections.
+// Tests of every kind of call after a restart of the worker, in each state of
+// the connections.
 class WorkerRestartTest : public testing::Test {
  protected:
   struct Parts {
     kj::AsyncIoContext io = kj::setupAsyncIo();
     WorkerClient client{this->io.provider->getNetwork(),
                         this->io.provider->getTimer()};
-    std::unique_ptr<Life> life;
+    std::unique_ptr<FakeIncarnation> incarnation;
   };
 
   kj::Promise<OrderResult> Send(Call call, const WorkerId& worker) {
@@ -239,26 +242,30 @@
   OrderResult SendAndWait(Call call, const WorkerId& worker) {
     return this->Send(call, worker).wait(this->parts->io.waitScope);
   }
-  void Begin(std::optional<std::int64_t> born) {
-    this->parts->life.reset();
-    this->parts->life = std::make_unique<Life>(this->parts->io, born);
+  void StartWorker(std::optional<std::int64_t> born) {
+    this->parts->incarnation.reset();
+    this->parts->incarnation =
+        std::make_unique<FakeIncarnation>(this->parts->io, born);
   }
-  bool HeardNothing() const {
-    return this->parts->life->starts == 0 && this->parts->life->stops == 0 &&
-           this->parts->life->acknowledged == 0;
+  bool HasReceivedNothing() const {
+    return this->parts->incarnation->starts == 0 &&
+           this->parts->incarnation->stops == 0 &&
+           this->parts->incarnation->acknowledged == 0;
   }
 
-  // Runs a check for every call at each state of the connections.
-  void ForEach(const std::function<void(Call, Before)>& check) {
+  // Runs a check for every kind of call in each state of the connections.
+  void ForEachCallAndState(
+      const std::function<void(Call, ConnectionState)>& check) {
     for (const Call call :
          {Call::kStart, Call::kStop, Call::kRenewal, Call::kReport}) {
-      for (const Before before :
-           {Before::kNothing, Before::kIdle, Before::kUnderWay}) {
+      for (const ConnectionState state_before :
+           {ConnectionState::kNothing, ConnectionState::kIdle,
+            ConnectionState::kInProgress}) {
         SCOPED_TRACE(StrCat("call ", static_cast<int>(call), ", before ",
-                            static_cast<int>(before)));
+                            static_cast<int>(state_before)));
         this->parts.reset();
         this->parts = std::make_unique<Parts>();
-        check(call, before);
+        check(call, state_before);
       }
     }
   }
@@ -268,62 +275,65 @@
   const WorkerId second = Announced(kSecondStart, 1).id;
 };
 
-TEST_F(WorkerRestartTest, ACallForAnEndedLifeReachesNoLaterOne) {
-  this->ForEach([this](Call call, Before before) {
-    this->Begin(kFirstStart);
-    std::vector<kj::Promise<OrderResult>> under_way;
-    if (before == Before::kIdle) {
+TEST_F(WorkerRestartTest, ACallForAnEndedIncarnationReachesNoLaterOne) {
+  this->ForEachCallAndState([this](Call call, ConnectionState state_before) {
+    this->StartWorker(kFirstStart);
+    std::vector<kj::Promise<OrderResult>> in_progress;
+    if (state_before == ConnectionState::kIdle) {
       for (const Call earlier :
            {Call::kStart, Call::kStop, Call::kRenewal, Call::kReport}) {
         EXPECT_EQ(this->SendAndWait(earlier, this->first), OrderResult::kDone);
       }
-    } else if (before == Before::kUnderWay) {
+    } else if (state_before == ConnectionState::kInProgress) {
       EXPECT_EQ(this->SendAndWait(call, this->first), OrderResult::kDone);
-      this->parts->life->is_mute = true;
-      under_way.push_back(this->Send(call, this->first));
-      // The call is taken, and not answered.
+      this->parts->incarnation->never_answers = true;
+      in_progress.push_back(this->Send(call, this->first));
+      // The worker reads the call and does not answer it.
       this->parts->io.provider->getTimer()
           .afterDelay(20 * kj::MILLISECONDS)
           .wait(this->parts->io.waitScope);
     }
-    this->Begin(kSecondStart);
-    for (auto& earlier : under_way) {
+    this->StartWorker(kSecondStart);
+    for (auto& earlier : in_progress) {
       EXPECT_NE(earlier.wait(this->parts->io.waitScope), OrderResult::kDone);
     }
     EXPECT_EQ(this->SendAndWait(call, this->first),
               OrderResult::kOtherIncarnation);
-    EXPECT_TRUE(this->HeardNothing());
+    EXPECT_TRUE(this->HasReceivedNothing());
   });
 }
 
-TEST_F(WorkerRestartTest, ACallForTheLaterLifeReachesIt) {
-  this->ForEach([this](Call call, Before before) {
-    this->Begin(kFirstStart);
-    if (before != Before::kNothing) {
+TEST_F(WorkerRestartTest, ACallForTheLaterIncarnationReachesIt) {
+  this->ForEachCallAndState([this](Call call, ConnectionState state_before) {
+    this->StartWorker(kFirstStart);
+    if (state_before != ConnectionState::kNothing) {
       EXPECT_EQ(this->SendAndWait(call, this->first), OrderResult::kDone);
     }
-    this->Begin(kSecondStart);
+    this->StartWorker(kSecondStart);
     EXPECT_EQ(this->SendAndWait(call, this->second), OrderResult::kDone);
-    EXPECT_FALSE(this->HeardNothing());
+    EXPECT_FALSE(this->HasReceivedNothing());
   });
 }
 
-// The announcement of a life may be read before the one before it has ended.
-TEST_F(WorkerRestartTest, ACallForALaterLifeReachesNoEarlierOne) {
-  this->ForEach([this](Call call, Before /*before*/) {
-    this->Begin(kFirstStart);
-    EXPECT_EQ(this->SendAndWait(call, this->second),
-              OrderResult::kOtherIncarnation);
-    EXPECT_TRUE(this->HeardNothing());
-  });
+// The announcement of an incarnation may be handled before the previous
+// incarnation has ended.
+TEST_F(WorkerRestartTest, ACallForALaterIncarnationReachesNoEarlierOne) {
+  this->ForEachCallAndState(
+      [this](Call call, ConnectionState /*state_before*/) {
+        this->StartWorker(kFirstStart);
+        EXPECT_EQ(this->SendAndWait(call, this->second),
+                  OrderResult::kOtherIncarnation);
+        EXPECT_TRUE(this->HasReceivedNothing());
+      });
 }
 
-TEST_F(WorkerRestartTest, AWorkerThatTellsNoStartIsCalledByItsId) {
+TEST_F(WorkerRestartTest, AWorkerWithoutAStartTimeIsCalledByItsName) {
   const WorkerId worker = Announced(std::nullopt, 1).id;
-  this->ForEach([this, &worker](Call call, Before /*before*/) {
-    this->Begin(std::nullopt);
-    EXPECT_EQ(this->SendAndWait(call, worker), OrderResult::kDone);
-  });
+  this->ForEachCallAndState(
+      [this, &worker](Call call, ConnectionState /*state_before*/) {
+        this->StartWorker(std::nullopt);
+        EXPECT_EQ(this->SendAndWait(call, worker), OrderResult::kDone);
+      });
 }
 
 }  // namespace
