--- a/utilities/sumacctl/commands.cc
+++ b/utilities/sumacctl/commands.cc
@@ -19,8 +19,8 @@
 using fleet::Answer;
 using wire::Operator;
 
-// What a command's function gets: its arguments without the words that chose
-// it.
+// The input of a command's function; `arguments` exclude the words that
+// selected the command.
 struct Call {
   OperatorClient& client;
   const Invocation& invocation;
@@ -39,7 +39,8 @@
 struct Command {
   CommandInfo info;
   Function run;
-  // The columns of its answer's table; empty where the answer has another form.
+  // The columns of the table that shows the answer; empty if the answer is not
+  // shown as a table.
   std::vector<Column> columns;
 };
 
@@ -61,7 +62,7 @@
   });
 }
 
-// The text of an argument that names a file, or of standard input for "-".
+// Returns the contents of the file at `path`, or of standard input for "-".
 absl::StatusOr<std::string> ReadArgument(const std::string& path) {
   return ReadTextFile(path == "-" ? "/dev/stdin" : path);
 }
@@ -88,7 +89,7 @@
   });
 }
 
-// Waits until all entries that are alive act on a version of the view.
+// Waits until all live entries use this version of the view.
 Answer AwaitInForce(const Call& call, std::uint64_t version) {
   constexpr std::uint32_t kWaitMs = 5'000;
   return call.client.Call([&](Operator::Client door) {
@@ -118,7 +119,8 @@
   });
 }
 
-// Checks a controller's data folder without any process; writes nothing.
+// Checks a controller's data folder directly on disk, without calling a
+// process. Writes nothing.
 Answer VerifyStorage(const Call& call) {
   storage::PosixDisk disk;
   const auto folder = storage::DataFolder<storage::PosixDisk>::Open(
@@ -143,7 +145,7 @@
   });
 }
 
-// A command on one instance; `make` starts the request.
+// Sends a command for one instance; `make` creates the request.
 template <typename MakeRequest>
 Answer Operate(const Call& call, MakeRequest make) {
   return call.client.Call([&](Operator::Client door) {
@@ -411,8 +413,8 @@
   return kTable;
 }
 
-// The command that the words choose, the longer name first, and how many words
-// that took.
+// Finds the command that the first words name, and sets `words_taken` to the
+// number of words in its name. Names of two words are tried first.
 const Command* FindCommand(const std::vector<std::string>& words,
                            std::size_t& words_taken) {
   for (const std::size_t count : {std::size_t{2}, std::size_t{1}}) {
--- a/utilities/sumacctl/commands.h
+++ b/utilities/sumacctl/commands.h
@@ -12,7 +12,7 @@
 
 namespace sumac::ctl {
 
-// One call of sumacctl, parsed.
+// The parsed command line of one call of sumacctl.
 struct Invocation {
   // The command's words, e.g. {"jobs", "cancel", "job-7"}.
   std::vector<std::string> words;
@@ -21,32 +21,32 @@
   std::uint64_t expected_revision = 0;
   bool has_expected_revision = false;
   bool wants_json = false;
-  // For apply: answer only once every entry that is alive acts on it.
+  // For apply: whether to return only once every live entry uses the new
+  // declaration.
   bool wants_wait = false;
 };
 
-// One command of sumacctl.
+// The name, arguments and help text of one command of sumacctl.
 struct CommandInfo {
-  // The words that choose it, e.g. "jobs cancel".
+  // The words that select the command, e.g. "jobs cancel".
   std::string name;
-  // What follows them, e.g. "JOB"; each word is one argument, in brackets if it
-  // may be left out.
+  // The names of the arguments, e.g. "JOB"; optional arguments are in brackets.
   std::vector<std::string> arguments;
   std::string help;
 };
 
-// All commands, for --help and shell completion.
+// Returns all commands, for --help and shell completion.
 const std::vector<CommandInfo>& AllCommands();
 
-// Runs one command. kBadArgument when there is no such command or its arguments
-// don't fit.
+// Runs one command. Returns kBadArgument if there is no such command or the
+// number of its arguments is wrong.
 fleet::Answer RunCommand(OperatorClient& client, const Invocation& invocation);
 
-// The answer as people read it.
+// Formats the answer as text for people.
 std::string FormatAnswer(const Invocation& invocation,
                          const fleet::Answer& answer);
 
-// The answer as one JSON object, for scripts.
+// Formats the answer as one JSON object, for scripts.
 std::string FormatAnswerAsJson(const fleet::Answer& answer);
 
 }  // namespace sumac::ctl
--- a/utilities/sumacctl/operator_client.h
+++ b/utilities/sumacctl/operator_client.h
@@ -19,20 +19,20 @@
 
 namespace sumac::ctl {
 
-// Calls the operators' door of one process after the other until one answers.
-// Resends keep their request id, so that a command whose answer was lost is not
-// carried out twice.
+// Calls the operators' listeners of the processes one after the other until one
+// answers. Each attempt carries the same request id, so that a command whose
+// answer was lost is not executed twice.
 class OperatorClient {
  public:
-  // `addresses` are IP:PORT of operators' doors; one call takes at most
-  // `timeout` at each.
+  // `addresses` are IP:PORT of operators' listeners; `timeout` limits the call
+  // to each of them.
   OperatorClient(std::vector<std::string> addresses, Milliseconds timeout)
       : addresses(std::move(addresses)),
         timeout(timeout),
         io(kj::setupAsyncIo()) {}
 
-  // `make` builds the request and sends it; the answer is the first process's
-  // that gives one. kUnreachable when none did.
+  // Returns the answer of the first process that gives one, or kUnreachable if
+  // none does. `make` builds the request and sends it.
   template <typename MakeCall>
   fleet::Answer Call(MakeCall make) {
     std::string problems;
@@ -46,8 +46,8 @@
             });
         fleet::Answer answer =
             channel.Guard(this->timeout, kj::mv(call)).wait(this->io.waitScope);
-        // A process that reaches no leader may be cut off; another one may not
-        // be.
+        // A process that reaches no leader may be partitioned from it while
+        // another process is not, so the next address is tried.
         if (answer.code != ResultCode::kNoLeader ||
             address == this->addresses.back()) {
           return answer;
--- a/utilities/sumacctl/table.h
+++ b/utilities/sumacctl/table.h
@@ -9,18 +9,18 @@
 
 namespace sumac::ctl {
 
-// One column of a table: its heading and where in a row its value stands, as a
-// JSON pointer.
+// One column of a table: its heading and the JSON pointer of its value in a
+// row.
 struct Column {
   std::string heading;
   std::string pointer;
 };
 
-// Rows of JSON as a table with aligned columns, for people.
+// Formats rows of JSON as a table with aligned columns, for people.
 std::string FormatTable(const nlohmann::json& rows,
                         const std::vector<Column>& columns);
 
-// One decision in full, for people.
+// Formats one decision with all its inputs and alternatives, for people.
 std::string FormatDecision(const nlohmann::json& decision);
 
 }  // namespace sumac::ctl
