--- a/tests/stand_ins/caller_main.cc
+++ b/tests/stand_ins/caller_main.cc
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // A stand-in for callers: sends requests to entries at a fixed rate whether or
-// not answers come (open loop), checks each answer against its own request, and
-// prints what came back as one JSON line. With --keys every request is
-// non-repeatable, carries a key and may be resent.
+// not answers arrive (open loop), checks that each answer belongs to its
+// request, and prints the counts and latencies as one JSON line. With --keys
+// every request is non-repeatable, carries an idempotency key and may be
+// resent.
 
 #include <Poco/Exception.h>
 #include <Poco/Net/HTTPClientSession.h>
@@ -37,7 +38,7 @@
 using benchmarks::Microseconds;
 using CallClock = std::chrono::steady_clock;
 
-// What became of all requests.
+// The results and latencies of all requests.
 class Outcomes {
  public:
   void Add(int code, Microseconds latency, bool is_own) {
@@ -78,10 +79,11 @@
   std::vector<Microseconds> refusals;
 };
 
-// No connection, or one that broke; beside the numbered results.
+// The code for a connection that failed or broke; not one of the numbered
+// results.
 constexpr int kNoAnswer = -1;
 
-// What all callers share.
+// The options and results that all callers share.
 struct Load {
   std::vector<std::string> entries;
   std::string target;
@@ -98,12 +100,12 @@
   std::ofstream keys_file;
 };
 
-// One connection to each entry, used by one thread.
+// The caller of one thread, with one connection to each entry.
 class Caller {
  public:
   explicit Caller(Load& load) : load(load), sessions(load.entries.size()) {}
 
-  // Takes the next request when it is due, until all are sent.
+  // Sends the next request when it is due, until all are sent.
   void Run() {
     while (true) {
       const std::uint64_t number = this->load.next++;
@@ -128,8 +130,8 @@
     const std::size_t place = number % this->load.entries.size();
     int code = kNoAnswer;
     bool is_own = true;
-    // A caller whose entry does not answer asks another with the same key, as
-    // its balancer would.
+    // If an entry does not answer, the request goes to another one with the
+    // same key, as a load balancer would send it.
     for (std::size_t attempt = 0; attempt < 3 && code == kNoAnswer; ++attempt) {
       code = this->TryOnce((place + attempt) % this->load.entries.size(), body,
                            key, is_own);
--- a/tests/stand_ins/event_log.h
+++ b/tests/stand_ins/event_log.h
@@ -12,21 +12,20 @@
 
 namespace sumac::stand_ins {
 
-// A file of JSON lines that tells what one stand-in saw and when, for a check
-// of the whole history. All stand-ins run on one machine, so the wall clock
-// orders their lines.
+// A file of JSON lines that records the events of one stand-in with their
+// times, for a check of the whole history. All stand-ins run on one machine, so
+// the wall clock orders their lines.
 class EventLog {
  public:
-  // Appends to the file at `path`; an empty path makes a log that keeps
-  // nothing.
+  // Appends to the file at `path`; with an empty path, events are discarded.
   explicit EventLog(const std::string& path) {
     if (!path.empty()) {
       this->file.open(path, std::ios::app);
     }
   }
 
-  // Writes one line, dated `ago` before now, and flushes it: the process may be
-  // killed at any time.
+  // Writes one line with a time of `ago` before now. Flushes it, since the
+  // process may be killed at any time.
   void Add(nlohmann::json event, Milliseconds ago = Milliseconds(0)) {
     event["at"] = (this->clock.Now() - ago).time_since_epoch().count();
     const std::lock_guard lock(this->mutex);
--- a/tests/stand_ins/fault_proxy.cc
+++ b/tests/stand_ins/fault_proxy.cc
@@ -14,10 +14,10 @@
 namespace {
 
 constexpr std::size_t kPieceBytes = 64U << 10;
-// How far apart a held connection looks whether it may go on.
+// The interval at which held-back data is checked for release.
 constexpr Milliseconds kHoldStep{10};
 
-// Closing the socket from now on sends a reset in place of an orderly end.
+// Makes the later close of this socket send a reset instead of a regular end.
 void CloseWithReset(kj::AsyncIoStream& stream) {
   const linger immediately{.l_onoff = 1, .l_linger = 0};
   stream.setsockopt(SOL_SOCKET, SO_LINGER, &immediately, sizeof(immediately));
@@ -173,7 +173,8 @@
 }
 
 void FaultProxy::taskFailed(kj::Exception&& error) {
-  // Resets and targets that are down are what this program is for.
+  // Resets and unreachable targets are expected here, so this is a warning
+  // only.
   KJ_LOG(WARNING, error.getDescription());
 }
 
--- a/tests/stand_ins/fault_proxy.h
+++ b/tests/stand_ins/fault_proxy.h
@@ -15,8 +15,8 @@
 
 namespace sumac::stand_ins {
 
-// Passes the connections that it takes at one address on to another, and harms
-// them as it is told.
+// A TCP proxy that forwards connections from one address to another and injects
+// faults into them.
 class FaultProxy : private kj::TaskSet::ErrorHandler {
  public:
   FaultProxy(kj::Network& network,
@@ -24,23 +24,28 @@
              std::string listen_address,
              std::string target_address);
 
-  // Begins to take connections; the promise fails if the address is taken.
+  // Starts to accept connections; the promise fails if the address is in use.
   kj::Promise<void> Listen();
 
-  // Does what `fault` names: "pass" ends all faults but silence; "delay" holds
-  // every piece of data back for `time`; "reset" breaks the connections that
-  // are open; "silence" lets nothing through on them any more while new ones
-  // work; "cut-to" and "cut-from" hold back what goes to or comes from the
-  // target until the next "pass"; "refuse" takes no new connections until then.
+  // Injects or ends a fault:
+  // - "pass" ends all faults except "silence".
+  // - "delay" delays every chunk of data by `time`.
+  // - "reset" resets the open connections.
+  // - "silence" blocks all data on the open connections for good; new
+  //   connections work.
+  // - "cut-to" and "cut-from" hold back data to and from the target until the
+  //   next "pass".
+  // - "refuse" refuses new connections until the next "pass".
   absl::Status Apply(const std::string& fault, Milliseconds time);
 
  private:
-  // One connection with its way on; owned by the promise that carries it.
+  // A client's connection and the connection to the target that belongs to it;
+  // owned by the promise that forwards their data.
   struct Connection {
     kj::Own<kj::AsyncIoStream> near;
     kj::Own<kj::AsyncIoStream> far;
     bool is_silent = false;
-    // Ends the carrying at once.
+    // Ends the forwarding at once.
     kj::Own<kj::PromiseFulfiller<void>> reset;
   };
 
@@ -48,9 +53,9 @@
   kj::Promise<void> AcceptLoop();
   kj::Promise<void> Serve(kj::Own<kj::AsyncIoStream> near);
   kj::Promise<void> Carry(kj::Own<Connection> connection);
-  // Pumps; when that fails the other direction ends as well.
+  // Forwards data in one direction; an error ends the other direction too.
   kj::Promise<void> PumpOrReset(Connection& connection, bool is_to_target);
-  // Passes data on in one direction until its source ends.
+  // Forwards data in one direction until the end of its source.
   kj::Promise<void> Pump(Connection& connection, bool is_to_target);
   kj::Promise<void> AwaitPassage(const Connection& connection,
                                  bool is_to_target);
@@ -66,7 +71,7 @@
   Milliseconds delay{0};
   bool is_cut_to = false;
   bool is_cut_from = false;
-  // Nothing while connections are refused.
+  // Null while connections are refused.
   kj::Own<kj::ConnectionReceiver> receiver;
   std::uint64_t next_connection = 0;
   std::map<std::uint64_t, Connection*> connections;
--- a/tests/stand_ins/fault_proxy_main.cc
+++ b/tests/stand_ins/fault_proxy_main.cc
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-// A proxy for tests with real processes: passes connections on between pairs of
-// addresses and harms them as `POST /LINK/FAULT/MILLISECONDS` on its own door
-// asks, where LINK counts the pairs from 0.
+// A proxy for tests with real processes: forwards connections between pairs of
+// addresses. `POST /LINK/FAULT/MILLISECONDS` to its own listener injects a
+// fault, where LINK is the index of the pair, from 0.
 #include <kj/async-io.h>
 #include <signal.h>
 
@@ -21,7 +21,8 @@
 using Links = std::vector<std::unique_ptr<FaultProxy>>;
 
 constexpr std::uint32_t kBadRequest = 400;
-// An empty part before the first slash, the link, the fault and the time.
+// The parts of a path: an empty one before the first slash, the link, the fault
+// and the time.
 constexpr std::size_t kPathParts = 4;
 
 sumac::http::DoorReply Apply(const Links& links, const std::string& path) {
--- a/tests/stand_ins/job_caller_main.cc
+++ b/tests/stand_ins/job_caller_main.cc
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A stand-in for callers that submit jobs of steps, ask how far they are and
-// cancel some, over connections that each thread keeps to each entry for as
-// long as the entry does. Every call and its answer go to a log, for a check of
-// the whole history. Ends by itself.
+// A stand-in for callers that submit jobs of steps, query their states and
+// cancel some of them. Each thread keeps one connection to each entry open for
+// as long as the entry does. Every call and its answer are logged, for a check
+// of the whole history. Ends by itself.
 
 #include <Poco/Exception.h>
 #include <Poco/Net/HTTPClientSession.h>
@@ -35,18 +35,18 @@
 namespace options = boost::program_options;
 
 constexpr const char* kDeadlineHeader = "Sumacstack-Deadline-Ms";
-// How long a caller gives the system, and how long it waits itself: an entry
-// that is up must answer before that.
+// The deadline that a caller sends, and the maximum time that it waits for an
+// answer; a live entry must answer before that.
 constexpr Milliseconds kDeadline{3'000};
 constexpr Milliseconds kLongestWait{5'000};
-// A job is asked for so often after it was first shown as ended, since an older
-// answer could come from another entry.
+// The number of answers that show a job as ended after which a caller stops
+// asking; more than one, since another entry could still show an older state.
 constexpr int kAskedAfterEnd = 4;
-// A submission that got no clear answer is sent again so often.
+// The maximum number of attempts to submit a job that got no clear answer.
 constexpr int kMostAttempts = 6;
 constexpr Milliseconds kLongestPause{400};
 
-// What all threads share.
+// The options and the log that all threads share.
 struct Load {
   std::vector<std::string> entries;
   std::string host;
@@ -61,7 +61,7 @@
   explicit Load(const std::string& path) : log(path) {}
 };
 
-// One thread's callers.
+// The callers of one thread.
 class JobCaller {
  public:
   JobCaller(Load& load, std::uint64_t number)
@@ -70,7 +70,7 @@
         sessions(load.entries.size()),
         is_lasting(number < 2) {}
 
-  // Carries one job after the other from its submission to its end.
+  // Submits one job after the other and follows each to its end.
   void Run() {
     while (this->load.clock.SteadyNow() < this->load.submits_until) {
       this->RunJob();
@@ -104,7 +104,7 @@
     }
   }
 
-  // Whether the job was accepted, or may have been.
+  // Submits a job; returns whether it was accepted or may have been.
   bool Submit(const std::string& id) {
     const nlohmann::json job = this->NewJob();
     this->load.log.Add({{"event", "job"}, {"id", id}, {"steps", job["steps"]}});
@@ -136,12 +136,12 @@
   }
 
   struct Answer {
-    // 0 for no whole answer.
+    // The HTTP status, or 0 if no complete answer came.
     int status = 0;
     std::string state;
   };
 
-  // Calls any entry and logs what came.
+  // Calls an entry chosen at random and logs the outcome.
   Answer Call(const std::string& method,
               const std::string& event,
               const std::string& id,
@@ -214,7 +214,7 @@
   Load& load;
   std::mt19937_64 random;
   std::vector<std::unique_ptr<Poco::Net::HTTPClientSession>> sessions;
-  // Its jobs last until the end.
+  // Whether its jobs last until they are cancelled at the end of the load.
   bool is_lasting;
 };
 
--- a/tests/stand_ins/kernel_connections.h
+++ b/tests/stand_ins/kernel_connections.h
@@ -6,12 +6,12 @@
 
 namespace sumac::stand_ins {
 
-// The timer that a connection without anything unacknowledged has only if it is
-// probed.
+// The keepalive timer in a line of /proc/net/tcp. A connection without
+// unacknowledged data has it only if the connection is probed.
 inline constexpr const char* kProbeTimer = "02:";
 
-// The kernel's line about this side of an open connection, whose own address is
-// given as the kernel writes it; empty if there is none.
+// Returns the line of /proc/net/tcp for an established connection by its local
+// address, which is given in the kernel's notation. Empty if there is none.
 std::string FindConnection(const std::string& kernel_address);
 
 }  // namespace sumac::stand_ins
--- a/tests/stand_ins/minion.h
+++ b/tests/stand_ins/minion.h
@@ -10,26 +10,27 @@
 
 namespace sumac::stand_ins {
 
-// What a minion does wrong, once per count, for the tests.
+// A fault that a test makes a minion commit; each occurrence uses up one of the
+// requested count.
 enum class MinionFault {
   kNone,
   // Runs the request and closes the connection without an answer.
   kCloseAfterRun,
-  // Sends half of the declared body.
+  // Sends half of the body that Content-Length declares, and closes.
   kTruncate,
-  // Answers under another request's number.
+  // Answers with the number of another request.
   kMismatch,
-  // Declares more than is allowed.
+  // Sends an answer that is larger than allowed.
   kOversize,
-  // Answers later than any deadline.
+  // Answers after any deadline.
   kLate,
-  // Declares no length and ends by closing.
+  // Sends no Content-Length and closes the connection after the body.
   kNoLength,
 };
 
 // A stand-in for a minion: answers POST /PATH after `work_time` with the body
-// {"minion":..., "run":N,"echo":...}, declines what exceeds its slots, and
-// counts what it ran.
+// {"minion":..., "run":N,"echo":...}, declines requests beyond its slots, and
+// counts the requests that it ran.
 class Minion final : public Target {
  public:
   Minion(TargetOptions options, Milliseconds work_time);
@@ -54,7 +55,7 @@
   std::atomic<std::int64_t> work_ms;
   std::atomic<std::uint32_t> in_flight = 0;
   std::mutex counts_mutex;
-  // How often each body was run; bodies are the tests' own keys.
+  // The number of runs by request body; tests use bodies as keys.
   std::map<std::string, std::uint64_t> runs;
   std::uint64_t declined = 0;
   std::uint64_t cut_by_reboot = 0;
--- a/tests/stand_ins/platform_main.cc
+++ b/tests/stand_ins/platform_main.cc
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A stand-in for the platform: takes operations as docs/PROTOCOLS.md describes,
-// reboots the stand-in targets that registered, and says how far each operation
-// is. Ends on SIGTERM.
+// A stand-in for the platform: accepts operations as docs/PROTOCOLS.md
+// describes, reboots the stand-in targets that registered, and reports the
+// progress of each operation. Ends on SIGTERM.
 
 #include <signal.h>
 
@@ -24,7 +24,7 @@
 constexpr std::uint64_t kMostBodyBytes = 64U << 10;
 constexpr sumac::Milliseconds kCallTimeout{1'000};
 
-// What the platform knows.
+// The platform's records of instances and operations.
 class PlatformState {
  public:
   void Register(const nlohmann::json& body) {
@@ -37,7 +37,7 @@
     this->progress[body.value("operation", "")] = "done";
   }
 
-  // Begins an operation the first time and tells how far it is.
+  // Begins an operation at its first request, and returns its progress.
   nlohmann::json Operate(const nlohmann::json& body) {
     const std::string operation = body.value("operation", "");
     std::string address;
--- a/tests/stand_ins/relay.h
+++ b/tests/stand_ins/relay.h
@@ -10,19 +10,20 @@
 
 namespace sumac::stand_ins {
 
-// A path on loopback to an address, that can go silent: what is sent over a
-// silent connection is lost, and neither side sees it closed. New ones work.
+// A TCP proxy on loopback that can silence its connections: data sent over a
+// silent connection is lost, and neither side sees the connection closed. New
+// connections work.
 class Relay : private kj::TaskSet::ErrorHandler {
  public:
   Relay(kj::AsyncIoContext& io, std::string target);
 
-  // Where to connect to.
+  // Returns the address that clients connect to.
   const std::string& address() const { return this->own_address; }
 
-  // All connections that are open now go silent for good.
+  // Silences all connections that are open now, for good.
   void SilenceOpen() { this->silent_up_to = this->accepted_count; }
 
-  // Connections so far, and those that were not closed yet.
+  // Return the number of connections accepted so far, and of those still open.
   std::size_t accepted() const { return this->accepted_count; }
   std::size_t open() const { return this->open_count; }
 
@@ -30,7 +31,7 @@
   struct Connection {
     kj::Own<kj::AsyncIoStream> near_side;
     kj::Own<kj::AsyncIoStream> far_side;
-    // Counted from 1 in the order of their beginning.
+    // Connections are numbered from 1 in the order of their acceptance.
     std::size_t number = 0;
   };
 
--- a/tests/stand_ins/soak_checker_main.cc
+++ b/tests/stand_ins/soak_checker_main.cc
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Checks what the stand-ins of a soak logged against the promises of the
-// system and prints each case that breaks one, then a line of counts. Ends with
-// 1 if any does.
+// Checks the logs of a soak test's stand-ins against the guarantees of the
+// system. Prints each violation, then a line of counts. Exits with 1 if there
+// is any violation.
 
 #include <fstream>
 #include <iostream>
@@ -17,14 +17,15 @@
 
 using sumac::Milliseconds;
 
-// Reads all lines of a file that were written whole and are old enough.
+// Reads the events of a file up to the time `until`, without a last line that
+// is still incomplete. Returns false if a line is not an event.
 bool ReadEvents(const std::string& path,
                 sumac::WallTime until,
                 std::vector<nlohmann::json>& events) {
   std::ifstream file(path);
   std::string line;
   while (std::getline(file, line)) {
-    // A line without its end is still being written.
+    // A line without a line feed is still being written.
     if (file.eof()) {
       return true;
     }
--- a/tests/stand_ins/soak_checks.cc
+++ b/tests/stand_ins/soak_checks.cc
@@ -18,18 +18,19 @@
 constexpr int kTooMany = 429;
 constexpr int kUnavailable = 503;
 
-// The budget that the stand-in callers give each lasting step.
+// The disruption budget that the stand-in callers give each lasting step, in
+// tasks.
 constexpr std::int64_t kBudget = 1;
-// The platform's notice_ms, contact_ms and visible_ms in docs/PROTOCOLS.md's
-// sense: a task counts as away for any cause after the first; faults of a link
-// excuse orders over it for the second; an accepted job is known everywhere
-// after the third.
+// The platform's notice_ms, contact_ms and visible_ms as docs/PROTOCOLS.md
+// defines them: after kNotice a missing task counts as away for any cause; a
+// fault of a link excuses orders over it for kContact; an accepted job is known
+// everywhere after kVisible.
 constexpr Milliseconds kNotice{4'500};
 constexpr Milliseconds kContact{3'000};
 constexpr Milliseconds kVisible{3'000};
-// A start may be under way while another controller learns of the end.
+// A start order may be in flight while another controller learns of the end.
 constexpr Milliseconds kDoneSlack{1'000};
-// No order lives longer than a lease of 6 s, and faults last up to 4 s.
+// No order is valid for longer than a lease of 6 s, and faults last up to 4 s.
 constexpr Milliseconds kCancelSlack{10'000};
 
 std::string Describe(const SeenRun& run) {
@@ -47,7 +48,7 @@
 
 using RunsByTask = std::map<jobs::TaskId, std::vector<const SeenRun*>>;
 
-// The runs of each task by the time at which they began.
+// Groups the runs by task, in the order of their starts.
 RunsByTask GroupByTask(const SoakHistory& history) {
   RunsByTask groups;
   for (const SeenRun& run : history.runs()) {
@@ -81,7 +82,8 @@
   return found == job.shows.end() ? nullptr : &*found;
 }
 
-// How far a job is that is shown in `state`; nothing for no such state.
+// Returns the rank of a job's state in the order of progress, or nullopt for an
+// unknown state.
 std::optional<int> RankOf(const std::string& state) {
   if (state == "queued") {
     return 0;
@@ -95,8 +97,8 @@
   return std::nullopt;
 }
 
-// What is wrong with showing a job as in `later` once it was shown as in
-// `earlier`; empty for nothing.
+// Returns the kind of violation if a job that was shown as in `earlier` must
+// not be shown as in `later` afterwards; empty if it may.
 std::string_view FindStep(const SeenCall& earlier, const SeenCall& later) {
   const auto earlier_rank = RankOf(earlier.state);
   const auto later_rank = RankOf(later.state);
@@ -109,7 +111,7 @@
   return *later_rank < *earlier_rank ? "queued again" : "";
 }
 
-// Tells the first case of each kind.
+// Reports the first violation of each kind.
 void CheckShownOrder(const std::string& id, const SeenJob& job, Texts& broken) {
   std::set<std::string_view> kinds;
   for (auto later = job.shows.begin(); later != job.shows.end(); ++later) {
@@ -154,7 +156,7 @@
   }
 }
 
-// The tasks of `job` that no run ended as done by `time`.
+// Counts the tasks of `job` of which no run ended as done by `time`.
 std::int64_t CountUnfinished(const std::string& id,
                              const SeenJob& job,
                              const RunsByTask& runs,
@@ -177,8 +179,8 @@
   return unfinished;
 }
 
-// Whether the task of `runs` was taken away by a stop or has been missing for
-// long. One that never began is not: nobody took it away.
+// Returns whether the last run of a task was stopped, or ended at least kNotice
+// before `time`. A task that never began is not away, since no order ended it.
 bool IsAway(const std::vector<const SeenRun*>& runs, WallTime time) {
   const SeenRun* last = nullptr;
   for (const SeenRun* run : runs) {
--- a/tests/stand_ins/soak_checks.h
+++ b/tests/stand_ins/soak_checks.h
@@ -9,30 +9,31 @@
 
 namespace sumac::stand_ins {
 
-// Each of these tells, one text for each case, where a history breaks one
-// promise of the system.
+// Each of these functions checks one guarantee of the system and returns one
+// text for each violation in a history.
 
 // No task runs twice at once, and none starts after an end that the system
 // acknowledged as done.
 std::vector<std::string> FindDoubleRuns(const SoakHistory& history);
 
-// Nothing starts for a job that nobody sent, that was refused at every attempt,
-// that was shown as done, or that was cancelled.
+// No task starts of a job that no caller submitted, that was refused at every
+// attempt, that was shown as done, or that was cancelled.
 std::vector<std::string> FindUnaskedRuns(const SoakHistory& history);
 
-// Answers are whole; an accepted job is known, never shown older than before,
-// and shown as done only once all its tasks have ended so.
+// Answers are complete; an accepted job is known, its shown state never goes
+// back, and it is shown as done only once all its tasks ended as done.
 std::vector<std::string> FindWrongAnswers(const SoakHistory& history);
 
-// No stop takes a lasting task away while as many others of its step are away
-// as its budget allows.
+// No stop order ends a lasting task while as many other tasks of its step are
+// away as the disruption budget allows.
 std::vector<std::string> FindBudgetOverruns(const SoakHistory& history);
 
-// What must hold once all faults are over and callers stopped asking: accepted
-// jobs that nobody cancelled are done.
+// Once all faults are over and callers have stopped asking, accepted jobs that
+// were not cancelled are done.
 std::vector<std::string> FindUnfinishedJobs(const SoakHistory& history);
 
-// All of the above but the last, and processes that ended by themselves.
+// Returns the violations of all guarantees above except the last, and the
+// processes that ended by themselves.
 std::vector<std::string> FindBrokenPromises(const SoakHistory& history);
 
 }  // namespace sumac::stand_ins
--- a/tests/stand_ins/soak_checks_test.cc
+++ b/tests/stand_ins/soak_checks_test.cc
@@ -54,7 +54,7 @@
           {"number", number}};
 }
 
-// What workers or the soak tell about one of its names.
+// An event of a worker or of the soak test that has one name as its only field.
 json Note(std::int64_t at,
           const std::string& event,
           const std::string& key,
@@ -78,7 +78,7 @@
           {"status", status}, {"state", state}, {"error", error}};
 }
 
-// One job of two tasks, done on two workers after one of them died.
+// One job of two tasks on two workers, done after one of the workers died.
 std::vector<json> SoundHistory() {
   return {Life(0, "a"),
           Life(0, "b"),
@@ -106,7 +106,8 @@
   return broken;
 }
 
-// Finds one case, whose text begins with `text`, once `event` has happened too.
+// Checks that adding `event` to `events` causes exactly one violation, whose
+// text begins with `text`.
 void ExpectOne(std::vector<json> events, json event, const std::string& text) {
   events.push_back(std::move(event));
   const std::vector<std::string> broken = Find(std::move(events));
@@ -118,8 +119,9 @@
   EXPECT_EQ(Find(SoundHistory()), std::vector<std::string>());
 }
 
-// The soak notes a kill just before it kills. A task that ended as done in
-// between was taken for lost, and its job for shown done too early.
+// The soak test logs a kill just before it kills the process. Guards against
+// considering a task lost that ended as done in between, which reported its job
+// as shown done too early.
 TEST(SoakChecks, KnowsAnEndBetweenTheNoteOfAKillAndTheKill) {
   std::vector<json> events = SoundHistory();
   events.push_back(Note(3'198, "killed", "process", "process-of-b"));
@@ -198,7 +200,7 @@
             "c1 ended by itself");
 }
 
-// Three lasting tasks on three workers, of which the first is stopped.
+// Three lasting tasks on three workers; the first task is stopped.
 std::vector<json> LastingHistory() {
   return {Life(0, "a"),
           Life(0, "b"),
--- a/tests/stand_ins/soak_history.cc
+++ b/tests/stand_ins/soak_history.cc
@@ -60,7 +60,8 @@
               .worker = event.at("worker"),
               .is_lasting = event.at("lasting"),
               .began_at = at};
-  // The kill of a process is noted just before it takes place.
+  // The kill of a process is logged just before it takes place, so a start may
+  // come between the two.
   if (life.gone_at) {
     run.ended_at = at;
     run.cause = "died";
@@ -89,7 +90,7 @@
   const std::uint64_t last = event.at("number");
   while (!life.ended.empty() && life.ended.begin()->first <= last) {
     SeenRun& run = this->all_runs[life.ended.begin()->second];
-    // A lease that lapsed meanwhile lets the system take the run for lost.
+    // If the lease expired meanwhile, the system may consider the run lost.
     if (!life.lapsed_at || *life.lapsed_at < run.ended_at) {
       run.acknowledged_at = at;
     }
@@ -102,8 +103,8 @@
     this->all_runs[index].ended_at = at;
     this->all_runs[index].cause = "died";
   }
-  // Its runs stay known: one may yet end by itself between the note of a kill
-  // and the kill.
+  // The runs are not removed: one may still end by itself between the log entry
+  // of a kill and the kill.
   life.gone_at = at;
 }
 
--- a/tests/stand_ins/soak_history.h
+++ b/tests/stand_ins/soak_history.h
@@ -15,34 +15,36 @@
 
 namespace sumac::stand_ins {
 
-// One run of a task, as the worker saw it.
+// One run of a task, as its worker logged it.
 struct SeenRun {
   jobs::TaskId task;
   std::uint64_t number = 0;
   std::string worker;
   bool is_lasting = false;
   WallTime began_at;
-  // The latest possible time while it has not ended.
+  // The maximum time while the run has not ended.
   WallTime ended_at = WallTime::max();
-  // How it ended; "died" with its worker.
+  // The cause of the end; "died" if the run ended with its worker.
   std::string cause;
-  // When the system acknowledged the end, unless the lease lapsed meanwhile.
+  // The time at which the system acknowledged the end, unless the lease expired
+  // meanwhile.
   std::optional<WallTime> acknowledged_at;
 };
 
-// One life of a worker.
+// One incarnation of a worker.
 struct SeenLife {
   std::string process;
   std::string address;
   std::optional<WallTime> leaves_at;
   std::optional<WallTime> lapsed_at;
   std::optional<WallTime> gone_at;
-  // Its runs by the task, and by the number of their end.
+  // Indexes into the runs of the history: of running ones by their task, and of
+  // ended but unacknowledged ones by the number of the end.
   std::map<jobs::TaskId, std::size_t> running;
   std::map<std::uint64_t, std::size_t> ended;
 };
 
-// One call of a caller with its answer.
+// One call by a caller, and its answer.
 struct SeenCall {
   WallTime sent_at;
   WallTime answered_at;
@@ -51,7 +53,7 @@
   std::string error;
 };
 
-// One job, as callers saw it.
+// One job, as callers logged it.
 struct SeenJob {
   std::vector<std::uint32_t> counts;
   std::vector<SeenCall> submits;
@@ -59,11 +61,12 @@
   std::vector<SeenCall> cancels;
 };
 
-// What workers and callers saw in one soak, put together from their events.
+// The history of one soak test, assembled from the events that workers and
+// callers logged.
 class SoakHistory {
  public:
-  // Reads events of any order; lines that can't be read are an error of the
-  // soak itself and reported as such.
+  // Sorts the events by time and applies them; they may be in any order. Throws
+  // on an event that can't be read, which is an error of the soak test itself.
   explicit SoakHistory(std::vector<nlohmann::json> events);
 
   const std::vector<SeenRun>& runs() const { return this->all_runs; }
@@ -71,11 +74,12 @@
     return this->all_lives;
   }
   const std::map<std::string, SeenJob>& jobs() const { return this->all_jobs; }
-  // Times at which the connections to an address were harmed.
+  // The times at which faults were injected into the connections to each
+  // address.
   const std::multimap<std::string, WallTime>& harms() const {
     return this->all_harms;
   }
-  // Processes of the product that ended without being told to.
+  // The processes of the product that ended without being stopped.
   const std::vector<std::string>& own_ends() const {
     return this->all_own_ends;
   }
--- a/tests/stand_ins/suspendable_clock.cc
+++ b/tests/stand_ins/suspendable_clock.cc
@@ -20,7 +20,7 @@
 
 }  // namespace sumac
 
-// Takes the place of the C library's function in this program.
+// Replaces the C library's function in this program.
 extern "C" int clock_gettime(clockid_t clock, std::timespec* reading) noexcept {
   constexpr std::int64_t kSecond = 1'000;
   constexpr std::int64_t kNanoseconds = 1'000'000;
--- a/tests/stand_ins/suspendable_clock.h
+++ b/tests/stand_ins/suspendable_clock.h
@@ -6,9 +6,9 @@
 
 namespace sumac {
 
-// Lets this program's machine seem to have been suspended for so long: the
-// clocks that count that time jump, and the others go on. For programs that are
-// linked with suspendable_clock.cc.
+// Simulates a suspension of the machine for this program: the clocks that
+// include suspended time jump ahead by `time`, and the others are unchanged.
+// For programs that are linked with suspendable_clock.cc.
 void PassSuspended(Milliseconds time);
 
 }  // namespace sumac
--- a/tests/stand_ins/target.cc
+++ b/tests/stand_ins/target.cc
@@ -126,7 +126,7 @@
     return;
   }
   if (this->is_down) {
-    // Nobody is there: the connection ends without an answer.
+    // A target that is down closes the connection without an answer.
     dynamic_cast<Poco::Net::HTTPServerRequestImpl&>(request)
         .socket()
         .shutdown();
--- a/tests/stand_ins/target.h
+++ b/tests/stand_ins/target.h
@@ -19,13 +19,13 @@
 
 namespace sumac::stand_ins {
 
-// What all stand-in targets have in common.
+// The options that all stand-in targets have in common.
 struct TargetOptions {
   fleet::TargetDescription description;
-  // The targets' doors of the entries, as IP:PORT; the next is tried when one
-  // doesn't answer.
+  // The entries' listeners for targets, as IP:PORT; if one doesn't answer, the
+  // next is tried.
   std::vector<std::string> entries;
-  // The platform's door; empty for none.
+  // The platform's address; empty for none.
   std::string platform;
   Milliseconds reboot_time{500};
 };
@@ -39,7 +39,7 @@
   Target(const Target&) = delete;
   Target& operator=(const Target&) = delete;
 
-  // Opens the door and announces until Stop.
+  // Listens and sends announcements until Stop().
   void Start();
   void Stop();
 
@@ -48,18 +48,19 @@
   }
 
  protected:
-  // One request that is not for the platform's or the control path.
+  // Handles a request to any path but the platform's and the control path.
   virtual void Handle(Poco::Net::HTTPServerRequest& request,
                       Poco::Net::HTTPServerResponse& response) = 0;
-  // POST /control?NAME=VALUE sets a fault; GET /control gives counts as JSON.
+  // Handles POST /control?NAME=VALUE, which sets a fault, and GET /control,
+  // which returns counts as JSON.
   virtual void HandleControl(Poco::Net::HTTPServerRequest& request,
                              Poco::Net::HTTPServerResponse& response) = 0;
-  // What goes into the next renewal.
+  // Adds this kind of target's state to the next renewal.
   virtual void FillAnnouncement(fleet::Announcement& announcement) = 0;
-  // The answer to a renewal that was sent at `sent_at`.
+  // Applies the orders in the answer to a renewal that was sent at `sent_at`.
   virtual void TakeOrders(const fleet::TargetOrders& orders,
                           SteadyTime sent_at) = 0;
-  // All that the instance forgets when it is rebooted.
+  // Discards all state that a reboot of the instance loses.
   virtual void Forget() = 0;
 
   bool is_draining() const { return this->draining; }
@@ -83,7 +84,8 @@
   std::condition_variable wake;
   std::atomic<bool> is_stopping = false;
   std::atomic<bool> is_down = false;
-  // Answers requests but announces nothing: a cut towards the system.
+  // Whether it sends no announcements but still answers requests: a network cut
+  // in the direction to the system.
   std::atomic<bool> is_mute = false;
   std::atomic<bool> is_leaving = false;
   std::atomic<bool> draining = false;
@@ -94,17 +96,18 @@
   Milliseconds renew_after{0};
 };
 
-// One HTTP call; the body of the answer, or an error for anything but 200.
+// Makes one HTTP call and returns the body of the answer, or an error for any
+// status but 200.
 absl::StatusOr<std::string> CallHttp(const std::string& address,
                                      const std::string& method,
                                      const std::string& path,
                                      const std::string& body,
                                      Milliseconds timeout);
 
-// Runs until SIGTERM or SIGINT.
+// Blocks until SIGTERM or SIGINT.
 void WaitForStop();
 
-// The value of NAME in a request's query, or "".
+// Returns the value of the parameter `name` in a request's query, or "".
 std::string QueryValue(const Poco::Net::HTTPServerRequest& request,
                        const std::string& name);
 
--- a/tests/stand_ins/task_worker.cc
+++ b/tests/stand_ins/task_worker.cc
@@ -14,15 +14,16 @@
 constexpr std::uint32_t kMisdirected = 421;
 constexpr std::uint32_t kUnavailable = 503;
 constexpr const char* kExpectedWorkerHeader = "Sumacstack-Expected-Instance";
-// A job whose text this is has tasks that last until they are stopped.
+// The spec text of jobs whose tasks last until they are stopped.
 constexpr const char* kLastingSpec = "lasting";
 constexpr Milliseconds kLastingWork{3'600'000};
-// A job whose text this is has tasks that crash the workers that start them: so
-// long after the start, and for so long.
+// The spec text of jobs whose tasks crash the worker that starts them.
 constexpr const char* kCrashingSpec = "crashing";
+// The time from the start of such a task to the crash, and the time that the
+// worker is down afterwards.
 constexpr Milliseconds kCrashDelay{10};
 constexpr Milliseconds kRestartTime{700};
-// How far apart leases and ends are looked at.
+// The interval at which leases and ends are checked.
 constexpr Milliseconds kTickInterval{10};
 constexpr Milliseconds kAnnounceInterval{500};
 constexpr Milliseconds kHoldStep{5};
@@ -98,7 +99,7 @@
       {{"event", "leaves"}, {"worker", this->settings.description.id.value()}});
   return this->timer.afterDelay(ToKj(this->settings.leave_time))
       .then([this] {
-        // Nothing may run here once the system can know that it has gone.
+        // No task may still run here once the system can learn of the removal.
         this->Tick(this->clock.SteadyNow());
         this->worker.Crash();
         this->log.Add({{"event", "gone"},
@@ -141,8 +142,8 @@
       late);
 }
 
-// A process that was paused notices late what ended meanwhile, so ends are
-// dated by when they were due.
+// A process that was paused detects late which runs ended meanwhile, so ends
+// are logged with the times at which they were due.
 void TaskWorker::LogEnds(
     SteadyTime now,
     const std::map<jobs::TaskId, scheduler::FakeWorker::Running>& earlier) {
@@ -329,7 +330,8 @@
   return this->OrderReply(answer);
 }
 
-// Answers once a run has ended, or the time to wait is over.
+// Answers once a run has ended or the time to wait is over. `asked_life` is the
+// incarnation that received the call; another one answers "unavailable".
 kj::Promise<http::DoorReply> TaskWorker::Hold(nlohmann::json body,
                                               SteadyTime until,
                                               int asked_life) {
--- a/tests/stand_ins/task_worker.h
+++ b/tests/stand_ins/task_worker.h
@@ -20,27 +20,30 @@
 
 namespace sumac::stand_ins {
 
-// One worker that speaks the platform's calls over real sockets: it announces
-// itself, takes starts, stops and renewals, and runs tasks by waiting.
+// A worker that implements the platform's calls over real sockets: it announces
+// itself, executes start, stop and renewal orders, and simulates tasks by
+// waiting.
 class TaskWorker {
  public:
   struct Settings {
     jobs::Worker description;
-    // Where controllers take announcements.
+    // The controllers' addresses for announcements.
     std::vector<std::string> controls;
-    // Where it listens, when it announces the address of a proxy instead.
+    // The address to listen at if the announced one is a proxy's; empty to
+    // listen at the announced address.
     std::string listen_address;
-    // The process that it lives in, for the log.
+    // The name of this process, for the log.
     std::string process;
-    // What its clock shows when the machine's steady clock shows zero.
+    // The time of the worker's clock when the machine's steady clock is at
+    // zero.
     Milliseconds clock_offset{5'000};
-    // How long it stays after it announced that it will leave.
+    // The time between announcing that it leaves and its removal.
     Milliseconds leave_time{0};
-    // How long each task works.
+    // The duration of each task.
     Milliseconds work{200};
   };
 
-  // What happens there goes to `log`, which must outlive it.
+  // Logs its events to `log`, which must outlive the worker.
   TaskWorker(kj::Network& network,
              kj::Timer& timer,
              Settings settings,
@@ -49,11 +52,11 @@
   // Listens and announces until the process ends.
   kj::Promise<void> Run();
 
-  // Announces that it will leave, and takes itself off the list once the
-  // controllers had time to move its tasks.
+  // Announces that the worker leaves, and removes it from the list of instances
+  // after `leave_time`, in which the controllers can move its tasks.
   kj::Promise<void> Leave();
 
-  // While it does, what is started there never gets on.
+  // Sets whether runs on this worker are stalled, that is, make no progress.
   void set_stands_still(bool stands_still) {
     this->worker.stalls_runs = stands_still;
   }
@@ -68,23 +71,23 @@
                                     int asked_life);
   http::DoorReply Start(const nlohmann::json& body);
   http::DoorReply Stop(const nlohmann::json& body);
-  // All that runs there is lost; after a while another life begins at its
-  // address. Only for a worker that does not tell its start: the connections of
-  // one that does would have to end with it.
+  // Loses all runs; after kRestartTime another incarnation begins at the same
+  // address. Only for a worker that does not report its start time: the
+  // connections of one that does would have to end with its incarnation.
   kj::Promise<void> Crash();
   void BeginNextLife();
   http::DoorReply OrderReply(const scheduler::OrderAnswer& answer) const;
   kj::Promise<void> AnnounceLoop();
   kj::Promise<void> TickLoop();
-  // Lets time pass there and logs what ended meanwhile.
+  // Advances the worker to `now` and logs the runs that ended meanwhile.
   void Tick(SteadyTime now);
   void LogLapse(SteadyTime now);
   void LogEnds(
       SteadyTime now,
       const std::map<jobs::TaskId, scheduler::FakeWorker::Running>& earlier);
   std::string Announcement();
-  // As it is known on the wire; a worker that tells its start keeps its name
-  // over its lives.
+  // Returns the name on the wire; a worker that reports its start time keeps
+  // its name over its incarnations.
   const std::string& Name() const;
   bool tells_start() const {
     return this->settings.description.has_start_time();
@@ -104,7 +107,7 @@
   std::size_t next_control = 0;
   std::uint64_t sequence = 0;
   bool is_leaving = false;
-  // The last end, acknowledgement and lease end that are in the log.
+  // The last end, acknowledgement and lease expiry that were logged.
   std::uint64_t logged_end = 0;
   std::uint64_t logged_acknowledgement = 0;
   scheduler::WorkerTime logged_lapse;
--- a/tests/stand_ins/task_workers_main.cc
+++ b/tests/stand_ins/task_workers_main.cc
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Workers that run tasks, in one process, for tests with real processes.
+// Runs a number of stand-in workers for tasks in one process, for tests with
+// real processes.
 #include <kj/async-io.h>
 #include <kj/async-unix.h>
 #include <signal.h>
@@ -34,7 +35,8 @@
 
 using Workers = std::vector<std::unique_ptr<sumac::stand_ins::TaskWorker>>;
 
-// Lets all workers stand still, or work again, at each `signal_number`.
+// Stalls the tasks of all workers at each SIGWINCH and resumes them at any
+// other `signal_number`.
 kj::Promise<void> FollowSignal(kj::UnixEventPort& port,
                                int signal_number,
                                Workers& workers) {
@@ -91,7 +93,8 @@
   const std::string prefix = process.empty() ? service : process;
   for (int number = 0; number < arguments["count"].as<int>(); ++number) {
     sumac::stand_ins::TaskWorker::Settings settings;
-    // A new life's clock need not go on from where the last one's stood.
+    // The clock of a new incarnation need not continue from the last one's, so
+    // the offset depends on the process.
     settings.clock_offset = kClockStep * (getpid() % kClockSteps);
     settings.description = {
         .id = sumac::WorkerId(sumac::StrCat(prefix, "-", number, "-",
@@ -111,7 +114,7 @@
       settings.description.id = sumac::WorkerId(
           sumac::StrCat(prefix, "-", number, "#",
                         settings.description.born.time_since_epoch().count()));
-      // The clock of each life starts anew.
+      // The clock of each incarnation starts at zero.
       settings.clock_offset =
           -sumac::SystemClock().SteadyNow().time_since_epoch();
     }
--- a/tests/stand_ins/worker.cc
+++ b/tests/stand_ins/worker.cc
@@ -64,8 +64,7 @@
 void Worker::TakeOrders(const fleet::TargetOrders& orders, SteadyTime sent_at) {
   const SteadyTime now = SystemClock().SteadyNow();
   const std::lock_guard lock(this->tasks_mutex);
-  // The lease counts from when the renewal was sent, not from when the answer
-  // came.
+  // The lease begins when the renewal was sent, not when its answer arrived.
   this->lease_until = std::max(this->lease_until, sent_at + orders.lease);
   std::set<JobId> ordered;
   for (const fleet::TaskOrder& order : orders.tasks) {
@@ -87,7 +86,7 @@
       item->second.state = TaskState::kStopped;
       ++item;
     } else {
-      // Its end was taken in, since it is no longer ordered.
+      // The task is no longer ordered, so its end was recorded.
       item = this->tasks.erase(item);
     }
   }
--- a/tests/stand_ins/worker.h
+++ b/tests/stand_ins/worker.h
@@ -10,8 +10,8 @@
 
 namespace sumac::stand_ins {
 
-// A stand-in for a worker: runs the tasks it is ordered to as timers, under
-// leases, and stops what it can't renew.
+// A stand-in for a worker: simulates the ordered tasks by timers, under a
+// lease, and stops them when the lease runs out.
 class Worker final : public Target {
  public:
   explicit Worker(TargetOptions options);
@@ -38,8 +38,9 @@
   std::mutex tasks_mutex;
   std::map<JobId, Task> tasks;
   SteadyTime lease_until{};
-  // How often each job was begun here, and the highest token seen for it.
+  // The number of starts here by job.
   std::map<std::string, std::uint64_t> begun;
+  // The highest token received for each job.
   std::map<JobId, FencingToken> highest_token;
   bool fails_everything = false;
 };
