--- a/benchmarks/allocation_count.cc
+++ b/benchmarks/allocation_count.cc
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-// Replaces the library's, to count.
+// Replaces the standard library's operator, to count allocations.
 void* operator new(std::size_t size) {
   allocation_total.fetch_add(1, std::memory_order_relaxed);
   if (void* memory = std::malloc(size == 0 ? 1 : size)) {
--- a/benchmarks/control_bench.cc
+++ b/benchmarks/control_bench.cc
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Measures a running group of controllers from outside, through the doors that
-// entries and operators use. Prints JSON lines.
+// Measures a running group of controllers from outside, through the listeners
+// for entries and operators. Prints JSON lines.
 
 #include <fcntl.h>
 #include <kj/async-io.h>
@@ -43,7 +43,7 @@
   return std::chrono::duration_cast<Microseconds>(BenchClock::now() - begin);
 }
 
-// One bench run's connections.
+// The benchmarks, and the connections that they share.
 class Bench {
  public:
   explicit Bench(const options::variables_map& arguments)
@@ -74,7 +74,7 @@
   // Commits one claim at one controller.
   kj::Promise<fleet::Answer> ProposeAt(rpc::Channel& channel,
                                        Milliseconds limit);
-  // The controller that leads now.
+  // Returns the channel to the current leader; retries until there is one.
   rpc::Channel& FindLeader();
   kj::Promise<void> CommitLoop(rpc::Channel& leader,
                                int& left,
@@ -83,7 +83,8 @@
                                std::uint64_t have,
                                std::uint64_t until,
                                BenchClock::time_point& reached_at);
-  // Applies the next declaration; the view version in which it is in force.
+  // Applies the next declaration and returns the version of the view in which
+  // it is in force.
   std::uint64_t ApplyNext(rpc::Channel& door);
 
   const options::variables_map& arguments;
@@ -117,7 +118,8 @@
           return *peer;
         }
       } catch (const kj::Exception&) {
-        // Not this one.
+        // The peer is not the leader or not reachable, so the next one is
+        // tried.
       }
     }
   }
@@ -140,7 +142,8 @@
       });
 }
 
-// Commits claims from a number of loops at once.
+// Measures the latency and rate of commits of claims from 1, 16 and 128
+// concurrent loops.
 void Bench::Commit() {
   rpc::Channel& leader = this->FindLeader();
   for (const int loops : {1, 16, 128}) {
@@ -165,8 +168,8 @@
   }
 }
 
-// Commits one after the other wherever somebody leads; the longest time without
-// a commit.
+// Commits claims one after the other at any controller that leads, and measures
+// the longest time without a commit.
 void Bench::Gap() {
   const auto end =
       BenchClock::now() + std::chrono::seconds(this->Number("seconds"));
@@ -182,7 +185,7 @@
                     .wait(this->io.waitScope)
                     .is_ok();
     } catch (const kj::Exception&) {
-      // This one is gone; the next is asked.
+      // The peer is not reachable, so the next one is tried.
     }
     if (is_done) {
       longest = std::max(longest, Since(last));
@@ -226,7 +229,8 @@
   return answer.document["view_version"];
 }
 
-// Follows one controller until it has a version, and notes when that was.
+// Follows the views of one controller until their version is at least `until`,
+// and sets `reached_at` to that time.
 kj::Promise<void> Bench::FollowLoop(rpc::Channel& channel,
                                     std::uint64_t have,
                                     std::uint64_t until,
@@ -245,8 +249,8 @@
   });
 }
 
-// Declarations one after the other, and how long after each was accepted the
-// last of a number of followers has it.
+// Applies declarations one after the other and measures the time from the
+// acceptance of each until the last of a number of followers has received it.
 void Bench::Followers() {
   const auto door = this->Open(this->arguments["operators"].as<std::string>());
   std::vector<std::unique_ptr<rpc::Channel>> channels;
@@ -288,7 +292,8 @@
   std::cout << line.dump() << std::endl;
 }
 
-// What a follower that missed a number of changes gets, in time and bytes.
+// Measures the time and the bytes that a follower needs to catch up on a number
+// of missed changes.
 void Bench::CatchUp() {
   const auto door = this->Open(this->arguments["operators"].as<std::string>());
   const std::uint64_t missed_from = this->ApplyNext(*door);
@@ -310,7 +315,7 @@
             << std::endl;
 }
 
-// Commits a number of claims as fast as it goes, to make a log long.
+// Commits a number of claims as fast as possible, to make the log long.
 void Bench::Fill() {
   constexpr int kLoops = 128;
   rpc::Channel& leader = this->FindLeader();
@@ -323,7 +328,7 @@
   kj::joinPromises(running.finish()).wait(this->io.waitScope);
 }
 
-// What one small append with fdatasync costs on this disk.
+// Measures the time of one small append with fdatasync on this disk.
 void MeasureDisk(const std::string& folder) {
   constexpr int kWrites = 300;
   const std::string path = folder + "/bench-disk";
--- a/benchmarks/cost_meter.h
+++ b/benchmarks/cost_meter.h
@@ -11,30 +11,30 @@
 
 namespace sumac::benchmarks {
 
-// Counts the instructions that this thread carries out in user space, where the
+// Counts the instructions that this thread executes in user space, if the
 // system lets a process count its own.
 class InstructionCounter {
  public:
   InstructionCounter();
 
   bool is_available() const { return this->descriptor.is_open(); }
-  // Since the counter was made; 0 where it is not available.
+  // Returns the count since the counter was created; 0 if it is not available.
   std::uint64_t Read() const;
 
  private:
   FileDescriptor descriptor;
 };
 
-// Pieces of memory that the process has taken so far.
+// Returns the number of memory allocations by the process so far.
 std::uint64_t CountAllocations();
 
-// Adds up what the calls of one kind cost.
+// Sums up the time, allocations and instructions of the calls of one kind.
 class CostMeter {
  public:
   explicit CostMeter(const InstructionCounter& instructions)
       : instructions(instructions) {}
 
-  // Calls `work` and counts it as one call.
+  // Calls `work` and adds its cost as that of one call.
   template <typename Work>
   auto Measure(Work work) {
     const Reading before = this->Read();
@@ -42,7 +42,8 @@
     return work();
   }
 
-  // Writes the means a call into `line`, under names that begin with `prefix`.
+  // Writes the mean costs of a call into `line`, under names that begin with
+  // `prefix`.
   void Write(const std::string& prefix, nlohmann::json& line) const;
 
  private:
--- a/benchmarks/decision_bench.cc
+++ b/benchmarks/decision_bench.cc
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// What one decision costs at growing sizes of the fleet, on a fake clock and
-// without any network. Prints JSON lines. usage: decision_bench CHARTS_FOLDER
+// Measures the cost of one decision at growing sizes of the fleet, on a fake
+// clock and without any network. Prints JSON lines. usage: decision_bench
+// CHARTS_FOLDER
 
 #include <chrono>
 #include <iostream>
@@ -24,7 +25,7 @@
 
 constexpr int kPools = 10;
 
-// The mean time of one call of `work` in nanoseconds.
+// Returns the mean time of one call of `work`, in nanoseconds.
 template <typename Work>
 double MeasureNanoseconds(int repeats, Work work) {
   const auto begin = BenchClock::now();
@@ -68,7 +69,7 @@
   return declaration;
 }
 
-// A state machine with a settled fleet of one kind of target.
+// A fleet of settled targets of one kind, as a state machine and soft state.
 class Fleet {
  public:
   Fleet(const fleet::Charts& charts, int instances, fleet::TargetKind kind)
--- a/benchmarks/instance_page_bench.cc
+++ b/benchmarks/instance_page_bench.cc
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// What reading one page of the platform's list of instances costs, in one pass
-// and by a complete parser. Prints JSON lines.
+// Measures the time to read one page of the platform's list of instances with
+// the single-pass reader and with the complete JSON parser. Prints JSON lines.
 
 #include <chrono>
 #include <cmath>
@@ -34,7 +34,7 @@
   return nlohmann::json({{"machines", machines}, {"next_token", "t"}}).dump();
 }
 
-// Prints the mean time of reading `page` by `read`.
+// Prints the mean time in which `read` reads `page`.
 template <typename Read>
 void Measure(const std::string& name,
              int rows,
--- a/benchmarks/percentiles.h
+++ b/benchmarks/percentiles.h
@@ -13,7 +13,8 @@
 
 using Microseconds = std::chrono::microseconds;
 
-// The value below which the share `quantile` of `sorted` lies.
+// Returns the quantile of the sorted values, with `quantile` from 0 to 1; 0 if
+// there are no values.
 inline Microseconds ValueAt(const std::vector<Microseconds>& sorted,
                             double quantile) {
   if (sorted.empty()) {
@@ -24,8 +25,8 @@
   return sorted[std::min(place, sorted.size() - 1)];
 }
 
-// p50, p99, p99.9 and the largest of `values` in milliseconds, under names with
-// `prefix`.
+// Adds p50, p99, p99.9 and the maximum of `values` to `line`, in milliseconds
+// and under names that begin with `prefix`.
 inline void AddPercentiles(nlohmann::json& line,
                            const std::string& prefix,
                            std::vector<Microseconds> values) {
--- a/benchmarks/replication_bench.cc
+++ b/benchmarks/replication_bench.cc
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Commit latency of the pure replicas over a link and a disk of given delays,
-// on a fake clock: what distance costs, apart from this machine. Prints JSON
-// lines.
+// Measures the commit latency of replicas without I/O, over links and disks
+// with given delays and on a fake clock: the cost of distance, independent of
+// this machine's speed. Prints JSON lines.
 
 #include <iostream>
 #include <map>
@@ -21,8 +21,8 @@
 using replication::NodeId;
 using replication::Replica;
 
-// Something that happens to one replica at a time: a message arrives, or a turn
-// ends.
+// A scheduled event of one replica: the arrival of a message, or without one,
+// an iteration of its loop.
 struct Event {
   Microseconds at;
   std::uint64_t order = 0;
@@ -34,8 +34,9 @@
   }
 };
 
-// A group on a fake clock. A turn with writes takes the disk's time; all that
-// comes in meanwhile shares the next one.
+// A group of replicas on a fake clock. An iteration of a replica's loop with
+// writes takes the disk's time; the next iteration handles all messages that
+// arrive meanwhile.
 class Group {
  public:
   Group(int voters, Microseconds one_way, Microseconds disk)
@@ -55,7 +56,7 @@
     }
   }
 
-  // Runs until one leads; its place.
+  // Runs until a replica leads and returns its index.
   std::size_t Elect() {
     while (true) {
       this->RunUntil(this->now + Microseconds(10'000));
@@ -67,7 +68,8 @@
     }
   }
 
-  // Proposes at `rate` a second for a while; each commit's latency.
+  // Makes `count` proposals at `rate` per second and returns the latency of
+  // each commit.
   std::vector<Microseconds> Load(std::size_t leader, double rate, int count) {
     this->committed_at.clear();
     std::vector<std::pair<LogIndex, Microseconds>> proposed;
@@ -105,7 +107,8 @@
     this->events.push(Event{at, ++this->order, node, std::move(message)});
   }
 
-  // The replica's next turn: now, or when its disk is done.
+  // Schedules the next iteration of the replica's loop: now, or when its disk
+  // has finished.
   void Schedule(std::size_t node) {
     this->Push(std::max(this->now, this->busy_until[node]), node, std::nullopt);
   }
@@ -153,8 +156,8 @@
     const Microseconds done =
         output.has_writes() ? this->now + this->disk : this->now;
     this->busy_until[node] = done;
-    // As the controller does it: a leader's entries go out before its own disk
-    // is done.
+    // As in the controller, a leader's entries are sent before its own disk has
+    // finished.
     const bool is_early =
         this->replicas[node].role() == replication::Role::kLeader &&
         !output.hard_state;
@@ -202,7 +205,7 @@
 
 int main(int argument_count, char** argument_values) {
   using sumac::benchmarks::Microseconds;
-  // The disk's sync time on this machine, in microseconds.
+  // The sync time of this machine's disk, in microseconds.
   const Microseconds disk(argument_count > 1 ? std::stoll(argument_values[1])
                                              : 1'000);
   for (const int voters : {3, 5}) {
--- a/benchmarks/scheduler_load.cc
+++ b/benchmarks/scheduler_load.cc
@@ -15,10 +15,10 @@
 constexpr int kTurnsToSettle = 150;
 constexpr int kTurnsMeasured = 400;
 constexpr double kSeconds = 0.001 * static_cast<double>(kTurn.count());
-// For each worker and second.
+// Starts and moves for each worker and second.
 constexpr double kStarts = 0.75;
 constexpr double kMoves = 0.12;
-// Jobs that wait for each worker, and workers for each long-running job.
+// The number of workers for each waiting job and for each long-running job.
 constexpr std::size_t kWorkersPerWaitingJob = 4;
 constexpr int kWorkersPerLastingJob = 12;
 constexpr Milliseconds kReportPause{600};
@@ -34,7 +34,8 @@
   return ServiceName(StrCat("service-", service));
 }
 
-// How far a run is that ends then; one that lasts is at work.
+// Returns the reported progress of a run that ends at `ends_at`. A long-running
+// run, which has no end, reports 100 percent.
 std::uint32_t PercentOf(SteadyTime ends_at, SteadyTime now) {
   constexpr std::int64_t kWhole = 100;
   const std::int64_t left =
@@ -121,7 +122,8 @@
   this->Commit(jobs::RecordWorker{std::move(worker)});
 }
 
-// An instance moves: the life of its oldest worker ends, and another begins.
+// Moves an instance: removes the oldest worker, and adds a new incarnation of
+// it on the same instance.
 void SchedulerLoad::MoveTarget() {
   const WorkerId oldest = this->by_age.front();
   this->by_age.pop_front();
@@ -227,7 +229,7 @@
                             .run = run->first.second});
     run = target.running.erase(run);
   }
-  // A worker tells at once of an end.
+  // A worker reports an end at once.
   if (target.ended.size() > before) {
     target.report_due = now;
   }
--- a/benchmarks/scheduler_load.h
+++ b/benchmarks/scheduler_load.h
@@ -21,17 +21,17 @@
 
 namespace sumac::benchmarks {
 
-// A scheduler under the load of a busy leader, on a fake clock: jobs wait, runs
-// end and are reported, starts are refused, and workers end and begin. The same
-// decisions in each run of the same code.
+// Drives a scheduler with the load of a busy leader, on a fake clock: jobs
+// wait, runs end and are reported, starts are refused, and workers end and
+// begin. Every execution of the same code makes the same decisions.
 class SchedulerLoad {
  public:
   explicit SchedulerLoad(int workers);
 
-  // Lets time pass until the load is even, and then measures.
+  // Runs the load until it is steady, and then measures.
   void Run();
 
-  // What one call of each kind cost, and a fingerprint of all orders.
+  // Returns the mean cost of each kind of call and a fingerprint of all orders.
   nlohmann::json ToJson() const;
 
  private:
