--- a/tests/stand_ins/soak_checker_main.cc
+++ b/tests/stand_ins/soak_checker_main.cc
@@ -74,7 +74,7 @@
     std::cout << "BROKEN " << text << "\n";
   }
   std::cout << history.jobs().size() << " jobs, " << history.runs().size()
-            << " runs, " << history.lives().size() << " lives of workers, "
-            << broken.size() << " broken\n";
+            << " runs, " << history.incarnations().size()
+            << " lives of workers, " << broken.size() << " broken\n";
   return broken.empty() ? 0 : 1;
 }
--- a/tests/stand_ins/soak_checks.cc
+++ b/tests/stand_ins/soak_checks.cc
@@ -196,11 +196,12 @@
 }
 
 bool IsExcused(const SoakHistory& history, const SeenRun& stopped) {
-  const SeenLife& life = history.lives().at(stopped.worker);
-  if (life.leaves_at && *life.leaves_at <= stopped.ended_at) {
+  const SeenIncarnation& incarnation =
+      history.incarnations().at(stopped.worker);
+  if (incarnation.leaves_at && *incarnation.leaves_at <= stopped.ended_at) {
     return true;
   }
-  const auto [first, last] = history.harms().equal_range(life.address);
+  const auto [first, last] = history.harms().equal_range(incarnation.address);
   if (std::any_of(first, last, [&](const auto& harm) {
         return harm.second <= stopped.ended_at &&
                harm.second + kContact >= stopped.ended_at;
--- a/tests/stand_ins/soak_history.cc
+++ b/tests/stand_ins/soak_history.cc
@@ -27,9 +27,9 @@
   const std::string kind = event.at("event");
   const WallTime at = TimeOf(event);
   if (kind == "life") {
-    SeenLife& life = this->all_lives[event.at("worker")];
-    life.process = event.at("process");
-    life.address = event.at("address");
+    SeenIncarnation& incarnation = this->all_incarnations[event.at("worker")];
+    incarnation.process = event.at("process");
+    incarnation.address = event.at("address");
   } else if (kind == "start") {
     this->AddStart(event, at);
   } else if (kind == "end") {
@@ -37,11 +37,11 @@
   } else if (kind == "acknowledged") {
     this->AddAcknowledgement(event, at);
   } else if (kind == "lapse") {
-    this->all_lives[event.at("worker")].lapsed_at = at;
+    this->all_incarnations[event.at("worker")].lease_expired_at = at;
   } else if (kind == "leaves") {
-    this->all_lives[event.at("worker")].leaves_at = at;
+    this->all_incarnations[event.at("worker")].leaves_at = at;
   } else if (kind == "gone") {
-    this->EndLife(this->all_lives[event.at("worker")], at);
+    this->EndIncarnation(this->all_incarnations[event.at("worker")], at);
   } else if (kind == "killed") {
     this->EndProcess(event.at("process"), at);
   } else if (kind == "harmed") {
@@ -54,7 +54,7 @@
 }
 
 void SoakHistory::AddStart(const nlohmann::json& event, WallTime at) {
-  SeenLife& life = this->all_lives[event.at("worker")];
+  SeenIncarnation& incarnation = this->all_incarnations[event.at("worker")];
   SeenRun run{.task = *jobs::TaskId::Parse(event.at("task").get<std::string>()),
               .number = event.at("run"),
               .worker = event.at("worker"),
@@ -62,56 +62,58 @@
               .began_at = at};
   // The kill of a process is logged just before it takes place, so a start may
   // come between the two.
-  if (life.gone_at) {
+  if (incarnation.gone_at) {
     run.ended_at = at;
     run.cause = "died";
   } else {
-    life.running[run.task] = this->all_runs.size();
+    incarnation.running[run.task] = this->all_runs.size();
   }
   this->all_runs.push_back(std::move(run));
 }
 
 void SoakHistory::AddEnd(const nlohmann::json& event, WallTime at) {
-  SeenLife& life = this->all_lives[event.at("worker")];
+  SeenIncarnation& incarnation = this->all_incarnations[event.at("worker")];
   const auto task = *jobs::TaskId::Parse(event.at("task").get<std::string>());
-  const auto found = life.running.find(task);
-  if (found == life.running.end()) {
+  const auto found = incarnation.running.find(task);
+  if (found == incarnation.running.end()) {
     return;
   }
   SeenRun& run = this->all_runs[found->second];
   run.ended_at = at;
   run.cause = event.at("cause");
-  life.ended[event.at("number")] = found->second;
-  life.running.erase(found);
+  incarnation.ended[event.at("number")] = found->second;
+  incarnation.running.erase(found);
 }
 
 void SoakHistory::AddAcknowledgement(const nlohmann::json& event, WallTime at) {
-  SeenLife& life = this->all_lives[event.at("worker")];
+  SeenIncarnation& incarnation = this->all_incarnations[event.at("worker")];
   const std::uint64_t last = event.at("number");
-  while (!life.ended.empty() && life.ended.begin()->first <= last) {
-    SeenRun& run = this->all_runs[life.ended.begin()->second];
+  while (!incarnation.ended.empty() &&
+         incarnation.ended.begin()->first <= last) {
+    SeenRun& run = this->all_runs[incarnation.ended.begin()->second];
     // If the lease expired meanwhile, the system may consider the run lost.
-    if (!life.lapsed_at || *life.lapsed_at < run.ended_at) {
+    if (!incarnation.lease_expired_at ||
+        *incarnation.lease_expired_at < run.ended_at) {
       run.acknowledged_at = at;
     }
-    life.ended.erase(life.ended.begin());
+    incarnation.ended.erase(incarnation.ended.begin());
   }
 }
 
-void SoakHistory::EndLife(SeenLife& life, WallTime at) {
-  for (const auto& [task, index] : life.running) {
+void SoakHistory::EndIncarnation(SeenIncarnation& incarnation, WallTime at) {
+  for (const auto& [task, index] : incarnation.running) {
     this->all_runs[index].ended_at = at;
     this->all_runs[index].cause = "died";
   }
   // The runs are not removed: one may still end by itself between the log entry
   // of a kill and the kill.
-  life.gone_at = at;
+  incarnation.gone_at = at;
 }
 
 void SoakHistory::EndProcess(const std::string& process, WallTime at) {
-  for (auto& [worker, life] : this->all_lives) {
-    if (life.process == process && !life.gone_at) {
-      this->EndLife(life, at);
+  for (auto& [worker, incarnation] : this->all_incarnations) {
+    if (incarnation.process == process && !incarnation.gone_at) {
+      this->EndIncarnation(incarnation, at);
     }
   }
 }
--- a/tests/stand_ins/soak_history.h
+++ b/tests/stand_ins/soak_history.h
@@ -32,11 +32,11 @@
 };
 
 // One incarnation of a worker.
-struct SeenLife {
+struct SeenIncarnation {
   std::string process;
   std::string address;
   std::optional<WallTime> leaves_at;
-  std::optional<WallTime> lapsed_at;
+  std::optional<WallTime> lease_expired_at;
   std::optional<WallTime> gone_at;
   // Indexes into the runs of the history: of running ones by their task, and of
   // ended but unacknowledged ones by the number of the end.
@@ -70,8 +70,8 @@
   explicit SoakHistory(std::vector<nlohmann::json> events);
 
   const std::vector<SeenRun>& runs() const { return this->all_runs; }
-  const std::map<std::string, SeenLife>& lives() const {
-    return this->all_lives;
+  const std::map<std::string, SeenIncarnation>& incarnations() const {
+    return this->all_incarnations;
   }
   const std::map<std::string, SeenJob>& jobs() const { return this->all_jobs; }
   // The times at which faults were injected into the connections to each
@@ -90,11 +90,11 @@
   void AddEnd(const nlohmann::json& event, WallTime at);
   void AddAcknowledgement(const nlohmann::json& event, WallTime at);
   void AddCall(const nlohmann::json& event, WallTime at);
-  void EndLife(SeenLife& life, WallTime at);
+  void EndIncarnation(SeenIncarnation& incarnation, WallTime at);
   void EndProcess(const std::string& process, WallTime at);
 
   std::vector<SeenRun> all_runs;
-  std::map<std::string, SeenLife> all_lives;
+  std::map<std::string, SeenIncarnation> all_incarnations;
   std::map<std::string, SeenJob> all_jobs;
   std::multimap<std::string, WallTime> all_harms;
   std::vector<std::string> all_own_ends;
