--- a/tests/stand_ins/soak_checker_main.cc
+++ b/tests/stand_ins/soak_checker_main.cc
@@ -63,18 +63,18 @@
     }
   }
   const sumac::stand_ins::SoakHistory history(std::move(events));
-  std::vector<std::string> broken =
-      sumac::stand_ins::FindBrokenPromises(history);
+  std::vector<std::string> violations =
+      sumac::stand_ins::FindViolations(history);
   if (age == 0) {
     for (std::string& text : sumac::stand_ins::FindUnfinishedJobs(history)) {
-      broken.push_back(std::move(text));
+      violations.push_back(std::move(text));
     }
   }
-  for (const std::string& text : broken) {
+  for (const std::string& text : violations) {
     std::cout << "BROKEN " << text << "\n";
   }
   std::cout << history.jobs().size() << " jobs, " << history.runs().size()
             << " runs, " << history.incarnations().size()
-            << " lives of workers, " << broken.size() << " broken\n";
-  return broken.empty() ? 0 : 1;
+            << " lives of workers, " << violations.size() << " broken\n";
+  return violations.empty() ? 0 : 1;
 }
--- a/tests/stand_ins/soak_checks.cc
+++ b/tests/stand_ins/soak_checks.cc
@@ -99,7 +99,8 @@
 
 // Returns the kind of violation if a job that was shown as in `earlier` must
 // not be shown as in `later` afterwards; empty if it may.
-std::string_view FindStep(const SeenCall& earlier, const SeenCall& later) {
+std::string_view FindBadTransition(const SeenCall& earlier,
+                                   const SeenCall& later) {
   const auto earlier_rank = RankOf(earlier.state);
   const auto later_rank = RankOf(later.state);
   if (!earlier_rank || !later_rank || later.sent_at <= earlier.answered_at) {
@@ -112,13 +113,15 @@
 }
 
 // Reports the first violation of each kind.
-void CheckShownOrder(const std::string& id, const SeenJob& job, Texts& broken) {
+void CheckShownOrder(const std::string& id,
+                     const SeenJob& job,
+                     Texts& violations) {
   std::set<std::string_view> kinds;
   for (auto later = job.shows.begin(); later != job.shows.end(); ++later) {
     for (auto earlier = job.shows.begin(); earlier != later; ++earlier) {
-      const std::string_view kind = FindStep(*earlier, *later);
+      const std::string_view kind = FindBadTransition(*earlier, *later);
       if (!kind.empty() && kinds.insert(kind).second) {
-        broken.push_back(
+        violations.push_back(
             StrCat(kind, ": job ", id, " ", later->state, " at ",
                    later->answered_at.time_since_epoch().count(), " after ",
                    earlier->state, " at ",
@@ -128,30 +131,30 @@
   }
 }
 
-void CheckKnown(const std::string& id, const SeenJob& job, Texts& broken) {
+void CheckKnown(const std::string& id, const SeenJob& job, Texts& violations) {
   const SeenCall* accepted = FirstWithStatus(job.submits, kOk);
   for (const SeenCall& call : job.shows) {
     const bool is_unknown = call.status == kGone || call.status == kNotFound;
     if (accepted != nullptr && is_unknown &&
         call.sent_at > accepted->answered_at + kVisible) {
-      broken.push_back(StrCat("accepted job ", id, " unknown (", call.status,
-                              ") at ",
-                              call.answered_at.time_since_epoch().count()));
+      violations.push_back(StrCat("accepted job ", id, " unknown (",
+                                  call.status, ") at ",
+                                  call.answered_at.time_since_epoch().count()));
     }
     if (call.status == kOk && !RankOf(call.state)) {
-      broken.push_back(StrCat("job ", id, " shown without a state at ",
-                              call.answered_at.time_since_epoch().count()));
+      violations.push_back(StrCat("job ", id, " shown without a state at ",
+                                  call.answered_at.time_since_epoch().count()));
     }
   }
 }
 
-void CheckWhole(const std::string& id,
-                const std::vector<SeenCall>& calls,
-                Texts& broken) {
+void CheckComplete(const std::string& id,
+                   const std::vector<SeenCall>& calls,
+                   Texts& violations) {
   for (const SeenCall& call : calls) {
     if (call.error == "cut answer") {
-      broken.push_back(StrCat("answer about job ", id, " cut at ",
-                              call.answered_at.time_since_epoch().count()));
+      violations.push_back(StrCat("answer about job ", id, " cut at ",
+                                  call.answered_at.time_since_epoch().count()));
     }
   }
 }
@@ -201,10 +204,11 @@
   if (incarnation.leaves_at && *incarnation.leaves_at <= stopped.ended_at) {
     return true;
   }
-  const auto [first, last] = history.harms().equal_range(incarnation.address);
-  if (std::any_of(first, last, [&](const auto& harm) {
-        return harm.second <= stopped.ended_at &&
-               harm.second + kContact >= stopped.ended_at;
+  const auto [first, last] =
+      history.injected_faults().equal_range(incarnation.address);
+  if (std::any_of(first, last, [&](const auto& fault) {
+        return fault.second <= stopped.ended_at &&
+               fault.second + kContact >= stopped.ended_at;
       })) {
     return true;
   }
@@ -229,18 +233,18 @@
 }  // namespace
 
 Texts FindDoubleRuns(const SoakHistory& history) {
-  Texts broken;
+  Texts violations;
   for (const auto& [task, runs] : GroupByTask(history)) {
     const SeenRun* longest = nullptr;
     const SeenRun* done = nullptr;
     for (const SeenRun* run : runs) {
       if (longest != nullptr && longest->ended_at > run->began_at) {
-        broken.push_back(StrCat("twice at once: ", Describe(*longest), "; ",
-                                Describe(*run)));
+        violations.push_back(StrCat("twice at once: ", Describe(*longest), "; ",
+                                    Describe(*run)));
       }
       if (done != nullptr && done->ended_at < run->began_at) {
-        broken.push_back(StrCat("started after an acknowledged end: ",
-                                Describe(*done), "; ", Describe(*run)));
+        violations.push_back(StrCat("started after an acknowledged end: ",
+                                    Describe(*done), "; ", Describe(*run)));
       }
       if (longest == nullptr || run->ended_at > longest->ended_at) {
         longest = run;
@@ -250,55 +254,56 @@
       }
     }
   }
-  return broken;
+  return violations;
 }
 
-Texts FindUnaskedRuns(const SoakHistory& history) {
-  Texts broken;
+Texts FindUnrequestedRuns(const SoakHistory& history) {
+  Texts violations;
   for (const SeenRun& run : history.runs()) {
     const auto found = history.jobs().find(JobOf(run));
     if (found == history.jobs().end()) {
-      broken.push_back(StrCat("nobody sent the job of ", Describe(run)));
+      violations.push_back(StrCat("nobody sent the job of ", Describe(run)));
       continue;
     }
     const SeenJob& job = found->second;
     const SeenCall* done = FirstShown(job, "done");
     const SeenCall* cancelled = FirstWithStatus(job.cancels, kOk);
     if (WasRefused(job)) {
-      broken.push_back(StrCat("refused, but started: ", Describe(run)));
+      violations.push_back(StrCat("refused, but started: ", Describe(run)));
     }
     if (done != nullptr && run.began_at > done->answered_at + kDoneSlack) {
-      broken.push_back(StrCat("shown done, but started: ", Describe(run)));
+      violations.push_back(StrCat("shown done, but started: ", Describe(run)));
     }
     if (cancelled != nullptr &&
         run.began_at > cancelled->answered_at + kCancelSlack) {
-      broken.push_back(StrCat("cancelled, but started: ", Describe(run)));
+      violations.push_back(StrCat("cancelled, but started: ", Describe(run)));
     }
   }
-  return broken;
+  return violations;
 }
 
 Texts FindWrongAnswers(const SoakHistory& history) {
-  Texts broken;
+  Texts violations;
   const RunsByTask runs = GroupByTask(history);
   for (const auto& [id, job] : history.jobs()) {
-    CheckWhole(id, job.submits, broken);
-    CheckWhole(id, job.shows, broken);
-    CheckWhole(id, job.cancels, broken);
-    CheckKnown(id, job, broken);
-    CheckShownOrder(id, job, broken);
+    CheckComplete(id, job.submits, violations);
+    CheckComplete(id, job.shows, violations);
+    CheckComplete(id, job.cancels, violations);
+    CheckKnown(id, job, violations);
+    CheckShownOrder(id, job, violations);
     const SeenCall* done = FirstShown(job, "done");
     if (done != nullptr &&
         CountUnfinished(id, job, runs, done->answered_at) > 0) {
-      broken.push_back(StrCat("job ", id, " shown done too early at ",
-                              done->answered_at.time_since_epoch().count()));
+      violations.push_back(
+          StrCat("job ", id, " shown done too early at ",
+                 done->answered_at.time_since_epoch().count()));
     }
   }
-  return broken;
+  return violations;
 }
 
 Texts FindBudgetOverruns(const SoakHistory& history) {
-  Texts broken;
+  Texts violations;
   const RunsByTask groups = GroupByTask(history);
   for (const SeenRun& run : history.runs()) {
     if (!run.is_lasting || run.cause != "stopped" || IsExcused(history, run)) {
@@ -306,36 +311,37 @@
     }
     const std::int64_t away = CountOthersAway(groups, run);
     if (away >= kBudget) {
-      broken.push_back(StrCat("stopped while ", away,
-                              " others of its step are away: ", Describe(run)));
+      violations.push_back(
+          StrCat("stopped while ", away,
+                 " others of its step are away: ", Describe(run)));
     }
   }
-  return broken;
+  return violations;
 }
 
 Texts FindUnfinishedJobs(const SoakHistory& history) {
-  Texts broken;
+  Texts violations;
   for (const auto& [id, job] : history.jobs()) {
     const bool is_accepted = FirstWithStatus(job.submits, kOk) != nullptr;
     if (is_accepted && job.cancels.empty() &&
         FirstShown(job, "done") == nullptr) {
-      broken.push_back(StrCat("job ", id, " is accepted and never done"));
+      violations.push_back(StrCat("job ", id, " is accepted and never done"));
     }
   }
-  return broken;
+  return violations;
 }
 
-Texts FindBrokenPromises(const SoakHistory& history) {
-  Texts broken;
-  for (auto* const find : {FindDoubleRuns, FindUnaskedRuns, FindWrongAnswers,
-                           FindBudgetOverruns}) {
+Texts FindViolations(const SoakHistory& history) {
+  Texts violations;
+  for (auto* const find : {FindDoubleRuns, FindUnrequestedRuns,
+                           FindWrongAnswers, FindBudgetOverruns}) {
     Texts found = find(history);
-    std::move(found.begin(), found.end(), std::back_inserter(broken));
+    std::move(found.begin(), found.end(), std::back_inserter(violations));
   }
-  for (const std::string& process : history.own_ends()) {
-    broken.push_back(StrCat(process, " ended by itself"));
+  for (const std::string& process : history.unexpected_exits()) {
+    violations.push_back(StrCat(process, " ended by itself"));
   }
-  return broken;
+  return violations;
 }
 
 }  // namespace sumac::stand_ins
--- a/tests/stand_ins/soak_checks.h
+++ b/tests/stand_ins/soak_checks.h
@@ -18,7 +18,7 @@
 
 // No task starts of a job that no caller submitted, that was refused at every
 // attempt, that was shown as done, or that was cancelled.
-std::vector<std::string> FindUnaskedRuns(const SoakHistory& history);
+std::vector<std::string> FindUnrequestedRuns(const SoakHistory& history);
 
 // Answers are complete; an accepted job is known, its shown state never goes
 // back, and it is shown as done only once all its tasks ended as done.
@@ -34,7 +34,7 @@
 
 // Returns the violations of all guarantees above except the last, and the
 // processes that ended by themselves.
-std::vector<std::string> FindBrokenPromises(const SoakHistory& history);
+std::vector<std::string> FindViolations(const SoakHistory& history);
 
 }  // namespace sumac::stand_ins
 
--- a/tests/stand_ins/soak_checks_test.cc
+++ b/tests/stand_ins/soak_checks_test.cc
@@ -99,20 +99,20 @@
 
 std::vector<std::string> Find(std::vector<json> events) {
   const SoakHistory history(std::move(events));
-  std::vector<std::string> broken = FindBrokenPromises(history);
+  std::vector<std::string> violations = FindViolations(history);
   for (std::string& text : FindUnfinishedJobs(history)) {
-    broken.push_back(std::move(text));
+    violations.push_back(std::move(text));
   }
-  return broken;
+  return violations;
 }
 
 // Checks that adding `event` to `events` causes exactly one violation, whose
 // text begins with `text`.
 void ExpectOne(std::vector<json> events, json event, const std::string& text) {
   events.push_back(std::move(event));
-  const std::vector<std::string> broken = Find(std::move(events));
-  ASSERT_EQ(broken.size(), 1U) << testing::PrintToString(broken);
-  EXPECT_EQ(broken[0].substr(0, text.size()), text);
+  const std::vector<std::string> violations = Find(std::move(events));
+  ASSERT_EQ(violations.size(), 1U) << testing::PrintToString(violations);
+  EXPECT_EQ(violations[0].substr(0, text.size()), text);
 }
 
 TEST(SoakChecks, FindsNothingInASoundHistory) {
--- a/tests/stand_ins/soak_history.cc
+++ b/tests/stand_ins/soak_history.cc
@@ -45,9 +45,9 @@
   } else if (kind == "killed") {
     this->EndProcess(event.at("process"), at);
   } else if (kind == "harmed") {
-    this->all_harms.emplace(event.at("address"), at);
+    this->all_injected_faults.emplace(event.at("address"), at);
   } else if (kind == "own-end") {
-    this->all_own_ends.push_back(event.at("process"));
+    this->all_unexpected_exits.push_back(event.at("process"));
   } else {
     this->AddCall(event, at);
   }
--- a/tests/stand_ins/soak_history.h
+++ b/tests/stand_ins/soak_history.h
@@ -76,12 +76,12 @@
   const std::map<std::string, SeenJob>& jobs() const { return this->all_jobs; }
   // The times at which faults were injected into the connections to each
   // address.
-  const std::multimap<std::string, WallTime>& harms() const {
-    return this->all_harms;
+  const std::multimap<std::string, WallTime>& injected_faults() const {
+    return this->all_injected_faults;
   }
   // The processes of the product that ended without being stopped.
-  const std::vector<std::string>& own_ends() const {
-    return this->all_own_ends;
+  const std::vector<std::string>& unexpected_exits() const {
+    return this->all_unexpected_exits;
   }
 
  private:
@@ -96,8 +96,8 @@
   std::vector<SeenRun> all_runs;
   std::map<std::string, SeenIncarnation> all_incarnations;
   std::map<std::string, SeenJob> all_jobs;
-  std::multimap<std::string, WallTime> all_harms;
-  std::vector<std::string> all_own_ends;
+  std::multimap<std::string, WallTime> all_injected_faults;
+  std::vector<std::string> all_unexpected_exits;
 };
 
 }  // namespace sumac::stand_ins
