--- a/tests/stand_ins/soak_checks_test.cc
+++ b/tests/stand_ins/soak_checks_test.cc
@@ -19,7 +19,7 @@
   return StrCat(kJob, ".0.0.", index);
 }
 
-json Life(std::int64_t at, const std::string& worker) {
+json IncarnationStart(std::int64_t at, const std::string& worker) {
   return {{"at", at},
           {"event", "life"},
           {"worker", worker},
@@ -55,10 +55,10 @@
 }
 
 // An event of a worker or of the soak test that has one name as its only field.
-json Note(std::int64_t at,
-          const std::string& event,
-          const std::string& key,
-          const std::string& name) {
+json NamedEvent(std::int64_t at,
+                const std::string& event,
+                const std::string& key,
+                const std::string& name) {
   return {{"at", at}, {"event", event}, {key, name}};
 }
 
@@ -80,15 +80,15 @@
 
 // One job of two tasks on two workers, done after one of the workers died.
 std::vector<json> SoundHistory() {
-  return {Life(0, "a"),
-          Life(0, "b"),
+  return {IncarnationStart(0, "a"),
+          IncarnationStart(0, "b"),
           Job(100, 2),
           Call(110, "submit", 0),
           Call(120, "submit", 200),
           Start(130, "a", 0, 1),
           Start(131, "b", 1, 1),
           Call(140, "show", 200, "running"),
-          Note(150, "killed", "process", "process-of-a"),
+          NamedEvent(150, "killed", "process", "process-of-a"),
           End(330, "b", 1, 1, "done"),
           Acknowledged(340, "b", 1),
           Start(3'000, "b", 0, 2),
@@ -124,13 +124,13 @@
 // as shown done too early.
 TEST(SoakChecks, KnowsAnEndBetweenTheNoteOfAKillAndTheKill) {
   std::vector<json> events = SoundHistory();
-  events.push_back(Note(3'198, "killed", "process", "process-of-b"));
+  events.push_back(NamedEvent(3'198, "killed", "process", "process-of-b"));
   EXPECT_EQ(Find(events), std::vector<std::string>());
 }
 
 TEST(SoakChecks, FindsARunBesideAnother) {
   std::vector<json> events = SoundHistory();
-  events.push_back(Life(0, "c"));
+  events.push_back(IncarnationStart(0, "c"));
   events.push_back(End(250, "c", 1, 1, "stopped"));
   ExpectOne(events, Start(200, "c", 1, 2), "twice at once");
 }
@@ -142,23 +142,23 @@
 
 TEST(SoakChecks, LetsARunBeginAgainAfterALapse) {
   std::vector<json> events = SoundHistory();
-  events.push_back(Note(335, "lapse", "worker", "b"));
+  events.push_back(NamedEvent(335, "lapse", "worker", "b"));
   events.push_back(Start(400, "b", 1, 2));
   EXPECT_EQ(Find(events), std::vector<std::string>());
 }
 
 TEST(SoakChecks, FindsRunsOfARefusedJob) {
-  const std::vector<json> events = {Life(0, "a"), Job(100, 2),
+  const std::vector<json> events = {IncarnationStart(0, "a"), Job(100, 2),
                                     Call(120, "submit", 503)};
   ExpectOne(events, Start(130, "a", 0, 1), "refused, but started");
 }
 
 TEST(SoakChecks, FindsRunsThatNobodyAskedFor) {
-  ExpectOne({Life(0, "a")}, Start(130, "a", 0, 1), "nobody sent");
+  ExpectOne({IncarnationStart(0, "a")}, Start(130, "a", 0, 1), "nobody sent");
 }
 
 TEST(SoakChecks, FindsRunsAfterACancel) {
-  const std::vector<json> events = {Life(0, "a"), Job(100, 2),
+  const std::vector<json> events = {IncarnationStart(0, "a"), Job(100, 2),
                                     Call(120, "submit", 200),
                                     Call(200, "cancel", 200)};
   ExpectOne(events, Start(11'000, "a", 0, 1), "cancelled, but started");
@@ -196,22 +196,17 @@
 }
 
 TEST(SoakChecks, FindsAProcessThatEndsByItself) {
-  ExpectOne(SoundHistory(), Note(400, "own-end", "process", "c1"),
+  ExpectOne(SoundHistory(), NamedEvent(400, "own-end", "process", "c1"),
             "c1 ended by itself");
 }
 
 // Three lasting tasks on three workers; the first task is stopped.
 std::vector<json> LastingHistory() {
-  return {Life(0, "a"),
-          Life(0, "b"),
-          Life(0, "c"),
-          Job(100, 3),
-          Call(120, "submit", 200),
-          Call(90'000, "cancel", 200),
-          Start(130, "a", 0, 1, true),
-          Start(130, "b", 1, 1, true),
-          Start(130, "c", 2, 1, true),
-          End(1'000, "a", 0, 1, "stopped")};
+  return {IncarnationStart(0, "a"),    IncarnationStart(0, "b"),
+          IncarnationStart(0, "c"),    Job(100, 3),
+          Call(120, "submit", 200),    Call(90'000, "cancel", 200),
+          Start(130, "a", 0, 1, true), Start(130, "b", 1, 1, true),
+          Start(130, "c", 2, 1, true), End(1'000, "a", 0, 1, "stopped")};
 }
 
 TEST(SoakChecks, FindsAStopBeyondTheBudget) {
@@ -222,8 +217,8 @@
 
 TEST(SoakChecks, ExcusesAStopOverAHarmedLinkAtALeavingWorkerOrOfACancelledJob) {
   const std::vector<json> excuses = {
-      Note(1'050, "harmed", "address", "address-of-b"),
-      Note(1'050, "leaves", "worker", "b"), Call(1'050, "cancel", 200)};
+      NamedEvent(1'050, "harmed", "address", "address-of-b"),
+      NamedEvent(1'050, "leaves", "worker", "b"), Call(1'050, "cancel", 200)};
   for (const json& excuse : excuses) {
     std::vector<json> events = LastingHistory();
     events.push_back(excuse);
@@ -235,7 +230,7 @@
 TEST(SoakChecks, CountsALostTaskAsAwayOnlyAfterTheNotice) {
   std::vector<json> events = LastingHistory();
   events.push_back(Start(1'500, "a", 0, 2, true));
-  events.push_back(Note(2'000, "killed", "process", "process-of-c"));
+  events.push_back(NamedEvent(2'000, "killed", "process", "process-of-c"));
   std::vector<json> soon = events;
   soon.push_back(End(3'000, "b", 1, 1, "stopped"));
   EXPECT_EQ(Find(soon), std::vector<std::string>());
