--- a/tests/stand_ins/task_worker.cc
+++ b/tests/stand_ins/task_worker.cc
@@ -26,7 +26,7 @@
 // The interval at which leases and ends are checked.
 constexpr Milliseconds kTickInterval{10};
 constexpr Milliseconds kAnnounceInterval{500};
-constexpr Milliseconds kHoldStep{5};
+constexpr Milliseconds kHoldCheckInterval{5};
 constexpr Milliseconds kCallLimit{1'000};
 
 std::string CauseName(scheduler::EndCause cause) {
@@ -107,7 +107,7 @@
         return this->controls[this->next_control % this->controls.size()]->Call(
             {.method = kj::HttpMethod::DELETE,
              .path = StrCat("/instances/", this->Name()),
-             .body = this->tells_start()
+             .body = this->reports_start_time()
                          ? nlohmann::json({{"born", this->Born()}}).dump()
                          : std::string()},
             kCallLimit);
@@ -124,19 +124,19 @@
 
 void TaskWorker::Tick(SteadyTime now) {
   const auto earlier = this->worker.running();
-  this->LogLapse(now);
+  this->LogLeaseExpiry(now);
   this->worker.Tick(now);
   this->LogEnds(now, earlier);
 }
 
-void TaskWorker::LogLapse(SteadyTime now) {
+void TaskWorker::LogLeaseExpiry(SteadyTime now) {
   const scheduler::WorkerTime lease_end = this->worker.lease_ends_at();
   const Milliseconds late(this->worker.ClockAt(now).value() -
                           lease_end.value());
-  if (late < Milliseconds(0) || lease_end == this->logged_lapse) {
+  if (late < Milliseconds(0) || lease_end == this->logged_lease_end) {
     return;
   }
-  this->logged_lapse = lease_end;
+  this->logged_lease_end = lease_end;
   this->log.Add(
       {{"event", "lapse"}, {"worker", this->settings.description.id.value()}},
       late);
@@ -147,8 +147,8 @@
 void TaskWorker::LogEnds(
     SteadyTime now,
     const std::map<jobs::TaskId, scheduler::FakeWorker::Running>& earlier) {
-  const Milliseconds since_lapse(this->worker.ClockAt(now).value() -
-                                 this->worker.lease_ends_at().value());
+  const Milliseconds since_lease_end(this->worker.ClockAt(now).value() -
+                                     this->worker.lease_ends_at().value());
   for (const scheduler::EndReport& end : this->worker.unacknowledged_ends()) {
     if (end.number <= this->logged_end) {
       continue;
@@ -156,7 +156,7 @@
     this->logged_end = end.number;
     Milliseconds ago{0};
     if (end.cause == scheduler::EndCause::kLeaseExpired) {
-      ago = since_lapse;
+      ago = since_lease_end;
     } else if (end.cause == scheduler::EndCause::kDone) {
       ago = now - earlier.at(end.task).ends_at;
     }
@@ -171,8 +171,8 @@
 }
 
 const std::string& TaskWorker::Name() const {
-  return this->tells_start() ? this->settings.description.name.value()
-                             : this->settings.description.id.value();
+  return this->reports_start_time() ? this->settings.description.name.value()
+                                    : this->settings.description.id.value();
 }
 
 std::int64_t TaskWorker::Born() const {
@@ -194,7 +194,7 @@
                         {"gpu", 0}}},
                       {"labels", about.labels},
                       {"seq", ++this->sequence}});
-  if (this->tells_start()) {
+  if (this->reports_start_time()) {
     announcement["born"] = this->Born();
   }
   return announcement.dump();
@@ -205,24 +205,24 @@
       .then([this] {
         this->Tick(this->clock.SteadyNow());
         this->worker.Crash();
-        ++this->life;
+        ++this->incarnation;
         this->log.Add({{"event", "gone"},
                        {"worker", this->settings.description.id.value()}});
         return this->timer.afterDelay(ToKj(kRestartTime));
       })
-      .then([this] { this->BeginNextLife(); });
+      .then([this] { this->BeginNextIncarnation(); });
 }
 
-void TaskWorker::BeginNextLife() {
+void TaskWorker::BeginNextIncarnation() {
   jobs::Worker& description = this->settings.description;
-  description.id =
-      WorkerId(StrCat(description.instance.value(), "-life-", this->life));
+  description.id = WorkerId(
+      StrCat(description.instance.value(), "-life-", this->incarnation));
   this->worker =
       scheduler::FakeWorker(description, this->settings.clock_offset, 0);
   this->sequence = 0;
   this->logged_end = 0;
   this->logged_acknowledgement = 0;
-  this->logged_lapse = {};
+  this->logged_lease_end = {};
   this->log.Add({{"event", "life"},
                  {"worker", description.id.value()},
                  {"address", description.address},
@@ -231,7 +231,7 @@
 
 kj::Promise<void> TaskWorker::AnnounceLoop() {
   if (!this->worker.is_up) {
-    return this->timer.afterDelay(ToKj(kHoldStep)).then([this] {
+    return this->timer.afterDelay(ToKj(kHoldCheckInterval)).then([this] {
       return this->AnnounceLoop();
     });
   }
@@ -243,12 +243,12 @@
   return control.Call(std::move(request), kCallLimit)
       .then([this](const http::CallReply& reply) {
         constexpr std::uint32_t kOk = 200;
-        const bool is_taken = reply.status == kOk;
-        if (!is_taken) {
+        const bool is_accepted = reply.status == kOk;
+        if (!is_accepted) {
           ++this->next_control;
         }
         return this->timer.afterDelay(
-            ToKj(is_taken ? kAnnounceInterval : kHoldStep * 10));
+            ToKj(is_accepted ? kAnnounceInterval : kHoldCheckInterval * 10));
       })
       .then([this] { return this->AnnounceLoop(); });
 }
@@ -273,7 +273,7 @@
   }
   if (request.path == "/hold") {
     const Milliseconds wait(body.value("wait_ms", 0));
-    return this->Hold(std::move(body), now + wait, this->life);
+    return this->Hold(std::move(body), now + wait, this->incarnation);
   }
   constexpr std::uint32_t kNotFound = 404;
   return http::DoorReply{.status = kNotFound};
@@ -330,12 +330,13 @@
   return this->OrderReply(answer);
 }
 
-// Answers once a run has ended or the time to wait is over. `asked_life` is the
-// incarnation that received the call; another one answers "unavailable".
+// Answers once a run has ended or the time to wait is over.
+// `expected_incarnation` is the incarnation that received the call; another one
+// answers "unavailable".
 kj::Promise<http::DoorReply> TaskWorker::Hold(nlohmann::json body,
                                               SteadyTime until,
-                                              int asked_life) {
-  if (asked_life != this->life) {
+                                              int expected_incarnation) {
+  if (expected_incarnation != this->incarnation) {
     return http::DoorReply{.status = kUnavailable};
   }
   const SteadyTime now = this->clock.SteadyNow();
@@ -359,15 +360,16 @@
                    {"number", order.acknowledged_ends}});
   }
   if (report->ended.empty() && now < until) {
-    return this->timer.afterDelay(ToKj(kHoldStep))
-        .then([this, body = std::move(body), until, asked_life]() mutable {
-          return this->Hold(std::move(body), until, asked_life);
+    return this->timer.afterDelay(ToKj(kHoldCheckInterval))
+        .then([this, body = std::move(body), until,
+               expected_incarnation]() mutable {
+          return this->Hold(std::move(body), until, expected_incarnation);
         });
   }
   nlohmann::json reply = {{"clock_ms", report->clock.value()},
                           {"running", nlohmann::json::array()},
                           {"ended", nlohmann::json::array()}};
-  if (this->tells_start()) {
+  if (this->reports_start_time()) {
     reply["born"] = this->Born();
   }
   for (const auto& running : report->running) {
--- a/tests/stand_ins/task_worker.h
+++ b/tests/stand_ins/task_worker.h
@@ -57,9 +57,7 @@
   kj::Promise<void> Leave();
 
   // Sets whether runs on this worker are stalled, that is, make no progress.
-  void set_stands_still(bool stands_still) {
-    this->worker.stalls_runs = stands_still;
-  }
+  void set_stalled(bool is_stalled) { this->worker.stalls_runs = is_stalled; }
 
   std::uint64_t starts() const { return this->start_count; }
   std::uint64_t done() const { return this->done_count; }
@@ -68,20 +66,20 @@
   kj::Promise<http::DoorReply> Handle(const http::DoorRequest& request);
   kj::Promise<http::DoorReply> Hold(nlohmann::json body,
                                     SteadyTime until,
-                                    int asked_life);
+                                    int expected_incarnation);
   http::DoorReply Start(const nlohmann::json& body);
   http::DoorReply Stop(const nlohmann::json& body);
   // Loses all runs; after kRestartTime another incarnation begins at the same
   // address. Only for a worker that does not report its start time: the
   // connections of one that does would have to end with its incarnation.
   kj::Promise<void> Crash();
-  void BeginNextLife();
+  void BeginNextIncarnation();
   http::DoorReply OrderReply(const scheduler::OrderAnswer& answer) const;
   kj::Promise<void> AnnounceLoop();
   kj::Promise<void> TickLoop();
   // Advances the worker to `now` and logs the runs that ended meanwhile.
   void Tick(SteadyTime now);
-  void LogLapse(SteadyTime now);
+  void LogLeaseExpiry(SteadyTime now);
   void LogEnds(
       SteadyTime now,
       const std::map<jobs::TaskId, scheduler::FakeWorker::Running>& earlier);
@@ -89,7 +87,7 @@
   // Returns the name on the wire; a worker that reports its start time keeps
   // its name over its incarnations.
   const std::string& Name() const;
-  bool tells_start() const {
+  bool reports_start_time() const {
     return this->settings.description.has_start_time();
   }
   std::int64_t Born() const;
@@ -110,10 +108,10 @@
   // The last end, acknowledgement and lease expiry that were logged.
   std::uint64_t logged_end = 0;
   std::uint64_t logged_acknowledgement = 0;
-  scheduler::WorkerTime logged_lapse;
+  scheduler::WorkerTime logged_lease_end;
   std::uint64_t start_count = 0;
   std::uint64_t done_count = 0;
-  int life = 0;
+  int incarnation = 0;
   kj::Promise<void> crashing = nullptr;
 };
 
--- a/tests/stand_ins/task_workers_main.cc
+++ b/tests/stand_ins/task_workers_main.cc
@@ -37,15 +37,15 @@
 
 // Stalls the tasks of all workers at each SIGWINCH and resumes them at any
 // other `signal_number`.
-kj::Promise<void> FollowSignal(kj::UnixEventPort& port,
+kj::Promise<void> HandleSignal(kj::UnixEventPort& port,
                                int signal_number,
                                Workers& workers) {
   return port.onSignal(signal_number)
       .then([&port, signal_number, &workers](siginfo_t&&) {
         for (const auto& worker : workers) {
-          worker->set_stands_still(signal_number == SIGWINCH);
+          worker->set_stalled(signal_number == SIGWINCH);
         }
-        return FollowSignal(port, signal_number, workers);
+        return HandleSignal(port, signal_number, workers);
       });
 }
 
@@ -132,7 +132,7 @@
     running.push_back(workers.back()->Run().eagerlyEvaluate(nullptr));
   }
   for (const int signal_number : {SIGWINCH, SIGURG}) {
-    running.push_back(FollowSignal(io.unixEventPort, signal_number, workers)
+    running.push_back(HandleSignal(io.unixEventPort, signal_number, workers)
                           .eagerlyEvaluate(nullptr));
   }
   std::cout << "ready" << std::endl;
