--- a/tests/stand_ins/minion.cc
+++ b/tests/stand_ins/minion.cc
@@ -59,8 +59,8 @@
                     Poco::Net::HTTPServerResponse& response) {
   response.set(http::kRequestHeader, request.get(http::kRequestHeader, ""));
   response.set(http::kInFlightHeader, StrCat(this->in_flight.load()));
-  const bool takes_nothing_new = this->is_draining() || this->leaving();
-  if (takes_nothing_new) {
+  const bool refuses_new_requests = this->is_draining() || this->leaving();
+  if (refuses_new_requests) {
     response.set(http::kLeavingHeader, "1");
   }
   if (request.getURI() == "/sumac/health") {
@@ -73,10 +73,11 @@
     http::SendAnswer(response, 400, "text/plain", "bad body\n");
     return;
   }
-  if (takes_nothing_new || !this->TakeSlot()) {
+  if (refuses_new_requests || !this->TakeSlot()) {
     const std::lock_guard lock(this->counts_mutex);
     ++this->declined;
-    response.set(http::kNotRunHeader, takes_nothing_new ? "leaving" : "full");
+    response.set(http::kNotRunHeader,
+                 refuses_new_requests ? "leaving" : "full");
     http::SendAnswer(response, 503, "text/plain", "not run\n");
     return;
   }
@@ -160,10 +161,10 @@
   announcement.in_flight = this->in_flight;
 }
 
-void Minion::TakeOrders(const fleet::TargetOrders& /*orders*/,
-                        SteadyTime /*sent_at*/) {}
+void Minion::ApplyOrders(const fleet::TargetOrders& /*orders*/,
+                         SteadyTime /*sent_at*/) {}
 
-void Minion::Forget() {
+void Minion::DiscardState() {
   const std::lock_guard lock(this->counts_mutex);
   this->cut_by_reboot += this->in_flight;
 }
--- a/tests/stand_ins/minion.h
+++ b/tests/stand_ins/minion.h
@@ -41,9 +41,9 @@
   void HandleControl(Poco::Net::HTTPServerRequest& request,
                      Poco::Net::HTTPServerResponse& response) override;
   void FillAnnouncement(fleet::Announcement& announcement) override;
-  void TakeOrders(const fleet::TargetOrders& orders,
-                  SteadyTime sent_at) override;
-  void Forget() override;
+  void ApplyOrders(const fleet::TargetOrders& orders,
+                   SteadyTime sent_at) override;
+  void DiscardState() override;
 
  private:
   MinionFault TakeFault();
--- a/tests/stand_ins/target.cc
+++ b/tests/stand_ins/target.cc
@@ -95,7 +95,7 @@
     std::exit(EXIT_FAILURE);
   }
   this->server = *std::move(opened);
-  this->TellPlatform(
+  this->NotifyPlatform(
       "/v1/register",
       nlohmann::json{{"instance", this->name()},
                      {"address", this->options.description.address}}
@@ -144,23 +144,23 @@
   this->last_operation = operation;
   this->rebooters.emplace_back([this, operation] {
     this->is_down = true;
-    this->Forget();
+    this->DiscardState();
     std::this_thread::sleep_for(this->options.reboot_time);
     this->incarnation = WallMilliseconds();
     this->draining = false;
     this->is_down = false;
     this->wake.notify_all();
-    this->TellPlatform("/v1/rebooted",
-                       nlohmann::json{{"operation", operation}}.dump());
+    this->NotifyPlatform("/v1/rebooted",
+                         nlohmann::json{{"operation", operation}}.dump());
   });
 }
 
-void Target::TellPlatform(const std::string& path, const std::string& body) {
+void Target::NotifyPlatform(const std::string& path, const std::string& body) {
   if (!this->options.platform.empty()) {
-    const auto told =
+    const auto reply =
         CallHttp(this->options.platform, "POST", path, body, kCallTimeout);
-    if (!told.ok()) {
-      std::cerr << this->name() << ": platform: " << told.status() << "\n";
+    if (!reply.ok()) {
+      std::cerr << this->name() << ": platform: " << reply.status() << "\n";
     }
   }
 }
@@ -203,7 +203,7 @@
   this->renew_after = orders->renew_after;
   if (orders->is_confirmed && !this->is_down) {
     this->draining = orders->is_draining;
-    this->TakeOrders(*orders, sent_at);
+    this->ApplyOrders(*orders, sent_at);
   }
   return orders->is_confirmed;
 }
--- a/tests/stand_ins/target.h
+++ b/tests/stand_ins/target.h
@@ -58,10 +58,10 @@
   // Adds this kind of target's state to the next renewal.
   virtual void FillAnnouncement(fleet::Announcement& announcement) = 0;
   // Applies the orders in the answer to a renewal that was sent at `sent_at`.
-  virtual void TakeOrders(const fleet::TargetOrders& orders,
-                          SteadyTime sent_at) = 0;
+  virtual void ApplyOrders(const fleet::TargetOrders& orders,
+                           SteadyTime sent_at) = 0;
   // Discards all state that a reboot of the instance loses.
-  virtual void Forget() = 0;
+  virtual void DiscardState() = 0;
 
   bool is_draining() const { return this->draining; }
   void SetMute(bool value) { this->is_mute = value; }
@@ -75,7 +75,7 @@
   void AnnounceLoop();
   bool AnnounceOnce();
   void Reboot(const std::string& operation);
-  void TellPlatform(const std::string& path, const std::string& body);
+  void NotifyPlatform(const std::string& path, const std::string& body);
 
   TargetOptions options;
   std::unique_ptr<http::HttpServer> server;
--- a/tests/stand_ins/worker.cc
+++ b/tests/stand_ins/worker.cc
@@ -32,7 +32,7 @@
           "\n");
 }
 
-void Worker::StopWhatLeaseLost(SteadyTime now) {
+void Worker::StopTasksWithoutLease(SteadyTime now) {
   if (now < this->lease_until) {
     return;
   }
@@ -46,7 +46,7 @@
 void Worker::FillAnnouncement(fleet::Announcement& announcement) {
   const SteadyTime now = SystemClock().SteadyNow();
   const std::lock_guard lock(this->tasks_mutex);
-  this->StopWhatLeaseLost(now);
+  this->StopTasksWithoutLease(now);
   for (auto& [job, task] : this->tasks) {
     if (task.state == TaskState::kRunning && now >= task.ends_at) {
       task.state =
@@ -61,7 +61,8 @@
   }
 }
 
-void Worker::TakeOrders(const fleet::TargetOrders& orders, SteadyTime sent_at) {
+void Worker::ApplyOrders(const fleet::TargetOrders& orders,
+                         SteadyTime sent_at) {
   const SteadyTime now = SystemClock().SteadyNow();
   const std::lock_guard lock(this->tasks_mutex);
   // The lease begins when the renewal was sent, not when its answer arrived.
@@ -92,7 +93,7 @@
   }
 }
 
-void Worker::Forget() {
+void Worker::DiscardState() {
   const std::lock_guard lock(this->tasks_mutex);
   this->tasks.clear();
 }
--- a/tests/stand_ins/worker.h
+++ b/tests/stand_ins/worker.h
@@ -22,9 +22,9 @@
   void HandleControl(Poco::Net::HTTPServerRequest& request,
                      Poco::Net::HTTPServerResponse& response) override;
   void FillAnnouncement(fleet::Announcement& announcement) override;
-  void TakeOrders(const fleet::TargetOrders& orders,
-                  SteadyTime sent_at) override;
-  void Forget() override;
+  void ApplyOrders(const fleet::TargetOrders& orders,
+                   SteadyTime sent_at) override;
+  void DiscardState() override;
 
  private:
   struct Task {
@@ -33,7 +33,7 @@
     fleet::TaskState state = fleet::TaskState::kRunning;
   };
 
-  void StopWhatLeaseLost(SteadyTime now);
+  void StopTasksWithoutLease(SteadyTime now);
 
   std::mutex tasks_mutex;
   std::map<JobId, Task> tasks;
