--- a/tests/stand_ins/platform_main.cc
+++ b/tests/stand_ins/platform_main.cc
@@ -43,7 +43,7 @@
     std::string address;
     {
       const std::lock_guard lock(this->mutex);
-      ++this->times_told[operation];
+      ++this->request_counts[operation];
       const auto known = this->progress.find(operation);
       if (known != this->progress.end()) {
         return {{"progress", known->second}};
@@ -56,23 +56,23 @@
       this->progress[operation] = "accepted";
       address = found->second;
     }
-    const auto told = sumac::stand_ins::CallHttp(
+    const auto reply = sumac::stand_ins::CallHttp(
         address, "POST",
         sumac::StrCat("/platform/reboot?operation=", operation), "",
         kCallTimeout);
-    return {{"progress", told.ok() ? "accepted" : "failed"}};
+    return {{"progress", reply.ok() ? "accepted" : "failed"}};
   }
 
   nlohmann::json Counts() {
     const std::lock_guard lock(this->mutex);
-    return {{"progress", this->progress}, {"times_told", this->times_told}};
+    return {{"progress", this->progress}, {"times_told", this->request_counts}};
   }
 
  private:
   std::mutex mutex;
   std::map<std::string, std::string> addresses;
   std::map<std::string, std::string> progress;
-  std::map<std::string, std::uint64_t> times_told;
+  std::map<std::string, std::uint64_t> request_counts;
 };
 
 void Dispatch(PlatformState& state,
