--- a/tests/stand_ins/fault_proxy.cc
+++ b/tests/stand_ins/fault_proxy.cc
@@ -15,7 +15,7 @@
 
 constexpr std::size_t kPieceBytes = 64U << 10;
 // The interval at which held-back data is checked for release.
-constexpr Milliseconds kHoldStep{10};
+constexpr Milliseconds kReleaseCheckInterval{10};
 
 // Makes the later close of this socket send a reset instead of a regular end.
 void CloseWithReset(kj::AsyncIoStream& stream) {
@@ -45,34 +45,35 @@
 }
 
 kj::Promise<void> FaultProxy::AcceptLoop() {
-  return this->receiver->accept().then([this](kj::Own<kj::AsyncIoStream> near) {
-    this->serving.add(this->Serve(kj::mv(near)));
-    return this->AcceptLoop();
-  });
+  return this->receiver->accept().then(
+      [this](kj::Own<kj::AsyncIoStream> client_side) {
+        this->serving.add(this->Serve(kj::mv(client_side)));
+        return this->AcceptLoop();
+      });
 }
 
-kj::Promise<void> FaultProxy::Serve(kj::Own<kj::AsyncIoStream> near) {
+kj::Promise<void> FaultProxy::Serve(kj::Own<kj::AsyncIoStream> client_side) {
   return this->network.parseAddress(this->target_address)
       .then([](kj::Own<kj::NetworkAddress> address) {
         return address->connect().attach(kj::mv(address));
       })
-      .then(
-          [this, near = kj::mv(near)](kj::Own<kj::AsyncIoStream> far) mutable {
-            auto connection = kj::heap<Connection>();
-            connection->near = kj::mv(near);
-            connection->far = kj::mv(far);
-            return this->Carry(kj::mv(connection));
-          });
+      .then([this, client_side = kj::mv(client_side)](
+                kj::Own<kj::AsyncIoStream> target_side) mutable {
+        auto connection = kj::heap<Connection>();
+        connection->client_side = kj::mv(client_side);
+        connection->target_side = kj::mv(target_side);
+        return this->Forward(kj::mv(connection));
+      });
 }
 
-kj::Promise<void> FaultProxy::Carry(kj::Own<Connection> connection) {
-  Connection& carried = *connection;
+kj::Promise<void> FaultProxy::Forward(kj::Own<Connection> connection) {
+  Connection& forwarded = *connection;
   const std::uint64_t number = this->next_connection++;
-  this->connections[number] = &carried;
+  this->connections[number] = &forwarded;
   auto broken = kj::newPromiseAndFulfiller<void>();
-  carried.reset = kj::mv(broken.fulfiller);
-  return kj::joinPromises(kj::arr(this->PumpOrReset(carried, true),
-                                  this->PumpOrReset(carried, false)))
+  forwarded.reset = kj::mv(broken.fulfiller);
+  return kj::joinPromises(kj::arr(this->PumpOrReset(forwarded, true),
+                                  this->PumpOrReset(forwarded, false)))
       .exclusiveJoin(kj::mv(broken.promise))
       .attach(kj::mv(connection),
               kj::defer([this, number] { this->connections.erase(number); }));
@@ -87,13 +88,15 @@
 }
 
 kj::Promise<void> FaultProxy::Pump(Connection& connection, bool is_to_target) {
-  kj::AsyncIoStream& source = is_to_target ? *connection.near : *connection.far;
-  kj::AsyncIoStream& sink = is_to_target ? *connection.far : *connection.near;
+  kj::AsyncIoStream& source =
+      is_to_target ? *connection.client_side : *connection.target_side;
+  kj::AsyncIoStream& sink =
+      is_to_target ? *connection.target_side : *connection.client_side;
   auto piece = kj::heapArray<kj::byte>(kPieceBytes);
   return source.tryRead(piece.begin(), 1, piece.size())
       .then([this, &connection, &sink, is_to_target,
              piece = kj::mv(piece)](std::size_t size) mutable {
-        return this->AwaitPassage(connection, is_to_target)
+        return this->AwaitDelayAndRelease(connection, is_to_target)
             .then([this, &connection, &sink, is_to_target, size,
                    piece = kj::mv(piece)]() mutable -> kj::Promise<void> {
               if (size == 0) {
@@ -109,8 +112,8 @@
       });
 }
 
-kj::Promise<void> FaultProxy::AwaitPassage(const Connection& connection,
-                                           bool is_to_target) {
+kj::Promise<void> FaultProxy::AwaitDelayAndRelease(const Connection& connection,
+                                                   bool is_to_target) {
   return this->timer.afterDelay(ToKj(this->delay))
       .then([this, &connection, is_to_target]() -> kj::Promise<void> {
         return this->AwaitRelease(connection, is_to_target);
@@ -123,7 +126,7 @@
   if (!is_cut && !connection.is_silent) {
     return kj::READY_NOW;
   }
-  return this->timer.afterDelay(ToKj(kHoldStep))
+  return this->timer.afterDelay(ToKj(kReleaseCheckInterval))
       .then([this, &connection, is_to_target] {
         return this->AwaitRelease(connection, is_to_target);
       });
@@ -166,8 +169,8 @@
 
 void FaultProxy::ResetAll() {
   for (const auto& [number, connection] : this->connections) {
-    CloseWithReset(*connection->near);
-    CloseWithReset(*connection->far);
+    CloseWithReset(*connection->client_side);
+    CloseWithReset(*connection->target_side);
     connection->reset->fulfill();
   }
 }
--- a/tests/stand_ins/fault_proxy.h
+++ b/tests/stand_ins/fault_proxy.h
@@ -42,8 +42,8 @@
   // A client's connection and the connection to the target that belongs to it;
   // owned by the promise that forwards their data.
   struct Connection {
-    kj::Own<kj::AsyncIoStream> near;
-    kj::Own<kj::AsyncIoStream> far;
+    kj::Own<kj::AsyncIoStream> client_side;
+    kj::Own<kj::AsyncIoStream> target_side;
     bool is_silent = false;
     // Ends the forwarding at once.
     kj::Own<kj::PromiseFulfiller<void>> reset;
@@ -51,14 +51,14 @@
 
   void taskFailed(kj::Exception&& error) override;
   kj::Promise<void> AcceptLoop();
-  kj::Promise<void> Serve(kj::Own<kj::AsyncIoStream> near);
-  kj::Promise<void> Carry(kj::Own<Connection> connection);
+  kj::Promise<void> Serve(kj::Own<kj::AsyncIoStream> client_side);
+  kj::Promise<void> Forward(kj::Own<Connection> connection);
   // Forwards data in one direction; an error ends the other direction too.
   kj::Promise<void> PumpOrReset(Connection& connection, bool is_to_target);
   // Forwards data in one direction until the end of its source.
   kj::Promise<void> Pump(Connection& connection, bool is_to_target);
-  kj::Promise<void> AwaitPassage(const Connection& connection,
-                                 bool is_to_target);
+  kj::Promise<void> AwaitDelayAndRelease(const Connection& connection,
+                                         bool is_to_target);
   kj::Promise<void> AwaitRelease(const Connection& connection,
                                  bool is_to_target);
   absl::Status Heal();
