--- a/tests/stand_ins/relay.cc
+++ b/tests/stand_ins/relay.cc
@@ -26,12 +26,12 @@
 kj::Promise<void> Relay::Accept() {
   return this->receiver->accept().then(
       [this](kj::Own<kj::AsyncIoStream>&& stream) {
-        this->tasks.add(this->Carry(kj::mv(stream)));
+        this->tasks.add(this->Forward(kj::mv(stream)));
         return this->Accept();
       });
 }
 
-kj::Promise<void> Relay::Carry(kj::Own<kj::AsyncIoStream> near_side) {
+kj::Promise<void> Relay::Forward(kj::Own<kj::AsyncIoStream> client_side) {
   ++this->open_count;
   const std::size_t number = ++this->accepted_count;
   return this->network.parseAddress(this->target)
@@ -39,19 +39,19 @@
         auto connected = address->connect();
         return connected.attach(kj::mv(address));
       })
-      .then([this, number, near_side = kj::mv(near_side)](
-                kj::Own<kj::AsyncIoStream>&& far_side) mutable {
+      .then([this, number, client_side = kj::mv(client_side)](
+                kj::Own<kj::AsyncIoStream>&& target_side) mutable {
         auto kept = kj::heap<Connection>();
-        kept->near_side = kj::mv(near_side);
-        kept->far_side = kj::mv(far_side);
+        kept->client_side = kj::mv(client_side);
+        kept->target_side = kj::mv(target_side);
         kept->number = number;
         auto there = kj::heapArray<kj::byte>(kBufferBytes);
         auto back = kj::heapArray<kj::byte>(kBufferBytes);
         auto pumped =
-            this->Pump(*kept, *kept->near_side, *kept->far_side, there);
+            this->Pump(*kept, *kept->client_side, *kept->target_side, there);
         return pumped
             .exclusiveJoin(
-                this->Pump(*kept, *kept->far_side, *kept->near_side, back))
+                this->Pump(*kept, *kept->target_side, *kept->client_side, back))
             .attach(kj::mv(kept), kj::mv(there), kj::mv(back));
       })
       .attach(kj::defer([this] { --this->open_count; }));
--- a/tests/stand_ins/relay.h
+++ b/tests/stand_ins/relay.h
@@ -29,8 +29,8 @@
 
  private:
   struct Connection {
-    kj::Own<kj::AsyncIoStream> near_side;
-    kj::Own<kj::AsyncIoStream> far_side;
+    kj::Own<kj::AsyncIoStream> client_side;
+    kj::Own<kj::AsyncIoStream> target_side;
     // Connections are numbered from 1 in the order of their acceptance.
     std::size_t number = 0;
   };
@@ -38,7 +38,7 @@
   void taskFailed(kj::Exception&& exception) override;
 
   kj::Promise<void> Accept();
-  kj::Promise<void> Carry(kj::Own<kj::AsyncIoStream> near_side);
+  kj::Promise<void> Forward(kj::Own<kj::AsyncIoStream> client_side);
   kj::Promise<void> Pump(Connection& connection,
                          kj::AsyncIoStream& from,
                          kj::AsyncIoStream& to,
