--- a/tests/libraries/base/suspended_machine_test.cc
+++ b/tests/libraries/base/suspended_machine_test.cc
@@ -53,7 +53,7 @@
 TEST(SuspendedMachineTest, TheTimeOfASuspensionCounts) {
   const SystemClock clock;
   const SteadyTime before = clock.SteadyNow();
-  PassSuspended(kSuspended);
+  SimulateSuspension(kSuspended);
   EXPECT_GE(clock.SteadyNow() - before, kSuspended);
 }
 
@@ -62,7 +62,7 @@
   auto hanging = parts->connection.Call({.path = "/hang"}, kLimit);
   auto order = parts->connection.Call(
       {.path = "/order", .longest_wait = kLongestWait}, kLimit);
-  PassSuspended(kSuspended);
+  SimulateSuspension(kSuspended);
   EXPECT_EQ(hanging.wait(parts->io.waitScope).outcome,
             http::CallOutcome::kNoAnswer);
   EXPECT_EQ(order.wait(parts->io.waitScope).outcome,
@@ -75,7 +75,7 @@
   auto parts = std::make_unique<Parts>();
   auto order = parts->connection.Call(
       {.path = "/order", .longest_wait = kLongestWait}, kLimit);
-  PassSuspended(kSuspended);
+  SimulateSuspension(kSuspended);
   EXPECT_EQ(order.wait(parts->io.waitScope).outcome,
             http::CallOutcome::kNotSent);
   EXPECT_EQ(parts->arrived, 0);
--- a/tests/stand_ins/suspendable_clock.cc
+++ b/tests/stand_ins/suspendable_clock.cc
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-void PassSuspended(Milliseconds time) {
+void SimulateSuspension(Milliseconds time) {
   suspended_ms += time.count();
 }
 
--- a/tests/stand_ins/suspendable_clock.h
+++ b/tests/stand_ins/suspendable_clock.h
@@ -9,7 +9,7 @@
 // Simulates a suspension of the machine for this program: the clocks that
 // include suspended time jump ahead by `time`, and the others are unchanged.
 // For programs that are linked with suspendable_clock.cc.
-void PassSuspended(Milliseconds time);
+void SimulateSuspension(Milliseconds time);
 
 }  // namespace sumac
 
