--- a/tests/stand_ins/job_caller_main.cc
+++ b/tests/stand_ins/job_caller_main.cc
@@ -38,13 +38,13 @@
 // The deadline that a caller sends, and the maximum time that it waits for an
 // answer; a live entry must answer before that.
 constexpr Milliseconds kDeadline{3'000};
-constexpr Milliseconds kLongestWait{5'000};
+constexpr Milliseconds kCallTimeout{5'000};
 // The number of answers that show a job as ended after which a caller stops
 // asking; more than one, since another entry could still show an older state.
-constexpr int kAskedAfterEnd = 4;
+constexpr int kQueriesAfterEnd = 4;
 // The maximum number of attempts to submit a job that got no clear answer.
-constexpr int kMostAttempts = 6;
-constexpr Milliseconds kLongestPause{400};
+constexpr int kMaxSubmitAttempts = 6;
+constexpr Milliseconds kMaxPause{400};
 
 // The options and the log that all threads share.
 struct Load {
@@ -54,7 +54,7 @@
   std::string prefix;
   std::uint64_t seed = 0;
   SteadyTime submits_until;
-  SteadyTime asks_until;
+  SteadyTime queries_until;
   SystemClock clock;
   EventLog log;
 
@@ -84,23 +84,23 @@
       this->Pause();
       return;
     }
-    const bool is_given_up = !this->is_lasting && this->Draw(8) == 0;
+    const bool will_cancel = !this->is_lasting && this->Draw(8) == 0;
     bool is_cancelled = false;
-    int asked_after_end = 0;
-    for (int asked = 0; asked_after_end < kAskedAfterEnd; ++asked) {
+    int queries_after_end = 0;
+    for (int asked = 0; queries_after_end < kQueriesAfterEnd; ++asked) {
       const SteadyTime now = this->load.clock.SteadyNow();
-      if (now > this->load.asks_until) {
+      if (now > this->load.queries_until) {
         return;
       }
       const bool is_over = this->is_lasting && now > this->load.submits_until;
-      if (!is_cancelled && (is_over || (is_given_up && asked == 2))) {
+      if (!is_cancelled && (is_over || (will_cancel && asked == 2))) {
         is_cancelled = this->Call("DELETE", "cancel", id, "").status == 200;
       }
       this->Pause();
       const std::string state = this->Call("GET", "show", id, "").state;
       const bool has_ended =
           state == "done" || state == "failed" || state == "cancelled";
-      asked_after_end += has_ended ? 1 : 0;
+      queries_after_end += has_ended ? 1 : 0;
     }
   }
 
@@ -108,7 +108,7 @@
   bool Submit(const std::string& id) {
     const nlohmann::json job = this->NewJob();
     this->load.log.Add({{"event", "job"}, {"id", id}, {"steps", job["steps"]}});
-    for (int attempt = 0; attempt < kMostAttempts; ++attempt) {
+    for (int attempt = 0; attempt < kMaxSubmitAttempts; ++attempt) {
       const int status = this->Call("POST", "submit", id, job.dump()).status;
       constexpr std::array kFinal{200, 404, 429, 503};
       if (std::find(kFinal.begin(), kFinal.end(), status) != kFinal.end()) {
@@ -172,7 +172,7 @@
         session = std::make_unique<Poco::Net::HTTPClientSession>(
             Poco::Net::SocketAddress(this->load.entries[entry]));
         session->setKeepAlive(true);
-        session->setTimeout(Poco::Timespan(kLongestWait.count() * 1'000));
+        session->setTimeout(Poco::Timespan(kCallTimeout.count() * 1'000));
       }
       const std::string& prefix =
           this->is_lasting ? this->load.lasting_prefix : this->load.prefix;
@@ -207,8 +207,7 @@
 
   std::uint64_t Draw(std::uint64_t count) { return this->random() % count; }
   void Pause() {
-    std::this_thread::sleep_for(
-        Milliseconds(this->Draw(kLongestPause.count())));
+    std::this_thread::sleep_for(Milliseconds(this->Draw(kMaxPause.count())));
   }
 
   Load& load;
@@ -246,8 +245,9 @@
   load.seed = arguments["seed"].as<std::uint64_t>();
   load.submits_until = load.clock.SteadyNow() +
                        std::chrono::seconds(arguments["seconds"].as<int>());
-  load.asks_until = load.submits_until +
-                    std::chrono::seconds(arguments["settle-seconds"].as<int>());
+  load.queries_until =
+      load.submits_until +
+      std::chrono::seconds(arguments["settle-seconds"].as<int>());
   std::vector<std::thread> threads;
   const auto count = arguments["threads"].as<std::uint64_t>();
   for (std::uint64_t number = 0; number < count; ++number) {
