--- a/tests/stand_ins/caller_main.cc
+++ b/tests/stand_ins/caller_main.cc
@@ -41,11 +41,11 @@
 // The results and latencies of all requests.
 class Outcomes {
  public:
-  void Add(int code, Microseconds latency, bool is_own) {
+  void Add(int code, Microseconds latency, bool is_matching) {
     const std::lock_guard lock(this->mutex);
     ++this->by_code[code];
-    if (code == 0 && !is_own) {
-      ++this->foreign;
+    if (code == 0 && !is_matching) {
+      ++this->mismatched_count;
     }
     if (code == 0) {
       this->latencies.push_back(latency);
@@ -65,7 +65,7 @@
         {"goodput_per_second",
          static_cast<double>(this->latencies.size()) / seconds},
         {"codes", codes},
-        {"foreign_or_cut", this->foreign}};
+        {"foreign_or_cut", this->mismatched_count}};
     benchmarks::AddPercentiles(line, "answer", this->latencies);
     benchmarks::AddPercentiles(line, "refusal", this->refusals);
     return line;
@@ -74,7 +74,7 @@
  private:
   std::mutex mutex;
   std::map<int, std::uint64_t> by_code;
-  std::uint64_t foreign = 0;
+  std::uint64_t mismatched_count = 0;
   std::vector<Microseconds> latencies;
   std::vector<Microseconds> refusals;
 };
@@ -127,40 +127,40 @@
     const std::string key =
         StrCat(SystemClock().Now().time_since_epoch().count(), "-",
                this->load.label, "_", number, "_key");
-    const std::size_t place = number % this->load.entries.size();
+    const std::size_t entry_index = number % this->load.entries.size();
     int code = kNoAnswer;
-    bool is_own = true;
+    bool is_matching = true;
     // If an entry does not answer, the request goes to another one with the
     // same key, as a load balancer would send it.
     for (std::size_t attempt = 0; attempt < 3 && code == kNoAnswer; ++attempt) {
-      code = this->TryOnce((place + attempt) % this->load.entries.size(), body,
-                           key, is_own);
+      code = this->TryOnce((entry_index + attempt) % this->load.entries.size(),
+                           body, key, is_matching);
     }
     this->load.outcomes.Add(
         code, std::chrono::duration_cast<Microseconds>(CallClock::now() - due),
-        is_own);
+        is_matching);
     if (this->load.has_keys) {
       const std::lock_guard lock(this->load.keys_mutex);
       this->load.keys_file << body << " " << code << "\n";
     }
   }
 
-  int TryOnce(std::size_t place,
+  int TryOnce(std::size_t entry_index,
               const std::string& body,
               const std::string& key,
-              bool& is_own) {
-    auto& session = this->sessions[place];
+              bool& is_matching) {
+    auto& session = this->sessions[entry_index];
     try {
       if (!session) {
         session = std::make_unique<Poco::Net::HTTPClientSession>(
-            Poco::Net::SocketAddress(this->load.entries[place]));
+            Poco::Net::SocketAddress(this->load.entries[entry_index]));
         session->setKeepAlive(true);
         session->setTimeout(Poco::Timespan(30, 0));
       }
       Poco::Net::HTTPRequest request("POST", this->load.target,
                                      Poco::Net::HTTPMessage::HTTP_1_1);
       request.setContentLength64(static_cast<Poco::Int64>(body.size()));
-      request.set(http::kCallerHeader, StrCat("caller-", place));
+      request.set(http::kCallerHeader, StrCat("caller-", entry_index));
       if (this->load.has_keys) {
         request.set(http::kIdempotencyKeyHeader, key);
       }
@@ -185,7 +185,7 @@
         return static_cast<int>(ResultCode::kOverloaded);
       }
       const auto json = nlohmann::json::parse(text, nullptr, false);
-      is_own =
+      is_matching =
           code != 0 || (json.is_object() && json.value("echo", "") == body);
       return code;
     } catch (const Poco::Exception&) {
