--- a/benchmarks/scheduler_load.cc
+++ b/benchmarks/scheduler_load.cc
@@ -11,17 +11,18 @@
 namespace {
 
 constexpr int kServices = 5;
-constexpr Milliseconds kTurn{20};
-constexpr int kTurnsToSettle = 150;
-constexpr int kTurnsMeasured = 400;
-constexpr double kSeconds = 0.001 * static_cast<double>(kTurn.count());
+constexpr Milliseconds kIterationTime{20};
+constexpr int kSettlingIterations = 150;
+constexpr int kMeasuredIterations = 400;
+constexpr double kIterationSeconds =
+    0.001 * static_cast<double>(kIterationTime.count());
 // Starts and moves for each worker and second.
-constexpr double kStarts = 0.75;
-constexpr double kMoves = 0.12;
+constexpr double kStartsPerWorkerSecond = 0.75;
+constexpr double kMovesPerWorkerSecond = 0.12;
 // The number of workers for each waiting job and for each long-running job.
 constexpr std::size_t kWorkersPerWaitingJob = 4;
 constexpr int kWorkersPerLastingJob = 12;
-constexpr Milliseconds kReportPause{600};
+constexpr Milliseconds kReportInterval{600};
 constexpr Milliseconds kShortestRun{700};
 constexpr Milliseconds kLongestRun{1'300};
 constexpr int kRefusedPercent = 10;
@@ -75,7 +76,7 @@
     this->AddTarget(number);
   }
   for (int number = 0; number < workers; number += kWorkersPerLastingJob) {
-    this->SubmitLasting(number / kWorkersPerLastingJob);
+    this->SubmitLastingJob(number / kWorkersPerLastingJob);
   }
 }
 
@@ -113,7 +114,7 @@
       .labels = {"a", rack.value()},
       .sequence = 1};
   const SteadyTime now = this->clock.SteadyNow();
-  std::uniform_int_distribution<std::int64_t> delay(0, kReportPause.count());
+  std::uniform_int_distribution<std::int64_t> delay(0, kReportInterval.count());
   this->targets[worker.id] =
       Target{.worker = worker,
              .report_due = now + Milliseconds(delay(this->random)),
@@ -137,7 +138,7 @@
   this->AddTarget(number);
 }
 
-void SchedulerLoad::SubmitLasting(int number) {
+void SchedulerLoad::SubmitLastingJob(int number) {
   jobs::StepSpec step{.count = 24,
                       .need = {.millicores = 2'400, .memory_mb = 8'000},
                       .estimate = Milliseconds(700),
@@ -150,7 +151,7 @@
       jobs::JobSpec{.text = std::string(150, 't'), .steps = {step}}});
 }
 
-void SchedulerLoad::SubmitShort() {
+void SchedulerLoad::SubmitShortJob() {
   std::uniform_int_distribution<int> width(2, 14);
   std::uniform_int_distribution<std::int64_t> need(1'000, 5'000);
   std::uniform_int_distribution<int> pick(0, kServices - 1);
@@ -175,7 +176,7 @@
       (this->clock.SteadyNow() - target.began_at).count() + 1);
 }
 
-void SchedulerLoad::Fingerprint(std::string_view text) {
+void SchedulerLoad::AddToFingerprint(std::string_view text) {
   for (const char letter : text) {
     this->fingerprint ^= static_cast<unsigned char>(letter);
     this->fingerprint *= 1'099'511'628'211U;
@@ -183,29 +184,29 @@
 }
 
 void SchedulerLoad::Run() {
-  for (int turn = 0; turn < kTurnsToSettle; ++turn) {
-    this->Turn();
+  for (int iteration = 0; iteration < kSettlingIterations; ++iteration) {
+    this->RunIteration();
   }
   this->meters.emplace(this->instructions);
   this->start_count = 0;
   this->waiting_sum = 0;
-  for (int turn = 0; turn < kTurnsMeasured; ++turn) {
-    this->Turn();
+  for (int iteration = 0; iteration < kMeasuredIterations; ++iteration) {
+    this->RunIteration();
   }
 }
 
-void SchedulerLoad::Turn() {
-  this->clock.Advance(kTurn);
+void SchedulerLoad::RunIteration() {
+  this->clock.Advance(kIterationTime);
   const auto workers = static_cast<double>(this->size);
-  for (this->moves_due += kMoves * workers * kSeconds; this->moves_due >= 1;
-       this->moves_due -= 1) {
+  for (this->moves_due += kMovesPerWorkerSecond * workers * kIterationSeconds;
+       this->moves_due >= 1; this->moves_due -= 1) {
     this->MoveTarget();
   }
   const std::size_t wanted =
       std::max<std::size_t>(this->size / kWorkersPerWaitingJob, 4);
   for (std::size_t waiting = this->scheduler->waiting_count(); waiting < wanted;
        ++waiting) {
-    this->SubmitShort();
+    this->SubmitShortJob();
   }
   for (auto& [id, target] : this->targets) {
     this->EndRuns(target);
@@ -213,7 +214,7 @@
       this->Report(target);
     }
   }
-  this->Pass();
+  this->RunPlanningPass();
 }
 
 void SchedulerLoad::EndRuns(Target& target) {
@@ -237,7 +238,7 @@
 
 void SchedulerLoad::Report(Target& target) {
   const SteadyTime now = this->clock.SteadyNow();
-  target.report_due = now + kReportPause;
+  target.report_due = now + kReportInterval;
   const auto renewal = this->meters->renewal.Measure(
       [&] { return this->scheduler->NextRenewal(target.worker.id, now); });
   std::erase_if(target.ended, [&](const scheduler::EndReport& end) {
@@ -259,9 +260,10 @@
   }
 }
 
-void SchedulerLoad::Pass() {
+void SchedulerLoad::RunPlanningPass() {
   this->starts_due = std::min(this->starts_due, 1.0) +
-                     kStarts * static_cast<double>(this->size) * kSeconds;
+                     kStartsPerWorkerSecond * static_cast<double>(this->size) *
+                         kIterationSeconds;
   const scheduler::StartAllowance allowed{
       .all = static_cast<std::size_t>(this->starts_due)};
   const scheduler::SchedulerOutput output = this->meters->pass.Measure([&] {
@@ -270,18 +272,18 @@
   });
   this->waiting_sum += this->scheduler->waiting_count();
   for (const scheduler::Order& order : output.orders) {
-    this->CarryOut(order);
+    this->ExecuteOrder(order);
   }
   for (const jobs::Command& command : output.commands) {
     this->Commit(command);
   }
 }
 
-void SchedulerLoad::CarryOut(const scheduler::Order& order) {
+void SchedulerLoad::ExecuteOrder(const scheduler::Order& order) {
   std::visit(
       [this](const auto& order) {
-        this->Fingerprint(StrCat(order.worker.value(), order.task.ToText(), "#",
-                                 order.run.value(), ";"));
+        this->AddToFingerprint(StrCat(order.worker.value(), order.task.ToText(),
+                                      "#", order.run.value(), ";"));
       },
       order);
   scheduler::OrderAnswer answer{.result = scheduler::OrderResult::kDone};
@@ -324,7 +326,7 @@
   nlohmann::json line{{"bench", "scheduler"},
                       {"workers", this->size},
                       {"starts", this->start_count},
-                      {"mean_waiting", this->waiting_sum / kTurnsMeasured},
+                      {"mean_waiting", this->waiting_sum / kMeasuredIterations},
                       {"decisions", this->fingerprint}};
   this->meters->pass.Write("pass", line);
   this->meters->answer.Write("answer", line);
--- a/benchmarks/scheduler_load.h
+++ b/benchmarks/scheduler_load.h
@@ -62,16 +62,16 @@
   void Commit(jobs::Command command);
   void AddTarget(int number);
   void MoveTarget();
-  void SubmitLasting(int number);
-  void SubmitShort();
-  void Turn();
+  void SubmitLastingJob(int number);
+  void SubmitShortJob();
+  void RunIteration();
   void EndRuns(Target& target);
   void Report(Target& target);
-  void Pass();
-  void CarryOut(const scheduler::Order& order);
+  void RunPlanningPass();
+  void ExecuteOrder(const scheduler::Order& order);
   scheduler::OrderAnswer Start(const scheduler::StartOrder& order);
   scheduler::WorkerTime ClockOf(const Target& target) const;
-  void Fingerprint(std::string_view text);
+  void AddToFingerprint(std::string_view text);
 
   std::size_t size;
   std::mt19937_64 random{1};
