--- a/benchmarks/control_bench.cc
+++ b/benchmarks/control_bench.cc
@@ -56,11 +56,11 @@
     }
   }
 
-  void Commit();
-  void Gap();
-  void Followers();
-  void CatchUp();
-  void Fill();
+  void MeasureCommits();
+  void MeasureLongestGap();
+  void MeasureFollowers();
+  void MeasureCatchUp();
+  void FillLog();
 
  private:
   std::unique_ptr<rpc::Channel> Open(const std::string& address) {
@@ -69,7 +69,9 @@
                                           address);
   }
 
-  int Number(const char* name) const { return this->arguments[name].as<int>(); }
+  int IntOption(const char* name) const {
+    return this->arguments[name].as<int>();
+  }
 
   // Commits one claim at one controller.
   kj::Promise<fleet::Answer> ProposeAt(rpc::Channel& channel,
@@ -144,10 +146,10 @@
 
 // Measures the latency and rate of commits of claims from 1, 16 and 128
 // concurrent loops.
-void Bench::Commit() {
+void Bench::MeasureCommits() {
   rpc::Channel& leader = this->FindLeader();
   for (const int loops : {1, 16, 128}) {
-    int left = this->Number("count");
+    int left = this->IntOption("count");
     std::vector<Microseconds> latencies;
     auto running = kj::heapArrayBuilder<kj::Promise<void>>(loops);
     const auto begin = BenchClock::now();
@@ -170,9 +172,9 @@
 
 // Commits claims one after the other at any controller that leads, and measures
 // the longest time without a commit.
-void Bench::Gap() {
+void Bench::MeasureLongestGap() {
   const auto end =
-      BenchClock::now() + std::chrono::seconds(this->Number("seconds"));
+      BenchClock::now() + std::chrono::seconds(this->IntOption("seconds"));
   auto last = BenchClock::now();
   Microseconds longest{0};
   std::size_t commits = 0;
@@ -251,10 +253,10 @@
 
 // Applies declarations one after the other and measures the time from the
 // acceptance of each until the last of a number of followers has received it.
-void Bench::Followers() {
+void Bench::MeasureFollowers() {
   const auto door = this->Open(this->arguments["operators"].as<std::string>());
   std::vector<std::unique_ptr<rpc::Channel>> channels;
-  const int count = this->Number("followers");
+  const int count = this->IntOption("followers");
   channels.reserve(count);
   for (int number = 0; number < count; ++number) {
     channels.push_back(
@@ -263,7 +265,7 @@
   std::uint64_t version = this->ApplyNext(*door);
   std::vector<Microseconds> to_last;
   std::vector<Microseconds> apply_times;
-  for (int change = 0; change < this->Number("count"); ++change) {
+  for (int change = 0; change < this->IntOption("count"); ++change) {
     std::vector<BenchClock::time_point> reached(count);
     auto following = kj::heapArrayBuilder<kj::Promise<void>>(count);
     for (int number = 0; number < count; ++number) {
@@ -294,10 +296,10 @@
 
 // Measures the time and the bytes that a follower needs to catch up on a number
 // of missed changes.
-void Bench::CatchUp() {
+void Bench::MeasureCatchUp() {
   const auto door = this->Open(this->arguments["operators"].as<std::string>());
   const std::uint64_t missed_from = this->ApplyNext(*door);
-  for (int change = 0; change < this->Number("count"); ++change) {
+  for (int change = 0; change < this->IntOption("count"); ++change) {
     this->ApplyNext(*door);
   }
   const auto begin = BenchClock::now();
@@ -306,7 +308,7 @@
   request.setWaitMs(0);
   const auto response = request.send().wait(this->io.waitScope);
   std::cout << nlohmann::json{{"bench", "catch_up"},
-                              {"missed_changes", this->Number("count")},
+                              {"missed_changes", this->IntOption("count")},
                               {"is_delta", response.getIsDelta()},
                               {"bytes", response.getView().size()},
                               {"ms", static_cast<double>(Since(begin).count()) /
@@ -316,10 +318,10 @@
 }
 
 // Commits a number of claims as fast as possible, to make the log long.
-void Bench::Fill() {
+void Bench::FillLog() {
   constexpr int kLoops = 128;
   rpc::Channel& leader = this->FindLeader();
-  int left = this->Number("count");
+  int left = this->IntOption("count");
   std::vector<Microseconds> latencies;
   auto running = kj::heapArrayBuilder<kj::Promise<void>>(kLoops);
   for (int loop = 0; loop < kLoops; ++loop) {
@@ -387,15 +389,15 @@
   }
   Bench bench(arguments);
   if (what == "commit") {
-    bench.Commit();
+    bench.MeasureCommits();
   } else if (what == "gap") {
-    bench.Gap();
+    bench.MeasureLongestGap();
   } else if (what == "followers") {
-    bench.Followers();
+    bench.MeasureFollowers();
   } else if (what == "catch-up") {
-    bench.CatchUp();
+    bench.MeasureCatchUp();
   } else if (what == "fill") {
-    bench.Fill();
+    bench.FillLog();
   } else {
     std::cerr << DescribeOptions();
     return 2;
