--- a/benchmarks/replication_bench.cc
+++ b/benchmarks/replication_bench.cc
@@ -49,7 +49,7 @@
       replication::StartState start{.self = voter,
                                     .seed = this->replicas.size() + 1};
       start.snapshot.meta.membership = membership;
-      this->places[voter] = this->replicas.size();
+      this->node_indexes[voter] = this->replicas.size();
       this->replicas.emplace_back(replication::ReplicationSettings(), start,
                                   this->Steady());
       this->busy_until.emplace_back(0);
@@ -57,7 +57,7 @@
   }
 
   // Runs until a replica leads and returns its index.
-  std::size_t Elect() {
+  std::size_t AwaitLeader() {
     while (true) {
       this->RunUntil(this->now + Microseconds(10'000));
       for (std::size_t node = 0; node < this->replicas.size(); ++node) {
@@ -70,7 +70,9 @@
 
   // Makes `count` proposals at `rate` per second and returns the latency of
   // each commit.
-  std::vector<Microseconds> Load(std::size_t leader, double rate, int count) {
+  std::vector<Microseconds> ProposeAtRate(std::size_t leader,
+                                          double rate,
+                                          int count) {
     this->committed_at.clear();
     std::vector<std::pair<LogIndex, Microseconds>> proposed;
     const Microseconds begin = this->now;
@@ -81,7 +83,7 @@
           this->replicas[leader].Propose("command", this->Steady());
       if (index.ok()) {
         proposed.emplace_back(*index, this->now);
-        this->Schedule(leader);
+        this->ScheduleIteration(leader);
       }
     }
     this->RunUntil(this->now + Microseconds(500'000));
@@ -109,7 +111,7 @@
 
   // Schedules the next iteration of the replica's loop: now, or when its disk
   // has finished.
-  void Schedule(std::size_t node) {
+  void ScheduleIteration(std::size_t node) {
     this->Push(std::max(this->now, this->busy_until[node]), node, std::nullopt);
   }
 
@@ -123,7 +125,7 @@
         this->next_tick += kTick;
         for (std::size_t node = 0; node < this->replicas.size(); ++node) {
           this->replicas[node].Tick(this->Steady());
-          this->Schedule(node);
+          this->ScheduleIteration(node);
         }
         continue;
       }
@@ -142,11 +144,11 @@
     const std::size_t node = event.node;
     if (event.message) {
       this->replicas[node].Receive(*std::move(event.message), this->Steady());
-      this->Schedule(node);
+      this->ScheduleIteration(node);
       return;
     }
     if (this->busy_until[node] > this->now) {
-      this->Schedule(node);
+      this->ScheduleIteration(node);
       return;
     }
     if (!this->replicas[node].has_output()) {
@@ -162,14 +164,14 @@
         this->replicas[node].role() == replication::Role::kLeader &&
         !output.hard_state;
     for (Message& message : output.messages) {
-      const std::size_t to = this->places.at(message.to);
+      const std::size_t to = this->node_indexes.at(message.to);
       this->Push((is_early ? this->now : done) + this->one_way, to,
                  std::move(message));
     }
     for (const replication::Entry& entry : output.committed) {
       this->committed_at[{node, entry.index}] = done;
     }
-    this->Schedule(node);
+    this->ScheduleIteration(node);
   }
 
   Microseconds one_way;
@@ -179,14 +181,14 @@
   std::uint64_t order = 0;
   std::vector<Replica> replicas;
   std::vector<Microseconds> busy_until;
-  std::map<NodeId, std::size_t> places;
+  std::map<NodeId, std::size_t> node_indexes;
   std::map<std::pair<std::size_t, LogIndex>, Microseconds> committed_at;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events;
 };
 
 void Measure(int voters, Microseconds one_way, Microseconds disk, double rate) {
   Group group(voters, one_way, disk);
-  const std::size_t leader = group.Elect();
+  const std::size_t leader = group.AwaitLeader();
   constexpr int kCount = 2'000;
   nlohmann::json line = {
       {"bench", "commit_by_distance"},
@@ -194,7 +196,8 @@
       {"one_way_ms", static_cast<double>(one_way.count()) / 1'000},
       {"disk_ms", static_cast<double>(disk.count()) / 1'000},
       {"rate_per_second", rate}};
-  const std::vector<Microseconds> latencies = group.Load(leader, rate, kCount);
+  const std::vector<Microseconds> latencies =
+      group.ProposeAtRate(leader, rate, kCount);
   line["committed"] = latencies.size();
   AddPercentiles(line, "commit", latencies);
   std::cout << line.dump() << "\n";
