--- a/utilities/sumacctl/commands.cc
+++ b/utilities/sumacctl/commands.cc
@@ -34,11 +34,11 @@
   }
 };
 
-using Function = std::function<Answer(const Call&)>;
+using CommandFunction = std::function<Answer(const Call&)>;
 
 struct Command {
   CommandInfo info;
-  Function run;
+  CommandFunction run;
   // The columns of the table that shows the answer; empty if the answer is not
   // shown as a table.
   std::vector<Column> columns;
@@ -292,8 +292,8 @@
   return found == kColumns.end() ? kNone : found->second;
 }
 
-const std::vector<Command>& Table() {
-  static const std::vector<Command> kTable = {
+const std::vector<Command>& CommandTable() {
+  static const std::vector<Command> kCommands = {
       {{"apply",
         {"FILE"},
         "put a declaration in force; needs --revision; --wait until all act on "
@@ -410,13 +410,13 @@
        },
        {}},
   };
-  return kTable;
+  return kCommands;
 }
 
-// Finds the command that the first words name, and sets `words_taken` to the
-// number of words in its name. Names of two words are tried first.
+// Finds the command that the first words name, and sets `name_word_count` to
+// the number of words in its name. Names of two words are tried first.
 const Command* FindCommand(const std::vector<std::string>& words,
-                           std::size_t& words_taken) {
+                           std::size_t& name_word_count) {
   for (const std::size_t count : {std::size_t{2}, std::size_t{1}}) {
     if (words.size() < count) {
       continue;
@@ -424,17 +424,17 @@
     const std::string name =
         count == 1 ? words[0] : StrCat(words[0], " ", words[1]);
     const auto found = std::find_if(
-        Table().begin(), Table().end(),
+        CommandTable().begin(), CommandTable().end(),
         [&](const Command& command) { return command.info.name == name; });
-    if (found != Table().end()) {
-      words_taken = count;
+    if (found != CommandTable().end()) {
+      name_word_count = count;
       return &*found;
     }
   }
   return nullptr;
 }
 
-bool DoArgumentsFit(const CommandInfo& info, std::size_t count) {
+bool IsArgumentCountValid(const CommandInfo& info, std::size_t count) {
   const auto required = static_cast<std::size_t>(std::count_if(
       info.arguments.begin(), info.arguments.end(),
       [](const std::string& argument) { return argument.front() != '['; }));
@@ -473,7 +473,7 @@
 const std::vector<CommandInfo>& AllCommands() {
   static const std::vector<CommandInfo> kInfos = [] {
     std::vector<CommandInfo> infos;
-    for (const Command& command : Table()) {
+    for (const Command& command : CommandTable()) {
       infos.push_back(command.info);
     }
     return infos;
@@ -482,18 +482,18 @@
 }
 
 Answer RunCommand(OperatorClient& client, const Invocation& invocation) {
-  std::size_t words_taken = 0;
-  const Command* command = FindCommand(invocation.words, words_taken);
+  std::size_t name_word_count = 0;
+  const Command* command = FindCommand(invocation.words, name_word_count);
   if (command == nullptr) {
     return Answer{.code = ResultCode::kBadArgument,
                   .message = "there is no such command; see --help"};
   }
   Call call{
       client, invocation,
-      std::vector<std::string>(
-          invocation.words.begin() + static_cast<std::ptrdiff_t>(words_taken),
-          invocation.words.end())};
-  if (!DoArgumentsFit(command->info, call.arguments.size())) {
+      std::vector<std::string>(invocation.words.begin() +
+                                   static_cast<std::ptrdiff_t>(name_word_count),
+                               invocation.words.end())};
+  if (!IsArgumentCountValid(command->info, call.arguments.size())) {
     std::string usage = command->info.name;
     for (const std::string& argument : command->info.arguments) {
       StrAppend(&usage, " ", argument);
@@ -515,8 +515,8 @@
   if (!answer.decision.value().empty()) {
     StrAppend(&text, "decision ", answer.decision.value(), "\n");
   }
-  std::size_t words_taken = 0;
-  const Command* command = FindCommand(invocation.words, words_taken);
+  std::size_t name_word_count = 0;
+  const Command* command = FindCommand(invocation.words, name_word_count);
   if (command != nullptr && answer.is_ok() && !answer.document.is_null()) {
     text += FormatDocument(*command, invocation, answer.document);
   }
