--- a/utilities/sumacctl/table.cc
+++ b/utilities/sumacctl/table.cc
@@ -9,7 +9,7 @@
 namespace sumac::ctl {
 namespace {
 
-constexpr std::size_t kGap = 2;
+constexpr std::size_t kColumnGap = 2;
 
 std::string CellText(const nlohmann::json& row, const std::string& pointer) {
   const nlohmann::json::json_pointer place(pointer);
@@ -54,8 +54,9 @@
     for (std::size_t position = 0; position < line.size(); ++position) {
       const bool is_last = position + 1 == line.size();
       text += line[position];
-      text.append(is_last ? 0 : widths[position] - line[position].size() + kGap,
-                  ' ');
+      text.append(
+          is_last ? 0 : widths[position] - line[position].size() + kColumnGap,
+          ' ');
     }
     text += '\n';
   }
