--- a/utilities/sumacctl/commands.cc
+++ b/utilities/sumacctl/commands.cc
@@ -54,8 +54,8 @@
 Answer Get(OperatorClient& client,
            const std::string& kind,
            const std::string& name) {
-  return client.Call([&](Operator::Client door) {
-    auto request = door.getRequest();
+  return client.Call([&](Operator::Client operator_service) {
+    auto request = operator_service.getRequest();
     request.setKind(kind);
     request.setName(name);
     return request.send();
@@ -80,8 +80,8 @@
             "apply needs --revision, the revision the file was made from; see "
             "get declaration (0 for the first)"};
   }
-  return call.client.Call([&](Operator::Client door) {
-    auto request = door.applyRequest();
+  return call.client.Call([&](Operator::Client operator_service) {
+    auto request = operator_service.applyRequest();
     FillIdentity(request, call.invocation);
     request.setDeclaration(*text);
     request.setExpectedRevision(expected);
@@ -92,8 +92,8 @@
 // Waits until all live entries use this version of the view.
 Answer AwaitInForce(const Call& call, std::uint64_t version) {
   constexpr std::uint32_t kWaitMs = 5'000;
-  return call.client.Call([&](Operator::Client door) {
-    auto request = door.inForceRequest();
+  return call.client.Call([&](Operator::Client operator_service) {
+    auto request = operator_service.inForceRequest();
     request.setVersion(version);
     request.setWaitMs(kWaitMs);
     return request.send();
@@ -110,8 +110,8 @@
 }
 
 Answer ChangeController(const Call& call, const std::string& action) {
-  return call.client.Call([&](Operator::Client door) {
-    auto request = door.changeControllerRequest();
+  return call.client.Call([&](Operator::Client operator_service) {
+    auto request = operator_service.changeControllerRequest();
     FillIdentity(request, call.invocation);
     request.setAction(action);
     request.setNode(call.argument(0));
@@ -138,8 +138,8 @@
   if (!text.ok()) {
     return Answer::FromStatus(text.status());
   }
-  return call.client.Call([&](Operator::Client door) {
-    auto request = door.diffRequest();
+  return call.client.Call([&](Operator::Client operator_service) {
+    auto request = operator_service.diffRequest();
     request.setDeclaration(*text);
     return request.send();
   });
@@ -148,8 +148,8 @@
 // Sends a command for one instance; `make` creates the request.
 template <typename MakeRequest>
 Answer Operate(const Call& call, MakeRequest make) {
-  return call.client.Call([&](Operator::Client door) {
-    auto request = make(door);
+  return call.client.Call([&](Operator::Client operator_service) {
+    auto request = make(operator_service);
     FillIdentity(request, call.invocation);
     request.setInstance(call.argument(0));
     return request.send();
@@ -157,8 +157,8 @@
 }
 
 Answer Move(const Call& call) {
-  return call.client.Call([&](Operator::Client door) {
-    auto request = door.moveRequest();
+  return call.client.Call([&](Operator::Client operator_service) {
+    auto request = operator_service.moveRequest();
     FillIdentity(request, call.invocation);
     request.setInstance(call.argument(0));
     request.setPool(call.argument(1));
@@ -171,8 +171,8 @@
   if (!text.ok()) {
     return Answer::FromStatus(text.status());
   }
-  return call.client.Call([&](Operator::Client door) {
-    auto request = door.submitJobRequest();
+  return call.client.Call([&](Operator::Client operator_service) {
+    auto request = operator_service.submitJobRequest();
     FillIdentity(request, call.invocation);
     request.setJob(*text);
     return request.send();
@@ -180,8 +180,8 @@
 }
 
 Answer CancelJob(const Call& call) {
-  return call.client.Call([&](Operator::Client door) {
-    auto request = door.cancelJobRequest();
+  return call.client.Call([&](Operator::Client operator_service) {
+    auto request = operator_service.cancelJobRequest();
     FillIdentity(request, call.invocation);
     request.setJob(call.argument(0));
     return request.send();
@@ -189,16 +189,16 @@
 }
 
 Answer Explain(const Call& call) {
-  return call.client.Call([&](Operator::Client door) {
-    auto request = door.explainRequest();
+  return call.client.Call([&](Operator::Client operator_service) {
+    auto request = operator_service.explainRequest();
     request.setDecisionId(call.argument(0));
     return request.send();
   });
 }
 
 Answer Why(const Call& call) {
-  return call.client.Call([&](Operator::Client door) {
-    auto request = door.whyRequest();
+  return call.client.Call([&](Operator::Client operator_service) {
+    auto request = operator_service.whyRequest();
     request.setKind(call.argument(0));
     request.setName(call.argument(1));
     return request.send();
@@ -317,14 +317,15 @@
         {"INSTANCE"},
         "take an instance's work away, within its pool's budget"},
        [](const Call& call) {
-         return Operate(
-             call, [](Operator::Client& door) { return door.drainRequest(); });
+         return Operate(call, [](Operator::Client& operator_service) {
+           return operator_service.drainRequest();
+         });
        },
        {}},
       {{"undrain", {"INSTANCE"}, "give a drained instance back to its pool"},
        [](const Call& call) {
-         return Operate(call, [](Operator::Client& door) {
-           return door.undrainRequest();
+         return Operate(call, [](Operator::Client& operator_service) {
+           return operator_service.undrainRequest();
          });
        },
        {}},
@@ -332,8 +333,9 @@
         {"INSTANCE"},
         "drain an instance and have the platform reboot it"},
        [](const Call& call) {
-         return Operate(
-             call, [](Operator::Client& door) { return door.rebootRequest(); });
+         return Operate(call, [](Operator::Client& operator_service) {
+           return operator_service.rebootRequest();
+         });
        },
        {}},
       {{"move",
@@ -396,8 +398,8 @@
        {}},
       {{"hand-over", {}, "hand leadership to another controller"},
        [](const Call& call) {
-         return call.client.Call([&](Operator::Client door) {
-           auto request = door.handOverRequest();
+         return call.client.Call([&](Operator::Client operator_service) {
+           auto request = operator_service.handOverRequest();
            FillIdentity(request, call.invocation);
            return request.send();
          });
@@ -405,8 +407,9 @@
        {}},
       {{"status", {}, "the process that answers, and how old what it knows is"},
        [](const Call& call) {
-         return call.client.Call(
-             [](Operator::Client door) { return door.statusRequest().send(); });
+         return call.client.Call([](Operator::Client operator_service) {
+           return operator_service.statusRequest().send();
+         });
        },
        {}},
   };
