--- a/benchmarks/control_bench.cc
+++ b/benchmarks/control_bench.cc
@@ -87,7 +87,7 @@
                                BenchClock::time_point& reached_at);
   // Applies the next declaration and returns the version of the view in which
   // it is in force.
-  std::uint64_t ApplyNext(rpc::Channel& door);
+  std::uint64_t ApplyNext(rpc::Channel& operator_channel);
 
   const options::variables_map& arguments;
   kj::AsyncIoContext io;
@@ -210,8 +210,8 @@
             << std::endl;
 }
 
-std::uint64_t Bench::ApplyNext(rpc::Channel& door) {
-  auto request = door.Get<wire::Operator>().applyRequest();
+std::uint64_t Bench::ApplyNext(rpc::Channel& operator_channel) {
+  auto request = operator_channel.Get<wire::Operator>().applyRequest();
   auto identity = request.initIdentity();
   identity.setOperatorName("bench");
   identity.setRequestId(StrCat("bench-", ::getpid(), "-", ++this->next_key));
@@ -219,7 +219,8 @@
   request.setDeclaration(StrCat(R"({"pools":[{"name":"p","capacity":)",
                                 this->next_key % 1'000 + 1, "}]}"));
   const fleet::Answer answer =
-      door.Guard(kCallLimit, request.send().then([](auto&& response) {
+      operator_channel
+          .Guard(kCallLimit, request.send().then([](auto&& response) {
             return rpc::ReadAnswer(response.getResult());
           }))
           .wait(this->io.waitScope);
@@ -254,7 +255,8 @@
 // Applies declarations one after the other and measures the time from the
 // acceptance of each until the last of a number of followers has received it.
 void Bench::MeasureFollowers() {
-  const auto door = this->Open(this->arguments["operators"].as<std::string>());
+  const auto operator_channel =
+      this->Open(this->arguments["operators"].as<std::string>());
   std::vector<std::unique_ptr<rpc::Channel>> channels;
   const int count = this->IntOption("followers");
   channels.reserve(count);
@@ -262,7 +264,7 @@
     channels.push_back(
         this->Open(this->peers[number % this->peers.size()]->address()));
   }
-  std::uint64_t version = this->ApplyNext(*door);
+  std::uint64_t version = this->ApplyNext(*operator_channel);
   std::vector<Microseconds> to_last;
   std::vector<Microseconds> apply_times;
   for (int change = 0; change < this->IntOption("count"); ++change) {
@@ -274,7 +276,7 @@
                         .eagerlyEvaluate(nullptr));
     }
     const auto begin = BenchClock::now();
-    const std::uint64_t accepted_version = this->ApplyNext(*door);
+    const std::uint64_t accepted_version = this->ApplyNext(*operator_channel);
     const auto accepted = BenchClock::now();
     kj::joinPromises(following.finish()).wait(this->io.waitScope);
     const auto last = *std::max_element(reached.begin(), reached.end());
@@ -297,10 +299,11 @@
 // Measures the time and the bytes that a follower needs to catch up on a number
 // of missed changes.
 void Bench::MeasureCatchUp() {
-  const auto door = this->Open(this->arguments["operators"].as<std::string>());
-  const std::uint64_t missed_from = this->ApplyNext(*door);
+  const auto operator_channel =
+      this->Open(this->arguments["operators"].as<std::string>());
+  const std::uint64_t missed_from = this->ApplyNext(*operator_channel);
   for (int change = 0; change < this->IntOption("count"); ++change) {
-    this->ApplyNext(*door);
+    this->ApplyNext(*operator_channel);
   }
   const auto begin = BenchClock::now();
   auto request = this->peers.front()->Get<wire::Peer>().followRequest();
