--- a/tests/stand_ins/soak_checks_test.cc
+++ b/tests/stand_ins/soak_checks_test.cc
@@ -122,7 +122,7 @@
 // The soak test logs a kill just before it kills the process. Guards against
 // considering a task lost that ended as done in between, which reported its job
 // as shown done too early.
-TEST(SoakChecks, KnowsAnEndBetweenTheNoteOfAKillAndTheKill) {
+TEST(SoakChecks, CountsAnEndBetweenTheLogEntryOfAKillAndTheKill) {
   std::vector<json> events = SoundHistory();
   events.push_back(NamedEvent(3'198, "killed", "process", "process-of-b"));
   EXPECT_EQ(Find(events), std::vector<std::string>());
@@ -140,7 +140,7 @@
             "started after an acknowledged end");
 }
 
-TEST(SoakChecks, LetsARunBeginAgainAfterALapse) {
+TEST(SoakChecks, LetsARunBeginAgainAfterALeaseExpired) {
   std::vector<json> events = SoundHistory();
   events.push_back(NamedEvent(335, "lapse", "worker", "b"));
   events.push_back(Start(400, "b", 1, 2));
