--- a/tests/stand_ins/fault_proxy.cc
+++ b/tests/stand_ins/fault_proxy.cc
@@ -176,8 +176,7 @@
 }
 
 void FaultProxy::taskFailed(kj::Exception&& error) {
-  // Resets and unreachable targets are expected here, so this is a warning
-  // only.
+  // Resets and unreachable targets are expected, so this is only a warning.
   KJ_LOG(WARNING, error.getDescription());
 }
 
--- a/tests/stand_ins/soak_history.h
+++ b/tests/stand_ins/soak_history.h
@@ -22,7 +22,7 @@
   std::string worker;
   bool is_lasting = false;
   WallTime began_at;
-  // The maximum time while the run has not ended.
+  // WallTime::max() while the run has not ended.
   WallTime ended_at = WallTime::max();
   // The cause of the end; "died" if the run ended with its worker.
   std::string cause;
