--- a/libraries/base/descriptor_shares.cc
+++ b/libraries/base/descriptor_shares.cc
@@ -13,38 +13,38 @@
 
 // Beyond this a process has more connections than it has time for; it keeps the
 // sums small where the operating system names no limit.
-constexpr std::size_t kMostDescriptors = 1U << 20;
+constexpr std::size_t kMaxDescriptors = 1U << 20;
 // Below this there is no room for a group of five, a dozen callers and a few
 // workers.
-constexpr std::size_t kFewestDescriptors = 128;
+constexpr std::size_t kMinDescriptors = 128;
 // Libraries, locales and name look-ups open some dozens for a moment; a
 // platform may keep up to 200 for them.
-constexpr std::size_t kMostForProcess = 224;
+constexpr std::size_t kMaxForProcess = 224;
 // Two log segments, two snapshots, their folder, and as many while they are
 // replaced.
-constexpr std::size_t kMostForDisk = 32;
+constexpr std::size_t kMaxForDisk = 32;
 // Of what is left after these, in eighths. Peers are our own processes, one
 // connection each way; callers and workers that announce themselves keep one
 // each; a worker that is given orders takes up to five.
 constexpr std::size_t kEighths = 8;
 constexpr std::size_t kPeerEighths = 1;
-constexpr std::size_t kDoorEighths = 2;
+constexpr std::size_t kIncomingEighths = 2;
 
 }  // namespace
 
 absl::StatusOr<DescriptorShares> ShareDescriptors(std::size_t limit) {
-  if (limit < kFewestDescriptors) {
+  if (limit < kMinDescriptors) {
     return MakeError(ResultCode::kSettingsInvalid,
-                     StrCat("a process needs at least ", kFewestDescriptors,
+                     StrCat("a process needs at least ", kMinDescriptors,
                             " file descriptors and may hold ", limit));
   }
   DescriptorShares shares;
-  shares.process = std::min(kMostForProcess, limit / kEighths);
-  shares.disk = std::min(kMostForDisk, limit / kEighths);
+  shares.process = std::min(kMaxForProcess, limit / kEighths);
+  shares.disk = std::min(kMaxForDisk, limit / kEighths);
   const std::size_t left = limit - shares.process - shares.disk;
   shares.peers = left * kPeerEighths / kEighths;
-  shares.doors = left * kDoorEighths / kEighths;
-  shares.outgoing = left - shares.peers - shares.doors;
+  shares.incoming = left * kIncomingEighths / kEighths;
+  shares.outgoing = left - shares.peers - shares.incoming;
   return shares;
 }
 
@@ -64,9 +64,9 @@
   rlimit limit{};
   if (::getrlimit(RLIMIT_NOFILE, &limit) != 0 ||
       limit.rlim_cur == RLIM_INFINITY) {
-    return kMostDescriptors;
+    return kMaxDescriptors;
   }
-  return std::min<std::size_t>(limit.rlim_cur, kMostDescriptors);
+  return std::min<std::size_t>(limit.rlim_cur, kMaxDescriptors);
 }
 
 }  // namespace sumac
--- a/libraries/base/descriptor_shares.h
+++ b/libraries/base/descriptor_shares.h
@@ -20,7 +20,7 @@
   // Connections between our processes, both ways.
   std::size_t peers = 0;
   // Connections that others open to us.
-  std::size_t doors = 0;
+  std::size_t incoming = 0;
   // Connections that we open to workers and to the platform.
   std::size_t outgoing = 0;
 };
--- a/libraries/base/kj_timeout.h
+++ b/libraries/base/kj_timeout.h
@@ -23,7 +23,7 @@
   return timer.afterDelay(ToKj(wait))
       .then([&timer, limit]() mutable -> kj::Promise<void> {
         const std::optional<Milliseconds> more =
-            limit.WaitMore(SystemClock().SteadyNow(), ReadLateness());
+            limit.ExtendWait(SystemClock().SteadyNow(), ReadLateness());
         if (!more) {
           return kj::READY_NOW;
         }
--- a/libraries/base/response_limit.h
+++ b/libraries/base/response_limit.h
@@ -23,7 +23,7 @@
   // Asked whenever a timer has fired: how long to wait on, or nothing if the
   // answer is missing. `read_lateness` is how long what has come waits until
   // the loop reads it.
-  std::optional<Milliseconds> WaitMore(
+  std::optional<Milliseconds> ExtendWait(
       SteadyTime now,
       Milliseconds read_lateness = Milliseconds(0)) {
     if (now < this->due) {
@@ -32,24 +32,25 @@
     const Milliseconds late = std::max(now - this->due, read_lateness);
     // NOTE: The first timer says nothing, however punctual: a loop that stood
     // still may come back right at the limit.
-    const bool had_round = this->rounds > 0 && late < kPunctual;
-    if (had_round || this->rounds == kMostRounds) {
+    const bool had_round = this->rounds > 0 && late < kMaxTimerLateness;
+    if (had_round || this->rounds == kMaxRounds) {
       return std::nullopt;
     }
     ++this->rounds;
-    const Milliseconds more = std::clamp(late, kPunctual, kLongestRound);
+    const Milliseconds more =
+        std::clamp(late, kMaxTimerLateness, kMaxRoundTime);
     this->due = now + more;
     return more;
   }
 
  private:
   // A loop that is not short of time fires its timers within this.
-  static constexpr Milliseconds kPunctual{15};
+  static constexpr Milliseconds kMaxTimerLateness{15};
   // These bound how long a silent peer can go unnoticed beyond its limit. A
   // call takes three rounds of the loop: to connect or write, to read the head
   // and to read the body.
-  static constexpr Milliseconds kLongestRound{250};
-  static constexpr int kMostRounds = 4;
+  static constexpr Milliseconds kMaxRoundTime{250};
+  static constexpr int kMaxRounds = 4;
 
   SteadyTime due;
   int rounds = 0;
--- a/libraries/codec/cbor_reader.cc
+++ b/libraries/codec/cbor_reader.cc
@@ -5,7 +5,7 @@
 
 bool CborFields::Read(CborCursor& cursor) {
   const std::optional<CborHead> head = cursor.ReadHead();
-  if (!head || head->type != CborType::kMap || head->number > kMostFields) {
+  if (!head || head->type != CborType::kMap || head->number > kMaxFields) {
     return false;
   }
   this->count = head->number;
--- a/libraries/codec/cbor_reader.h
+++ b/libraries/codec/cbor_reader.h
@@ -38,9 +38,9 @@
   std::optional<std::string_view> Find(std::string_view name) const;
 
  private:
-  static constexpr std::size_t kMostFields = 40;
+  static constexpr std::size_t kMaxFields = 40;
 
-  std::array<std::pair<std::string_view, std::string_view>, kMostFields> fields;
+  std::array<std::pair<std::string_view, std::string_view>, kMaxFields> fields;
   std::size_t count = 0;
 };
 
--- a/libraries/codec/json_reader.cc
+++ b/libraries/codec/json_reader.cc
@@ -5,7 +5,7 @@
 namespace internal {
 namespace {
 
-constexpr std::size_t kLongestExcerpt = 60;
+constexpr std::size_t kMaxExcerptLength = 60;
 
 std::string PathText(std::string_view path) {
   return path.empty() ? "/" : std::string(path);
@@ -33,8 +33,8 @@
 std::string Excerpt(const nlohmann::json& value) {
   std::string text =
       value.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
-  if (text.size() > kLongestExcerpt) {
-    text.resize(kLongestExcerpt);
+  if (text.size() > kMaxExcerptLength) {
+    text.resize(kMaxExcerptLength);
     text += "...";
   }
   return text;
--- a/libraries/http/async_connection.cc
+++ b/libraries/http/async_connection.cc
@@ -214,14 +214,14 @@
       .then([this, &call, open = kj::mv(open)](
                 CallReply&& reply) mutable -> kj::Promise<CallReply> {
         switch (call.request.check->judge(reply)) {
-          case PeerVerdict::kExpected:
+          case PeerCheckResult::kExpected:
             open->is_checked = true;
             return this->SendInTime(kj::mv(open), call);
-          case PeerVerdict::kOther:
+          case PeerCheckResult::kOther:
             this->Drop(this->generation);
             return CallReply{.outcome = CallOutcome::kOtherPeer,
                              .error = "another process is there"};
-          case PeerVerdict::kUnclear:
+          case PeerCheckResult::kUnclear:
             break;
         }
         this->Drop(this->generation);
--- a/libraries/http/async_connection.h
+++ b/libraries/http/async_connection.h
@@ -52,7 +52,7 @@
 };
 
 // What an answer tells about the process that gave it.
-enum class PeerVerdict { kExpected, kOther, kUnclear };
+enum class PeerCheckResult { kExpected, kOther, kUnclear };
 
 // Finds out whether the expected process is at the other end of a connection
 // that was just opened. A connection ends with its process, so this holds as
@@ -63,7 +63,7 @@
   std::string path;
   std::vector<std::pair<std::string, std::string>> headers;
   std::string body;
-  std::function<PeerVerdict(const CallReply&)> judge;
+  std::function<PeerCheckResult(const CallReply&)> judge;
 };
 
 // One request.
--- a/libraries/http/async_door.cc
+++ b/libraries/http/async_http_server.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "libraries/http/async_door.h"
+#include "libraries/http/async_http_server.h"
 
 #include <Poco/Net/HTTPResponse.h>
 
@@ -37,10 +37,10 @@
 }  // namespace
 
 // One open connection.
-class AsyncDoor::Session : public kj::HttpService {
+class AsyncHttpServer::Session : public kj::HttpService {
  public:
   // Without a place it is only told that it is refused.
-  Session(AsyncDoor& door,
+  Session(AsyncHttpServer& door,
           std::uint64_t number,
           std::optional<ConnectionBudget::Place> place)
       : door(door), number(number), place(std::move(place)) {
@@ -70,21 +70,21 @@
   kj::Promise<void> served = nullptr;
 
  private:
-  static DoorReply CrowdedReply();
+  static ServerReply CrowdedReply();
   void NoteIdle() {
     if (this->place) {
       this->place->MarkIdle([this] { this->door.End(this->number); });
     }
   }
 
-  AsyncDoor& door;
+  AsyncHttpServer& door;
   std::uint64_t number;
   std::optional<ConnectionBudget::Place> place;
 };
 
-DoorReply AsyncDoor::Session::CrowdedReply() {
+ServerReply AsyncHttpServer::Session::CrowdedReply() {
   const ResultInfo& info = InfoFor(ResultCode::kCrowded);
-  return DoorReply{
+  return ServerReply{
       .status = static_cast<std::uint32_t>(info.http_status),
       .body = StrCat(R"({"code":)", static_cast<int>(ResultCode::kCrowded),
                      R"(,"error":")", info.name, R"("})"),
@@ -92,7 +92,9 @@
                   {"Connection", "close"}}};
 }
 
-AsyncDoor::AsyncDoor(kj::Timer& timer, DoorSettings settings, Handler handler)
+AsyncHttpServer::AsyncHttpServer(kj::Timer& timer,
+                                 DoorSettings settings,
+                                 Handler handler)
     : timer(timer),
       settings(std::move(settings)),
       handler(std::move(handler)),
@@ -117,9 +119,9 @@
       server_settings);
 }
 
-AsyncDoor::~AsyncDoor() = default;
+AsyncHttpServer::~AsyncHttpServer() = default;
 
-kj::Promise<void> AsyncDoor::Listen(kj::Network& network) {
+kj::Promise<void> AsyncHttpServer::Listen(kj::Network& network) {
   return network.parseAddress(this->settings.address)
       .then([this](kj::Own<kj::NetworkAddress>&& address) {
         this->receiver = address->listen();
@@ -129,7 +131,7 @@
 
 // NOTE: A failure to accept passes: the process may be out of descriptors for a
 // moment. A door that stopped listening for it would stay shut.
-kj::Promise<void> AsyncDoor::AcceptLoop() {
+kj::Promise<void> AsyncHttpServer::AcceptLoop() {
   return this->receiver->accept()
       .then(
           [this](kj::Own<kj::AsyncIoStream>&& stream) -> kj::Promise<void> {
@@ -146,7 +148,7 @@
 }
 
 // Until another connection can at least be told that it is refused.
-kj::Promise<void> AsyncDoor::AwaitRoom() {
+kj::Promise<void> AsyncHttpServer::AwaitRoom() {
   if (this->refusing < kMostRefusedAtOnce) {
     return kj::READY_NOW;
   }
@@ -157,7 +159,7 @@
 
 // NOTE: The server's own limits end with a request's head: a caller that falls
 // silent within its body, or reads no answer, would be kept for good.
-void AsyncDoor::Serve(kj::Own<kj::AsyncIoStream> stream) {
+void AsyncHttpServer::Serve(kj::Own<kj::AsyncIoStream> stream) {
   KJ_IF_MAYBE (error, KeepAlive::TryApply(*stream)) {
     LogEvent(LogLevel::kWarning, "connection-not-probed",
              {{"door", this->settings.address},
@@ -179,7 +181,7 @@
                      .eagerlyEvaluate(nullptr);
 }
 
-void AsyncDoor::End(std::uint64_t session) {
+void AsyncHttpServer::End(std::uint64_t session) {
   const auto found = this->sessions.find(session);
   if (found != this->sessions.end()) {
     this->refusing -= static_cast<std::size_t>(found->second->is_refused());
@@ -187,24 +189,24 @@
   }
 }
 
-void AsyncDoor::taskFailed(kj::Exception&& exception) {
+void AsyncHttpServer::taskFailed(kj::Exception&& exception) {
   LogEvent(LogLevel::kError, "task-failed",
            {{"error", exception.getDescription().cStr()}});
 }
 
-kj::Promise<void> AsyncDoor::Drain() {
+kj::Promise<void> AsyncHttpServer::Drain() {
   this->is_closing = true;
   this->listening = nullptr;
   this->receiver = nullptr;
   return this->server->drain();
 }
 
-kj::Promise<void> AsyncDoor::Answer(kj::HttpMethod method,
-                                    kj::StringPtr url,
-                                    const kj::HttpHeaders& headers,
-                                    kj::AsyncInputStream& request_body,
-                                    Response& response) {
-  auto request = kj::heap<DoorRequest>();
+kj::Promise<void> AsyncHttpServer::Answer(kj::HttpMethod method,
+                                          kj::StringPtr url,
+                                          const kj::HttpHeaders& headers,
+                                          kj::AsyncInputStream& request_body,
+                                          Response& response) {
+  auto request = kj::heap<ServerRequest>();
   request->method = method;
   request->path = url.cStr();
   KJ_IF_MAYBE (host, headers.get(kj::HttpHeaderId::HOST)) {
@@ -217,7 +219,7 @@
   }
   KJ_IF_MAYBE (length, request_body.tryGetLength()) {
     if (*length > this->settings.most_body_bytes) {
-      return this->Reply(response, DoorReply{.status = kBodyTooLargeStatus});
+      return this->Reply(response, ServerReply{.status = kBodyTooLargeStatus});
     }
   }
   ++this->open_count;
@@ -227,13 +229,14 @@
         request->body.assign(body.begin(), body.size());
         return this->handler(std::move(*request));
       })
-      .then([this, &response](DoorReply&& reply) {
+      .then([this, &response](ServerReply&& reply) {
         return this->Reply(response, reply);
       })
       .attach(kj::defer([this] { --this->open_count; }));
 }
 
-kj::Promise<void> AsyncDoor::Reply(Response& response, const DoorReply& reply) {
+kj::Promise<void> AsyncHttpServer::Reply(Response& response,
+                                         const ServerReply& reply) {
   kj::HttpHeaders headers(*this->header_table);
   if (!reply.body.empty()) {
     headers.set(kj::HttpHeaderId::CONTENT_TYPE, reply.content_type);
--- a/libraries/http/async_door.h
+++ b/libraries/http/async_http_server.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef LIBRARIES_HTTP_ASYNC_DOOR_H_
-#define LIBRARIES_HTTP_ASYNC_DOOR_H_
+#ifndef LIBRARIES_HTTP_ASYNC_HTTP_SERVER_H_
+#define LIBRARIES_HTTP_ASYNC_HTTP_SERVER_H_
 
 #include <kj/async-io.h>
 #include <kj/async.h>
@@ -22,7 +22,7 @@
 namespace sumac::http {
 
 // A request that a door has read whole.
-struct DoorRequest {
+struct ServerRequest {
   kj::HttpMethod method = kj::HttpMethod::GET;
   // The path with its query, as sent.
   std::string path;
@@ -33,7 +33,7 @@
 };
 
 // The answer to one request.
-struct DoorReply {
+struct ServerReply {
   std::uint32_t status = 200;
   // Empty for none.
   std::string body;
@@ -61,15 +61,15 @@
 
 // An HTTP/1.1 server on the event loop: one handler for all requests, many
 // connections, no thread of its own.
-class AsyncDoor : private kj::HttpServerCallbacks,
-                  private kj::TaskSet::ErrorHandler {
+class AsyncHttpServer : private kj::HttpServerCallbacks,
+                        private kj::TaskSet::ErrorHandler {
  public:
-  using Handler = std::function<kj::Promise<DoorReply>(DoorRequest)>;
+  using Handler = std::function<kj::Promise<ServerReply>(ServerRequest)>;
 
-  AsyncDoor(kj::Timer& timer, DoorSettings settings, Handler handler);
-  ~AsyncDoor();
-  AsyncDoor(const AsyncDoor&) = delete;
-  AsyncDoor& operator=(const AsyncDoor&) = delete;
+  AsyncHttpServer(kj::Timer& timer, DoorSettings settings, Handler handler);
+  ~AsyncHttpServer();
+  AsyncHttpServer(const AsyncHttpServer&) = delete;
+  AsyncHttpServer& operator=(const AsyncHttpServer&) = delete;
 
   // Starts to listen; the promise fails with kj::Exception if it can't.
   kj::Promise<void> Listen(kj::Network& network);
@@ -100,7 +100,7 @@
                            Response& response);
   bool shouldClose() override { return this->is_closing; }
   void taskFailed(kj::Exception&& exception) override;
-  kj::Promise<void> Reply(Response& response, const DoorReply& reply);
+  kj::Promise<void> Reply(Response& response, const ServerReply& reply);
 
   kj::Timer& timer;
   DoorSettings settings;
@@ -123,4 +123,4 @@
 
 }  // namespace sumac::http
 
-#endif  // LIBRARIES_HTTP_ASYNC_DOOR_H_
+#endif  // LIBRARIES_HTTP_ASYNC_HTTP_SERVER_H_
--- a/libraries/http/caller_message.h
+++ b/libraries/http/caller_message.h
@@ -42,7 +42,7 @@
 };
 
 // The longest deadline a caller may ask for.
-inline constexpr Milliseconds kLongestDeadline{3'600'000};
+inline constexpr Milliseconds kMaxDeadline{3'600'000};
 
 // An answer that carries an error as JSON.
 CallerAnswer MakeErrorAnswer(ResultCode code,
--- a/libraries/log/bounded_writer.cc
+++ b/libraries/log/bounded_writer.cc
@@ -21,15 +21,15 @@
 
 bool BoundedWriter::WriteLine(const std::string& line) {
   const std::size_t size = line.size() + 1;
-  if (this->kept_bytes + size > this->most_bytes) {
+  if (this->buffered_byte_count + size > this->max_bytes) {
     this->Flush();
   }
-  if (this->kept_bytes + size > this->most_bytes) {
+  if (this->buffered_byte_count + size > this->max_bytes) {
     ++this->dropped;
     return false;
   }
   this->lines.push_back(line + '\n');
-  this->kept_bytes += size;
+  this->buffered_byte_count += size;
   this->Flush();
   return true;
 }
@@ -50,11 +50,11 @@
       this->dropped += this->lines.size();
       this->lines.clear();
       this->first_offset = 0;
-      this->kept_bytes = 0;
+      this->buffered_byte_count = 0;
       return;
     }
     this->first_offset += static_cast<std::size_t>(written);
-    this->kept_bytes -= static_cast<std::size_t>(written);
+    this->buffered_byte_count -= static_cast<std::size_t>(written);
     if (this->first_offset == first.size()) {
       this->lines.pop_front();
       this->first_offset = 0;
--- a/libraries/log/bounded_writer.h
+++ b/libraries/log/bounded_writer.h
@@ -14,9 +14,9 @@
 // dropped and counted. Not safe to use from several threads at once.
 class BoundedWriter {
  public:
-  // The descriptor must outlive the writer. At most `most_bytes` are kept.
-  BoundedWriter(int descriptor, std::size_t most_bytes)
-      : descriptor(descriptor), most_bytes(most_bytes) {}
+  // The descriptor must outlive the writer. At most `max_bytes` are kept.
+  BoundedWriter(int descriptor, std::size_t max_bytes)
+      : descriptor(descriptor), max_bytes(max_bytes) {}
 
   // Takes a line without its end, and writes what can be written now. False if
   // the line was dropped.
@@ -28,17 +28,17 @@
   // Lines dropped since the last call.
   std::uint64_t TakeDropCount();
 
-  std::size_t waiting_bytes() const { return this->kept_bytes; }
+  std::size_t buffered_bytes() const { return this->buffered_byte_count; }
 
  private:
   bool IsWritable() const;
 
   int descriptor;
-  std::size_t most_bytes;
+  std::size_t max_bytes;
   std::deque<std::string> lines;
   // What of the first line has gone out.
   std::size_t first_offset = 0;
-  std::size_t kept_bytes = 0;
+  std::size_t buffered_byte_count = 0;
   std::uint64_t dropped = 0;
 };
 
--- a/libraries/log/event_rate.cc
+++ b/libraries/log/event_rate.cc
@@ -11,8 +11,8 @@
 }  // namespace
 
 void EventRate::BeginSecond(SteadyTime now) {
-  if (now - this->second_began >= kSecond) {
-    this->second_began = now;
+  if (now - this->second_start >= kSecond) {
+    this->second_start = now;
     this->seen.clear();
   }
 }
@@ -23,7 +23,7 @@
   if (found == this->seen.end()) {
     found = this->seen.emplace(std::string(event), 0).first;
   }
-  if (found->second < this->most_per_second) {
+  if (found->second < this->max_per_second) {
     ++found->second;
     return true;
   }
@@ -32,7 +32,7 @@
 }
 
 EventRate::Counts EventRate::TakeLeftOut(SteadyTime now) {
-  if (this->left_out.empty() || now - this->second_began < kSecond) {
+  if (this->left_out.empty() || now - this->second_start < kSecond) {
     return {};
   }
   return std::exchange(this->left_out, {});
--- a/libraries/log/event_rate.h
+++ b/libraries/log/event_rate.h
@@ -18,8 +18,8 @@
  public:
   using Counts = std::map<std::string, std::uint64_t, std::less<>>;
 
-  explicit EventRate(std::uint64_t most_per_second)
-      : most_per_second(most_per_second) {}
+  explicit EventRate(std::uint64_t max_per_second)
+      : max_per_second(max_per_second) {}
 
   // True if a line of this kind may be written now.
   bool Admit(std::string_view event, SteadyTime now);
@@ -31,8 +31,8 @@
  private:
   void BeginSecond(SteadyTime now);
 
-  std::uint64_t most_per_second;
-  SteadyTime second_began{};
+  std::uint64_t max_per_second;
+  SteadyTime second_start{};
   Counts seen;
   Counts left_out;
 };
--- a/libraries/log/json_log.cc
+++ b/libraries/log/json_log.cc
@@ -22,12 +22,12 @@
 
 // Bytes of lines that may wait for a slow reader: some seconds of a busy
 // leader's lines, and little beside the memory of a process.
-constexpr std::size_t kMostWaitingBytes = 1U << 20;
+constexpr std::size_t kMaxBufferedBytes = 1U << 20;
 // Lines of one kind in a second. A busy leader writes some tens.
-constexpr std::uint64_t kMostLinesPerSecond = 200;
+constexpr std::uint64_t kMaxLinesPerSecond = 200;
 constexpr const char* kDropEvent = "log-lines-dropped";
 
-log4cxx::LevelPtr ToLibraryLevel(LogLevel level) {
+log4cxx::LevelPtr ToLog4cxxLevel(LogLevel level) {
   switch (level) {
     case LogLevel::kDebug:
       return log4cxx::Level::getDebug();
@@ -59,7 +59,7 @@
 class BoundedAppender : public log4cxx::AppenderSkeleton {
  public:
   explicit BoundedAppender(int descriptor)
-      : writer(descriptor, kMostWaitingBytes) {}
+      : writer(descriptor, kMaxBufferedBytes) {}
 
   void append(const log4cxx::spi::LoggingEventPtr& event,
               log4cxx::helpers::Pool& /*pool*/) override {
@@ -88,7 +88,7 @@
   std::string process;
   std::shared_ptr<BoundedAppender> appender;
   std::mutex rate_mutex;
-  EventRate rate{kMostLinesPerSecond};
+  EventRate rate{kMaxLinesPerSecond};
 };
 
 // NOTE: Never destroyed: log4cxx takes its memory pools down when the process
@@ -118,7 +118,7 @@
   fields["process"] = State().process;
   fields["event"] = event;
   kRoot->log(
-      ToLibraryLevel(level),
+      ToLog4cxxLevel(level),
       fields.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
 }
 
@@ -160,12 +160,12 @@
   const auto root = log4cxx::Logger::getRootLogger();
   root->removeAllAppenders();
   root->addAppender(state.appender);
-  root->setLevel(ToLibraryLevel(lowest));
+  root->setLevel(ToLog4cxxLevel(lowest));
 }
 
 void LogEvent(LogLevel level, std::string_view event, nlohmann::json fields) {
   static const auto kRoot = log4cxx::Logger::getRootLogger();
-  if (!kRoot->isEnabledFor(ToLibraryLevel(level))) {
+  if (!kRoot->isEnabledFor(ToLog4cxxLevel(level))) {
     return;
   }
   LogState& state = State();
--- a/libraries/rpc/door.h
+++ b/libraries/rpc/rpc_server.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef LIBRARIES_RPC_DOOR_H_
-#define LIBRARIES_RPC_DOOR_H_
+#ifndef LIBRARIES_RPC_RPC_SERVER_H_
+#define LIBRARIES_RPC_RPC_SERVER_H_
 
 #include <capnp/rpc-twoparty.h>
 #include <kj/async-io.h>
@@ -38,4 +38,4 @@
 
 }  // namespace sumac::rpc
 
-#endif  // LIBRARIES_RPC_DOOR_H_
+#endif  // LIBRARIES_RPC_RPC_SERVER_H_
--- a/libraries/storage/data_folder.h
+++ b/libraries/storage/data_folder.h
@@ -70,8 +70,8 @@
           ResultCode::kStorageFailed,
           StrCat(path, ": already holds the data of a controller"));
     }
-    return WriteWhole(disk, path, std::string(kIdentityFile),
-                      ToJson(identity).dump(2));
+    return WriteAtomically(disk, path, std::string(kIdentityFile),
+                           ToJson(identity).dump(2));
   }
 
   // True if the folder was made by Format.
@@ -104,12 +104,12 @@
   replication::StartState TakeStartState() { return std::move(this->start); }
 
   const FolderReport& report() const { return this->found; }
-  const Identity& identity() const { return this->owner; }
+  const Identity& identity() const { return this->stored_identity; }
 
   // Makes one output of the replica last. On kDiskFull nothing of it counts and
   // the call may be made again; any other error is final for this process.
   absl::Status Write(const replication::Output& output) {
-    TRY(this->DropUnfinished());
+    TRY(this->TruncateUnfinishedWrite());
     if (output.snapshot_to_install) {
       TRY(this->SaveSnapshot(*output.snapshot_to_install));
     }
@@ -142,12 +142,13 @@
 
   // Stores a snapshot and removes what it makes needless.
   absl::Status SaveSnapshot(const replication::Snapshot& snapshot) {
-    TRY(WriteWhole(*this->disk, this->path, SnapshotName(snapshot.meta.index),
-                   EncodeSnapshot(snapshot)));
+    TRY(WriteAtomically(*this->disk, this->path,
+                        SnapshotName(snapshot.meta.index),
+                        EncodeSnapshot(snapshot)));
     this->snapshot_index = snapshot.meta.index;
     this->last_written = std::max(this->last_written, snapshot.meta.index);
     TRY(this->StartSegment());
-    return this->RemoveCovered();
+    return this->RemoveCoveredFiles();
   }
 
  private:
@@ -159,10 +160,10 @@
   }
 
   // Writes a file so that it is there whole or not at all.
-  static absl::Status WriteWhole(DiskType& disk,
-                                 const std::string& folder,
-                                 const std::string& name,
-                                 std::string_view bytes) {
+  static absl::Status WriteAtomically(DiskType& disk,
+                                      const std::string& folder,
+                                      const std::string& name,
+                                      std::string_view bytes) {
     const std::string target = StrCat(folder, "/", name);
     const std::string temporary = StrCat(target, kTemporarySuffix);
     if (disk.Read(temporary).ok()) {
@@ -193,16 +194,17 @@
     const std::string text = TRY(this->disk->Read(file_path));
     const nlohmann::json json =
         TRY(ParseJson(text, file_path, ResultCode::kStorageDamaged));
-    this->owner =
+    this->stored_identity =
         TRY(FromJson<Identity>(json, file_path, UnknownKeys::kIgnore));
-    if (this->owner.format_version > Identity().format_version) {
-      return MakeError(
-          ResultCode::kStorageVersion,
-          StrCat(file_path, ": format version ", this->owner.format_version,
-                 " is newer than this program's"));
+    if (this->stored_identity.format_version > Identity().format_version) {
+      return MakeError(ResultCode::kStorageVersion,
+                       StrCat(file_path, ": format version ",
+                              this->stored_identity.format_version,
+                              " is newer than this program's"));
     }
-    this->start.self = this->owner.node;
-    this->start.snapshot.meta.membership.voters = this->owner.first_voters;
+    this->start.self = this->stored_identity.node;
+    this->start.snapshot.meta.membership.voters =
+        this->stored_identity.first_voters;
     return absl::OkStatus();
   }
 
@@ -250,7 +252,7 @@
     const SegmentContent content =
         TRY(DecodeSegment(bytes, file_path, is_newest));
     for (const LogRecord& record : content.records) {
-      TRY(log.Take(record, file_path));
+      TRY(log.Apply(record, file_path));
     }
     ++this->found.segments;
     this->found.log_bytes += content.whole_length;
@@ -264,7 +266,7 @@
       TRY(this->disk->Truncate(file_path, content.whole_length));
     }
     if (repair) {
-      TRY(this->SyncRead(file_path));
+      TRY(this->SyncExistingFile(file_path));
     }
     this->closed_segments[sequence] = log.last_index();
     return absl::OkStatus();
@@ -273,7 +275,7 @@
   // Makes what was read of a file last. A process that was killed between a
   // write and its sync leaves bytes that can be read and may still be lost;
   // what this process does from here on rests on them.
-  absl::Status SyncRead(const std::string& file_path) {
+  absl::Status SyncExistingFile(const std::string& file_path) {
     auto file = TRY(this->disk->OpenForAppend(file_path));
     return file.Sync();
   }
@@ -290,7 +292,7 @@
     auto file = TRY(this->disk->OpenForAppend(file_path));
     std::string bytes(kSegmentHeader);
     bytes += EncodeRecord(this->hard_state);
-    const absl::Status begun = this->FillSegment(file, bytes);
+    const absl::Status begun = this->WriteSegmentHeader(file, bytes);
     if (!begun.ok()) {
       // Nothing of the log is in it yet, so it can go and the next try begins
       // afresh; a second beginning behind the first would be damage.
@@ -308,15 +310,15 @@
   }
 
   // Makes the first bytes of a segment and its name last.
-  absl::Status FillSegment(typename DiskType::File& file,
-                           const std::string& bytes) {
+  absl::Status WriteSegmentHeader(typename DiskType::File& file,
+                                  const std::string& bytes) {
     TRY(file.Append(bytes));
     TRY(file.Sync());
     return this->disk->SyncFolder(this->path);
   }
 
   // Cuts off what a write that met a full disk left behind.
-  absl::Status DropUnfinished() {
+  absl::Status TruncateUnfinishedWrite() {
     if (!this->has_unfinished_write) {
       return absl::OkStatus();
     }
@@ -338,7 +340,7 @@
   }
 
   // Removes the oldest segments and snapshots that the last snapshot covers.
-  absl::Status RemoveCovered() {
+  absl::Status RemoveCoveredFiles() {
     while (!this->closed_segments.empty() &&
            this->closed_segments.begin()->second <= this->snapshot_index) {
       TRY(this->disk->Remove(
@@ -357,7 +359,7 @@
   DiskType* disk;
   std::string path;
   StorageSettings settings;
-  Identity owner;
+  Identity stored_identity;
   FolderReport found;
   replication::StartState start;
   replication::HardState hard_state;
--- a/libraries/storage/folder_layout.cc
+++ b/libraries/storage/folder_layout.cc
@@ -52,7 +52,8 @@
 LoadedLog::LoadedLog(replication::SnapshotMeta initial_snapshot)
     : snapshot(std::move(initial_snapshot)) {}
 
-absl::Status LoadedLog::Take(const LogRecord& record, const std::string& path) {
+absl::Status LoadedLog::Apply(const LogRecord& record,
+                              const std::string& path) {
   if (const auto* state = std::get_if<replication::HardState>(&record)) {
     this->latest_hard_state = *state;
     return absl::OkStatus();
--- a/libraries/storage/folder_layout.h
+++ b/libraries/storage/folder_layout.h
@@ -35,7 +35,7 @@
   explicit LoadedLog(replication::SnapshotMeta snapshot);
 
   // Takes in the next record; an entry that leaves a gap is kStorageDamaged.
-  absl::Status Take(const LogRecord& record, const std::string& path);
+  absl::Status Apply(const LogRecord& record, const std::string& path);
 
   // The position of the last entry seen, for the segment's place in the log.
   LogIndex last_index() const { return this->last_seen; }
--- a/libraries/storage/log_segment.cc
+++ b/libraries/storage/log_segment.cc
@@ -19,7 +19,7 @@
 constexpr std::size_t kFrameBytes = 8;
 constexpr std::size_t kNumberBytes = 4;
 // No record is larger; a larger length is damage.
-constexpr std::uint32_t kLargestRecord = 64U << 20;
+constexpr std::uint32_t kMaxRecordBytes = 64U << 20;
 
 struct RecordWriter {
   wire::LogRecord::Builder builder;
@@ -69,21 +69,21 @@
 }
 
 // The body of the record at the start of `bytes`, or nothing when it is cut
-// short or fails its check.
+// short or fails its checksum.
 std::optional<std::string_view> FindBody(std::string_view bytes) {
   if (bytes.size() < kFrameBytes) {
     return std::nullopt;
   }
   const std::uint32_t length = ReadNumber(bytes);
-  const std::uint32_t check = ReadNumber(bytes.substr(kNumberBytes));
-  if (length == 0 || length > kLargestRecord ||
+  const std::uint32_t checksum = ReadNumber(bytes.substr(kNumberBytes));
+  if (length == 0 || length > kMaxRecordBytes ||
       bytes.size() - kFrameBytes < length) {
     return std::nullopt;
   }
   const std::string_view body = bytes.substr(kFrameBytes, length);
   std::string checked(bytes.substr(0, kNumberBytes));
   checked.append(body);
-  if (ChecksumOf(checked) != check) {
+  if (ChecksumOf(checked) != checksum) {
     return std::nullopt;
   }
   return body;
@@ -168,7 +168,7 @@
     const auto body = FindBody(bytes.substr(offset));
     if (!body) {
       if (!may_be_torn || HasWholeRecord(bytes.substr(offset))) {
-        return Damaged(path, offset, "a record fails its check");
+        return Damaged(path, offset, "a record fails its checksum");
       }
       content.has_torn_tail = true;
       break;
--- a/libraries/storage/snapshot_file.cc
+++ b/libraries/storage/snapshot_file.cc
@@ -46,12 +46,13 @@
     return MakeError(ResultCode::kStorageVersion,
                      StrCat(path, ": format version is not 1"));
   }
-  const std::uint32_t check = ReadNumber(bytes.substr(kSnapshotHeader.size()));
+  const std::uint32_t checksum =
+      ReadNumber(bytes.substr(kSnapshotHeader.size()));
   const std::string_view body = bytes.substr(body_offset);
-  if (ChecksumOf(body) != check) {
-    return MakeError(
-        ResultCode::kStorageDamaged,
-        StrCat(path, ": offset ", body_offset, ": the body fails its check"));
+  if (ChecksumOf(body) != checksum) {
+    return MakeError(ResultCode::kStorageDamaged,
+                     StrCat(path, ": offset ", body_offset,
+                            ": the body fails its checksum"));
   }
   try {
     kj::Array<capnp::word> words =
--- a/services/sumacd/commit_rounds.cc
+++ b/services/sumacd/commit_rounds.cc
@@ -8,10 +8,10 @@
 namespace sumac::daemon {
 
 kj::Promise<void> CommitRounds::AwaitNext(Milliseconds pause) {
-  if (this->is_over) {
-    this->is_over = false;
+  if (this->has_round_begun) {
+    this->has_round_begun = false;
     this->round = this->timer.afterDelay(ToKj(pause))
-                      .then([this] { this->is_over = true; })
+                      .then([this] { this->has_round_begun = true; })
                       .fork();
   }
   return KJ_ASSERT_NONNULL(this->round).addBranch();
--- a/services/sumacd/commit_rounds.h
+++ b/services/sumacd/commit_rounds.h
@@ -24,7 +24,7 @@
   kj::Timer& timer;
   // The last round, and whether it has come.
   kj::Maybe<kj::ForkedPromise<void>> round;
-  bool is_over = true;
+  bool has_round_begun = true;
 };
 
 }  // namespace sumac::daemon
--- a/services/sumacd/controller.cc
+++ b/services/sumacd/controller.cc
@@ -26,7 +26,7 @@
 constexpr Milliseconds kFirstRenewal{200};
 // Followers of the view that wait here at once; further ones go to another
 // controller.
-constexpr std::size_t kMostFollowers = 256;
+constexpr std::size_t kMaxWaitingFollowers = 256;
 
 }  // namespace
 
@@ -48,7 +48,7 @@
   callbacks.apply = [self](const std::string& payload) {
     return self->Apply(payload);
   };
-  callbacks.after_pass = [self] { self->NotifyViewWaiters(); };
+  callbacks.after_pump = [self] { self->NotifyViewWaiters(); };
   callbacks.begin_snapshot = [self](LogIndex index) {
     self->snapshot_writer->Begin(index, self->state().record());
   };
@@ -74,7 +74,7 @@
         });
       });
   if (!settings.platform_address.empty()) {
-    this->teller = std::make_unique<PlatformTeller>(
+    this->platform_notifier = std::make_unique<PlatformNotifier>(
         http::PlatformClient(settings.platform_address, kPlatformTimeout),
         [this, &executor](const fleet::RecordPlatformReport& report) {
           executor.executeSync(
@@ -98,7 +98,7 @@
 void Controller::Tick() {
   const SteadyTime now = this->clock.SteadyNow();
   this->host->Tick(now);
-  this->Lead(now);
+  this->RunLeaderDuties(now);
 }
 
 bool Controller::MayAct() const {
@@ -106,17 +106,17 @@
 }
 
 // What only the leader does: notices, plans, tells the platform.
-void Controller::Lead(SteadyTime now) {
+void Controller::RunLeaderDuties(SteadyTime now) {
   if (!this->MayAct()) {
     return;
   }
   if (this->leading_term != this->replica().term()) {
     this->leading_term = this->replica().term();
     this->soft.Reset(now);
-    this->planned_open = 0;
+    this->open_command_count = 0;
     LogEvent(LogLevel::kInfo, "leads", {{"term", this->leading_term.value()}});
   }
-  if (this->planned_open > 0 || now - this->last_plan < kPlanInterval) {
+  if (this->open_command_count > 0 || now - this->last_plan < kPlanInterval) {
     return;
   }
   this->last_plan = now;
@@ -127,17 +127,17 @@
                                              this->clock.Now(), now)) {
     this->ProposeInBackground(std::move(command));
   }
-  if (this->teller) {
-    this->teller->Tell(fleet::PlatformSteps(this->state()), now);
+  if (this->platform_notifier) {
+    this->platform_notifier->Enqueue(fleet::PlatformSteps(this->state()), now);
   }
 }
 
 void Controller::ProposeInBackground(fleet::Command command) {
-  ++this->planned_open;
+  ++this->open_command_count;
   const Term term = this->leading_term;
   const auto finish = [this, term] {
-    if (term == this->leading_term && this->planned_open > 0) {
-      --this->planned_open;
+    if (term == this->leading_term && this->open_command_count > 0) {
+      --this->open_command_count;
     }
   };
   this->tasks.add(
@@ -208,7 +208,7 @@
   std::erase_if(this->view_waiters, [](ViewWaiter& waiter) {
     return !waiter.fulfiller->isWaiting();
   });
-  if (this->view_waiters.size() >= kMostFollowers) {
+  if (this->view_waiters.size() >= kMaxWaitingFollowers) {
     return KJ_EXCEPTION(OVERLOADED,
                         "this controller has as many followers as it may have");
   }
@@ -254,8 +254,8 @@
 
 void Controller::StopThreads() {
   this->snapshot_writer->Stop();
-  if (this->teller) {
-    this->teller->Stop();
+  if (this->platform_notifier) {
+    this->platform_notifier->Stop();
   }
 }
 
--- a/services/sumacd/controller.h
+++ b/services/sumacd/controller.h
@@ -25,7 +25,7 @@
 #include "libraries/fleet/view_history.h"
 #include "libraries/replication/replica.h"
 #include "services/sumacd/peers.h"
-#include "services/sumacd/platform_teller.h"
+#include "services/sumacd/platform_notifier.h"
 #include "services/sumacd/replica_host.h"
 #include "services/sumacd/settings.h"
 #include "services/sumacd/snapshot_writer.h"
@@ -103,7 +103,7 @@
   fleet::Answer NotLeaderAnswer() const {
     return this->host->NotLeaderAnswer();
   }
-  bool is_stalled() const { return this->host->is_disk_full(); }
+  bool is_disk_full() const { return this->host->is_disk_full(); }
 
  private:
   struct ViewWaiter {
@@ -121,7 +121,7 @@
   ServedView ServeView(std::uint64_t have) const;
   kj::Promise<void> TickLoop();
   void Tick();
-  void Lead(SteadyTime now);
+  void RunLeaderDuties(SteadyTime now);
   fleet::Answer Apply(const std::string& payload);
   void LogNewDecisions(std::uint64_t first_number);
   void NotifyViewWaiters();
@@ -134,14 +134,14 @@
   fleet::FleetMachine machine;
   std::unique_ptr<ReplicaHost> host;
   fleet::SoftState soft;
-  std::unique_ptr<PlatformTeller> teller;
+  std::unique_ptr<PlatformNotifier> platform_notifier;
   std::unique_ptr<SnapshotWriter> snapshot_writer;
 
   Term leading_term;
   SteadyTime last_plan{};
   // Commands of the planner that are not yet applied; it plans on only when
   // there are none.
-  std::size_t planned_open = 0;
+  std::size_t open_command_count = 0;
   std::uint64_t last_applied_view = 0;
   fleet::ViewHistory history;
   std::vector<ViewWaiter> view_waiters;
--- a/services/sumacd/daemon.cc
+++ b/services/sumacd/daemon.cc
@@ -19,13 +19,13 @@
 #include "libraries/fleet/charts.h"
 #include "libraries/http/metrics.h"
 #include "libraries/log/json_log.h"
-#include "libraries/rpc/door.h"
+#include "libraries/rpc/rpc_server.h"
 #include "libraries/storage/data_folder.h"
 #include "libraries/storage/posix_disk.h"
 #include "services/sumacd/controller.h"
 #include "services/sumacd/core_link.h"
-#include "services/sumacd/doors.h"
 #include "services/sumacd/entry.h"
+#include "services/sumacd/http_listeners.h"
 #include "services/sumacd/leader_link.h"
 #include "services/sumacd/operator_service.h"
 #include "services/sumacd/peer_service.h"
@@ -44,7 +44,7 @@
   return replication::NodeId(StrCat(process.value(), ".", kFirstIncarnation));
 }
 
-// One running process.
+// One background_loops process.
 class Daemon {
  public:
   Daemon(const Settings& settings, kj::AsyncIoContext& io)
@@ -60,7 +60,7 @@
   absl::Status StartController();
   absl::Status Listen(const std::string& address,
                       capnp::Capability::Client bootstrap);
-  absl::Status OpenDoors();
+  absl::Status OpenListeners();
   kj::Promise<void> AwaitSignal();
   void Stop();
   void HandOverBeforeStop();
@@ -77,10 +77,10 @@
   std::unique_ptr<CoreLink> core;
   std::unique_ptr<Entry> entry;
   std::unique_ptr<ViewFollower> follower;
-  std::vector<std::unique_ptr<rpc::Door>> doors;
-  std::vector<kj::Promise<void>> running;
-  std::unique_ptr<http::HttpServer> caller_door;
-  std::unique_ptr<http::HttpServer> target_door;
+  std::vector<std::unique_ptr<rpc::RpcServer>> rpc_listeners;
+  std::vector<kj::Promise<void>> background_loops;
+  std::unique_ptr<http::HttpServer> caller_listener;
+  std::unique_ptr<http::HttpServer> target_listener;
 };
 
 absl::Status Daemon::StartController() {
@@ -101,14 +101,15 @@
   this->controller =
       TRY(Controller::Create(this->settings, *this->charts, *this->peers,
                              this->io.provider->getTimer()));
-  this->running.push_back(this->controller->Run().eagerlyEvaluate(nullptr));
+  this->background_loops.push_back(
+      this->controller->Run().eagerlyEvaluate(nullptr));
   return absl::OkStatus();
 }
 
 absl::Status Daemon::Listen(const std::string& address,
                             capnp::Capability::Client bootstrap) {
-  this->doors.push_back(
-      TRY(rpc::Door::Create(this->io, address, kj::mv(bootstrap))));
+  this->rpc_listeners.push_back(
+      TRY(rpc::RpcServer::Create(this->io, address, kj::mv(bootstrap))));
   return absl::OkStatus();
 }
 
@@ -129,7 +130,8 @@
         [this](const fleet::View& view, bool is_delta) {
           return this->entry->UpdateView(view, is_delta);
         });
-    this->running.push_back(this->follower->Run().eagerlyEvaluate(nullptr));
+    this->background_loops.push_back(
+        this->follower->Run().eagerlyEvaluate(nullptr));
   }
   TRY(this->Listen(
       this->settings.self().peer_address,
@@ -141,15 +143,15 @@
           this->settings, *this->peers, *this->leader, timer,
           this->controller.get(), this->entry.get(), this->follower.get()})));
   this->AddGauges();
-  return this->OpenDoors();
+  return this->OpenListeners();
 }
 
-absl::Status Daemon::OpenDoors() {
-  this->target_door = TRY(OpenTargetDoor(this->settings, *this->core,
-                                         this->metrics, this->is_stopping));
+absl::Status Daemon::OpenListeners() {
+  this->target_listener = TRY(OpenTargetListener(
+      this->settings, *this->core, this->metrics, this->is_stopping));
   if (this->entry) {
-    this->caller_door =
-        TRY(OpenCallerDoor(this->settings, *this->entry, this->is_stopping));
+    this->caller_listener = TRY(
+        OpenCallerListener(this->settings, *this->entry, this->is_stopping));
   }
   return absl::OkStatus();
 }
@@ -198,10 +200,10 @@
   auto stopped = kj::newPromiseAndFulfiller<void>();
   const kj::Executor& executor = kj::getCurrentThreadExecutor();
   std::thread stopper([this, &executor, &stopped] {
-    if (this->caller_door) {
-      this->caller_door->Stop();
+    if (this->caller_listener) {
+      this->caller_listener->Stop();
     }
-    this->target_door->Stop();
+    this->target_listener->Stop();
     if (this->controller) {
       this->controller->StopThreads();
     }
--- a/services/sumacd/entry.cc
+++ b/services/sumacd/entry.cc
@@ -24,27 +24,27 @@
 using routing::SendTo;
 using routing::TryOutcome;
 
-constexpr std::size_t kDecisionsKept = 10'000;
+constexpr std::size_t kMaxStoredDecisions = 10'000;
 // Answers of non-repeatable requests are kept by the controllers, so they must
 // not be large.
-constexpr std::uint32_t kMostKeptAnswerBytes = 256 * 1024;
+constexpr std::uint32_t kMaxStoredAnswerBytes = 256 * 1024;
 // A claim that is not committed within this is refused; the request then has
 // not run.
-constexpr Milliseconds kLongestClaim{2'000};
+constexpr Milliseconds kClaimTimeout{2'000};
 // Waiting this long for the record of how a claimed request ended holds up its
 // answer at most.
-constexpr Milliseconds kLongestFinish{1'000};
+constexpr Milliseconds kFinishClaimTimeout{1'000};
 // How often waiting requests are looked at for minions whose pause is over.
 constexpr Milliseconds kWakeInterval{5};
 // How many starts' worth of requests one start may number before it would run
 // into the next.
 constexpr unsigned kAttemptBits = 20;
 
-std::uint64_t StartNumber(const SystemClock& clock) {
+std::uint64_t StartTimeInMilliseconds(const SystemClock& clock) {
   return static_cast<std::uint64_t>(clock.Now().time_since_epoch().count());
 }
 
-routing::SharingSettings ToSharing(const Settings& settings) {
+routing::SharingSettings ToSharingSettings(const Settings& settings) {
   routing::SharingSettings sharing;
   sharing.data_centre = settings.self().data_centre;
   sharing.entries = settings.CountEntries();
@@ -65,11 +65,12 @@
     : settings(settings),
       core(core),
       metrics(metrics),
-      start(StartNumber(this->clock)),
-      router(
-          ToSharing(settings),
-          routing::DecisionRing(settings.process, this->start, kDecisionsKept),
-          std::random_device()()),
+      start(StartTimeInMilliseconds(this->clock)),
+      router(ToSharingSettings(settings),
+             routing::DecisionRing(settings.process,
+                                   this->start,
+                                   kMaxStoredDecisions),
+             std::random_device()()),
       wake_thread([this] { this->WakeLoop(); }),
       probe_thread([this] { this->ProbeLoop(); }) {}
 
@@ -162,11 +163,11 @@
                                 Progress& progress) {
   std::optional<RetryReason> reason;
   while (true) {
-    Turn turn = this->AwaitTurn(progress, reason);
-    if (const auto* refusal = std::get_if<Refuse>(&turn)) {
+    NextStep next_step = this->AwaitNextStep(progress, reason);
+    if (const auto* refusal = std::get_if<Refuse>(&next_step)) {
       return this->AnswerRefusal(request, progress, *refusal);
     }
-    const SendTo& send = std::get<SendTo>(turn);
+    const SendTo& send = std::get<SendTo>(next_step);
     std::optional<CallerAnswer> final_answer;
     const TryResult result =
         this->TryOnce(request, progress, send, final_answer);
@@ -198,18 +199,18 @@
   }
 }
 
-Entry::Turn Entry::AwaitTurn(const Progress& progress,
-                             std::optional<RetryReason> reason) {
-  Turn turn = this->AwaitTurnLocked(progress, reason);
+Entry::NextStep Entry::AwaitNextStep(const Progress& progress,
+                                     std::optional<RetryReason> reason) {
+  NextStep next_step = this->AwaitNextStepLocked(progress, reason);
   this->LogNewDecisions();
-  return turn;
+  return next_step;
 }
 
-// Asks where the request may go and waits for its turn if it has to. One lock
-// is held from the question to the wait, or a turn given in between would reach
-// nobody.
-Entry::Turn Entry::AwaitTurnLocked(const Progress& progress,
-                                   std::optional<RetryReason> reason) {
+// Asks where the request may go and waits for its next_step if it has to. One
+// lock is held from the question to the wait, or a next_step given in between
+// would reach nobody.
+Entry::NextStep Entry::AwaitNextStepLocked(const Progress& progress,
+                                           std::optional<RetryReason> reason) {
   std::unique_lock lock(this->mutex);
   const SteadyTime now = this->clock.SteadyNow();
   RouteResult route =
@@ -217,10 +218,10 @@
                                   this->clock.Now())
              : this->router.Admit(progress.info, now, this->clock.Now());
   if (auto* send = std::get_if<SendTo>(&route)) {
-    return Turn(std::move(*send));
+    return NextStep(std::move(*send));
   }
   if (auto* refusal = std::get_if<Refuse>(&route)) {
-    return Turn(std::move(*refusal));
+    return NextStep(std::move(*refusal));
   }
   Waiter waiter;
   this->waiters[progress.info.number] = &waiter;
@@ -231,14 +232,14 @@
                        [&waiter] { return waiter.send.has_value(); });
   this->waiters.erase(progress.info.number);
   if (waiter.send) {
-    return Turn(*std::move(waiter.send));
+    return NextStep(*std::move(waiter.send));
   }
   this->router.StopWaiting(progress.info.number);
   Refuse refusal = this->router.RefuseLate(progress.info, this->clock.Now());
-  return Turn(std::move(refusal));
+  return NextStep(std::move(refusal));
 }
 
-// Gives waiting threads their turn. Called with the lock held.
+// Gives waiting threads their next_step. Called with the lock held.
 void Entry::WakeReady() {
   for (auto& [number, send] :
        this->router.TakeReady(this->clock.SteadyNow(), this->clock.Now())) {
@@ -260,7 +261,7 @@
       fleet::ClaimRequest{request.key, http::DigestOf(request),
                           this->settings.process, progress.attempt,
                           std::max(left, Milliseconds(0))},
-      std::min(left, kLongestClaim));
+      std::min(left, kClaimTimeout));
   // An answer that came while the deadline passed: the claim is held, but
   // nothing is sent.
   if (answer.is_ok() && answer.document.is_null()) {
@@ -315,7 +316,7 @@
       fleet::FinishClaim{
           request.key, this->settings.process, progress.attempt, state,
           fleet::KeptAnswer{answer.status, answer.content_type, answer.body}},
-      kLongestFinish);
+      kFinishClaimTimeout);
   if (!kept.is_ok()) {
     LogEvent(LogLevel::kWarning, "claim-not-finished",
              {{"key", request.key.value()},
@@ -335,7 +336,7 @@
   const bool is_repeatable = progress.info.is_repeatable;
   std::uint32_t most_answer_bytes = this->settings.doors.most_body_bytes;
   if (!is_repeatable) {
-    most_answer_bytes = std::min(most_answer_bytes, kMostKeptAnswerBytes);
+    most_answer_bytes = std::min(most_answer_bytes, kMaxStoredAnswerBytes);
   }
   TryResult result;
   // The connection stands before the claim is made, so that a claim is seldom
@@ -411,15 +412,15 @@
 
 bool Entry::UpdateView(const fleet::View& view, bool is_delta) {
   const std::lock_guard lock(this->mutex);
-  const bool is_taken = this->router.Update(
+  const bool is_applied = this->router.Update(
       is_delta ? fleet::ApplyDelta(this->router.view(), view) : view);
-  if (is_taken) {
+  if (is_applied) {
     this->WakeReady();
   }
-  return is_taken;
+  return is_applied;
 }
 
-std::uint32_t Entry::MostBodyBytes(const ServiceName& name) const {
+std::uint32_t Entry::MaxBodyBytes(const ServiceName& name) const {
   const std::lock_guard lock(this->mutex);
   const fleet::Service* service = this->router.FindService(name);
   const std::uint32_t most = this->settings.doors.most_body_bytes;
@@ -433,10 +434,10 @@
 
 std::vector<fleet::Decision> Entry::FindDecisionsAbout(
     const std::string& request_label) const {
-  constexpr std::size_t kMostShown = 20;
+  constexpr std::size_t kMaxShown = 20;
   const std::lock_guard lock(this->mutex);
   return this->router.decisions().FindAbout(fleet::SubjectKind::kRequest,
-                                            request_label, kMostShown);
+                                            request_label, kMaxShown);
 }
 
 std::size_t Entry::CountOpen() const {
--- a/services/sumacd/entry.h
+++ b/services/sumacd/entry.h
@@ -45,7 +45,7 @@
   bool UpdateView(const fleet::View& view, bool is_delta);
 
   // The largest body a request to this service may have.
-  std::uint32_t MostBodyBytes(const ServiceName& service) const;
+  std::uint32_t MaxBodyBytes(const ServiceName& service) const;
 
   // This entry's own decisions.
   std::optional<fleet::Decision> FindDecision(const DecisionId& id) const;
@@ -64,7 +64,7 @@
     std::set<InstanceName> tried;
   };
   // Where a request goes now, or its end.
-  using Turn = std::variant<routing::SendTo, routing::Refuse>;
+  using NextStep = std::variant<routing::SendTo, routing::Refuse>;
 
   // A thread that waits for its request's turn.
   struct Waiter {
@@ -77,10 +77,10 @@
   Progress MakeProgress(const http::CallerRequest& request);
   http::CallerAnswer RunAdmitted(const http::CallerRequest& request,
                                  Progress& progress);
-  Turn AwaitTurn(const Progress& progress,
-                 std::optional<routing::RetryReason> reason);
-  Turn AwaitTurnLocked(const Progress& progress,
-                       std::optional<routing::RetryReason> reason);
+  NextStep AwaitNextStep(const Progress& progress,
+                         std::optional<routing::RetryReason> reason);
+  NextStep AwaitNextStepLocked(const Progress& progress,
+                               std::optional<routing::RetryReason> reason);
   std::optional<http::CallerAnswer> Claim(const http::CallerRequest& request,
                                           Progress& progress,
                                           const DecisionId& decision);
--- a/services/sumacd/doors.cc
+++ b/services/sumacd/http_listeners.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "services/sumacd/doors.h"
+#include "services/sumacd/http_listeners.h"
 
 #include <Poco/Net/HTTPServerRequest.h>
 #include <Poco/Net/HTTPServerResponse.h>
@@ -21,7 +21,7 @@
 using Poco::Net::HTTPServerRequest;
 using Poco::Net::HTTPServerResponse;
 
-constexpr std::uint64_t kMostAnnouncementBytes = 1U << 20;
+constexpr std::uint64_t kMaxAnnouncementBytes = 1U << 20;
 constexpr Milliseconds kAnnounceTimeout{1'500};
 constexpr std::int64_t kMillisecondsPerSecond = 1'000;
 
@@ -67,10 +67,10 @@
   std::int64_t milliseconds = 0;
   if (!ParseNumber(std::string_view(request.get(http::kDeadlineHeader)),
                    &milliseconds) ||
-      milliseconds < 1 || milliseconds > http::kLongestDeadline.count()) {
+      milliseconds < 1 || milliseconds > http::kMaxDeadline.count()) {
     return MakeError(ResultCode::kBadRequest,
                      StrCat(http::kDeadlineHeader, " must be 1 to ",
-                            http::kLongestDeadline.count(), " milliseconds"));
+                            http::kMaxDeadline.count(), " milliseconds"));
   }
   return Milliseconds(milliseconds);
 }
@@ -106,7 +106,7 @@
   read.content_type =
       request.has("Content-Type") ? request.getContentType() : "";
   read.body =
-      TRY(http::ReadRequestBody(request, entry.MostBodyBytes(read.service)));
+      TRY(http::ReadRequestBody(request, entry.MaxBodyBytes(read.service)));
   return read;
 }
 
@@ -125,7 +125,7 @@
 absl::StatusOr<fleet::Announcement> ReadAnnouncement(
     HTTPServerRequest& request) {
   const std::string body =
-      TRY(http::ReadRequestBody(request, kMostAnnouncementBytes));
+      TRY(http::ReadRequestBody(request, kMaxAnnouncementBytes));
   const nlohmann::json json =
       TRY(ParseJson(body, "announcement", ResultCode::kBadRequest));
   return FromJson<fleet::Announcement>(
@@ -153,7 +153,7 @@
                                       DecisionId(), Milliseconds(0)));
 }
 
-http::ServerSettings ToServerSettings(const DoorSettings& doors,
+http::ServerSettings ToServerSettings(const HttpListenerSettings& doors,
                                       const std::string& address,
                                       std::uint32_t most_connections) {
   return http::ServerSettings{address, static_cast<int>(most_connections),
@@ -162,7 +162,7 @@
 
 }  // namespace
 
-absl::StatusOr<std::unique_ptr<http::HttpServer>> OpenCallerDoor(
+absl::StatusOr<std::unique_ptr<http::HttpServer>> OpenCallerListener(
     const Settings& settings,
     Entry& entry,
     const std::atomic<bool>& is_stopping) {
@@ -182,7 +182,7 @@
       });
 }
 
-absl::StatusOr<std::unique_ptr<http::HttpServer>> OpenTargetDoor(
+absl::StatusOr<std::unique_ptr<http::HttpServer>> OpenTargetListener(
     const Settings& settings,
     CoreLink& core,
     const http::Metrics& metrics,
--- a/services/sumacd/doors.h
+++ b/services/sumacd/http_listeners.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef SERVICES_SUMACD_DOORS_H_
-#define SERVICES_SUMACD_DOORS_H_
+#ifndef SERVICES_SUMACD_HTTP_LISTENERS_H_
+#define SERVICES_SUMACD_HTTP_LISTENERS_H_
 
 #include <atomic>
 #include <memory>
@@ -17,13 +17,13 @@
 // The callers' door: requests to services, and /health for the balancer. Once
 // `is_stopping` is set the health check fails and answers close their
 // connections, while requests are still served.
-absl::StatusOr<std::unique_ptr<http::HttpServer>> OpenCallerDoor(
+absl::StatusOr<std::unique_ptr<http::HttpServer>> OpenCallerListener(
     const Settings& settings,
     Entry& entry,
     const std::atomic<bool>& is_stopping);
 
 // The targets' door: announcements, /metrics and /health.
-absl::StatusOr<std::unique_ptr<http::HttpServer>> OpenTargetDoor(
+absl::StatusOr<std::unique_ptr<http::HttpServer>> OpenTargetListener(
     const Settings& settings,
     CoreLink& core,
     const http::Metrics& metrics,
@@ -31,4 +31,4 @@
 
 }  // namespace sumac::daemon
 
-#endif  // SERVICES_SUMACD_DOORS_H_
+#endif  // SERVICES_SUMACD_HTTP_LISTENERS_H_
--- a/services/sumacd/instance_keeper.cc
+++ b/services/sumacd/instance_manager.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "services/sumacd/instance_keeper.h"
+#include "services/sumacd/instance_manager.h"
 
 #include <algorithm>
 #include <iterator>
@@ -26,12 +26,12 @@
 // For as many instances; with more the planners look the more seldom, so that
 // they take the same part of the loop, some 3 % at 350 instances. Moves and
 // maintenance take seconds.
-constexpr std::int64_t kInstancesOfInterval = 400;
+constexpr std::int64_t kInstancesPerInterval = 400;
 // While a worker fails to answer, the list tells whether its instance is up.
-constexpr Milliseconds kLifeCheckInterval{250};
+constexpr Milliseconds kStatusCheckInterval{250};
 // A longer list is fetched the more seldom, but often enough that what ran on
 // an instance that is down starts elsewhere long before its lease is over.
-constexpr Milliseconds kLongestLifeCheckInterval{1'000};
+constexpr Milliseconds kMaxStatusCheckInterval{1'000};
 
 std::string_view NameOfResult(maintenance::InstanceResult result) {
   using enum maintenance::InstanceResult;
@@ -54,19 +54,20 @@
   return "?";
 }
 
-Milliseconds LifeCheckInterval(std::size_t instances) {
-  return std::clamp(kLifeCheckInterval * static_cast<std::int64_t>(instances) /
-                        kInstancesOfInterval,
-                    kLifeCheckInterval, kLongestLifeCheckInterval);
+Milliseconds StatusCheckInterval(std::size_t instances) {
+  return std::clamp(kStatusCheckInterval *
+                        static_cast<std::int64_t>(instances) /
+                        kInstancesPerInterval,
+                    kStatusCheckInterval, kMaxStatusCheckInterval);
 }
 
 // What the list says of these instances.
-std::map<InstanceName, scheduler::InstanceStatus> LivesOf(
+std::map<InstanceName, scheduler::InstanceStatus> FindStatuses(
     const maintenance::InstanceListing& listing,
     const std::set<InstanceName>& instances) {
-  std::map<InstanceName, scheduler::InstanceStatus> lives;
+  std::map<InstanceName, scheduler::InstanceStatus> statuses;
   for (const InstanceName& name : instances) {
-    scheduler::InstanceStatus& life = lives[name];
+    scheduler::InstanceStatus& instance_status = statuses[name];
     const maintenance::ListedInstance* row = listing.Find(name);
     // One that only the last list lacks, or whose row tells nothing, may be up
     // as before.
@@ -74,18 +75,18 @@
         row == nullptr ? listing.rows().contains(name)
                        : row->state == maintenance::InstanceState::kUnknown;
     if (is_unclear) {
-      life.is_up = true;
+      instance_status.is_up = true;
     } else if (row != nullptr) {
-      life = {.is_up = row->state == maintenance::InstanceState::kUp,
-              .worker = row->worker};
+      instance_status = {.is_up = row->state == maintenance::InstanceState::kUp,
+                         .worker = row->worker};
     }
   }
-  return lives;
+  return statuses;
 }
 
 }  // namespace
 
-InstanceKeeper::InstanceKeeper(
+InstanceManager::InstanceManager(
     const jobs::JobsState& state,
     scheduler::Scheduler& scheduler,
     maintenance::InstanceCalls calls,
@@ -102,13 +103,13 @@
       capacity(capacity_settings, std::move(holder), state.epoch(), now),
       tasks(*this) {}
 
-void InstanceKeeper::Plan(WallTime wall_now, SteadyTime now) {
+void InstanceManager::Plan(WallTime wall_now, SteadyTime now) {
   const auto instances =
       static_cast<std::int64_t>(this->scheduler.sessions().size());
   const Milliseconds shortest =
       this->open_commands.empty() ? kPlanInterval : kBusyPlanInterval;
   const Milliseconds interval =
-      std::max(shortest, kPlanInterval * instances / kInstancesOfInterval);
+      std::max(shortest, kPlanInterval * instances / kInstancesPerInterval);
   if (now - this->last_plan < interval) {
     return;
   }
@@ -141,7 +142,7 @@
 }
 
 // Adds what the capacity planner decides to what the wave planner did.
-void InstanceKeeper::PlanCapacity(
+void InstanceManager::PlanCapacity(
     std::map<InstanceName, maintenance::InstanceFacts>& facts,
     maintenance::MaintenanceOutput& wave_output,
     SteadyTime now) {
@@ -169,7 +170,7 @@
             std::back_inserter(wave_output.orders));
 }
 
-std::vector<jobs::Command> InstanceKeeper::TakeResult(
+std::vector<jobs::Command> InstanceManager::HandleInstanceResult(
     const maintenance::InstanceOrder& order,
     maintenance::InstanceResult result) {
   const SteadyTime now = this->clock.SteadyNow();
@@ -181,7 +182,7 @@
 // NOTE: The planners look on while their commands are being committed, and want
 // the same until it is on record: in a rush commits take so long that waiting
 // for them would put the moves off that the rush needs.
-void InstanceKeeper::Commit(std::vector<jobs::Command> commands) {
+void InstanceManager::Commit(std::vector<jobs::Command> commands) {
   for (jobs::Command& command : commands) {
     const std::string key = ToCbor(jobs::StampedCommand{{}, command});
     if (!this->open_commands.insert(key).second) {
@@ -194,10 +195,10 @@
   }
 }
 
-void InstanceKeeper::Send(const maintenance::InstanceOrder& order) {
+void InstanceManager::Send(const maintenance::InstanceOrder& order) {
   if (!this->host.may_act()) {
-    this->Commit(
-        this->TakeResult(order, maintenance::InstanceResult::kRefused));
+    this->Commit(this->HandleInstanceResult(
+        order, maintenance::InstanceResult::kRefused));
     return;
   }
   this->host.count_order();
@@ -209,14 +210,14 @@
                   {"pool", order.pool.value()},
                   {"epoch", order.epoch.value()},
                   {"result", NameOfResult(result)}});
-        this->Commit(this->TakeResult(order, result));
+        this->Commit(this->HandleInstanceResult(order, result));
       }));
 }
 
-void InstanceKeeper::RefreshList(SteadyTime now) {
+void InstanceManager::RefreshList(SteadyTime now) {
   const Milliseconds interval =
       this->scheduler.NeedsInstanceCheck()
-          ? LifeCheckInterval(this->scheduler.sessions().size())
+          ? StatusCheckInterval(this->scheduler.sessions().size())
       : maintenance::MaintenancePlanner::NeedsListing(this->state)
           ? kListInterval
           : kQuietListInterval;
@@ -231,7 +232,7 @@
   this->tasks.add(this->FetchPages(""));
 }
 
-kj::Promise<void> InstanceKeeper::FetchPages(std::string token) {
+kj::Promise<void> InstanceManager::FetchPages(std::string token) {
   return this->calls.list(std::move(token))
       .then([this](absl::StatusOr<maintenance::InstancePage>&& page)
                 -> kj::Promise<void> {
@@ -251,13 +252,13 @@
         this->LogList();
         this->listing.RecordList(std::move(this->pages), this->last_list,
                                  this->nameless_rows > 0);
-        this->CheckLives();
+        this->UpdateInstanceStatuses();
         this->capacity.UpdateListing(this->listing);
         return kj::READY_NOW;
       });
 }
 
-void InstanceKeeper::CheckLives() {
+void InstanceManager::UpdateInstanceStatuses() {
   // A row that can't be read may be that of any worker, and a platform without
   // any instance has lost its list, not its instances.
   if (this->listing.has_nameless_rows() || this->listing.rows().empty()) {
@@ -265,12 +266,12 @@
   }
   const std::set<InstanceName> instances =
       this->scheduler.PossiblyDownInstances();
-  this->scheduler.HandleInstanceStatus(LivesOf(this->listing, instances),
+  this->scheduler.HandleInstanceStatus(FindStatuses(this->listing, instances),
                                        this->last_list);
 }
 
 // One line a list: how many instances of each pool are in which state.
-void InstanceKeeper::LogList() const {
+void InstanceManager::LogList() const {
   std::map<std::pair<std::string_view, maintenance::InstanceState>, std::size_t>
       instances;
   for (const maintenance::ListedInstance& instance : this->pages) {
@@ -284,7 +285,7 @@
            {{"counts", counts}, {"nameless_rows", this->nameless_rows}});
 }
 
-void InstanceKeeper::taskFailed(kj::Exception&& exception) {
+void InstanceManager::taskFailed(kj::Exception&& exception) {
   LogEvent(LogLevel::kError, "task-failed",
            {{"error", exception.getDescription().cStr()}});
 }
--- a/services/sumacd/instance_keeper.h
+++ b/services/sumacd/instance_manager.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef SERVICES_SUMACD_INSTANCE_KEEPER_H_
-#define SERVICES_SUMACD_INSTANCE_KEEPER_H_
+#ifndef SERVICES_SUMACD_INSTANCE_MANAGER_H_
+#define SERVICES_SUMACD_INSTANCE_MANAGER_H_
 
 #include <kj/async.h>
 
@@ -25,7 +25,7 @@
 // What a leader does about instances: it keeps the platform's list fresh while
 // that is of use, and carries out what the maintenance planner decides. Lives
 // as long as one leadership and belongs to the core's event loop.
-class InstanceKeeper : private kj::TaskSet::ErrorHandler {
+class InstanceManager : private kj::TaskSet::ErrorHandler {
  public:
   // What the keeper needs of its controller.
   struct Host {
@@ -37,14 +37,14 @@
     std::function<void()> count_order = [] {};
   };
 
-  InstanceKeeper(const jobs::JobsState& state,
-                 scheduler::Scheduler& scheduler,
-                 maintenance::InstanceCalls calls,
-                 Host host,
-                 maintenance::MaintenanceSettings maintenance_settings,
-                 maintenance::CapacitySettings capacity_settings,
-                 ProcessName holder,
-                 SteadyTime now);
+  InstanceManager(const jobs::JobsState& state,
+                  scheduler::Scheduler& scheduler,
+                  maintenance::InstanceCalls calls,
+                  Host host,
+                  maintenance::MaintenanceSettings maintenance_settings,
+                  maintenance::CapacitySettings capacity_settings,
+                  ProcessName holder,
+                  SteadyTime now);
 
   // Looks at waves and instances; called often.
   void Plan(WallTime wall_now, SteadyTime now);
@@ -55,12 +55,13 @@
   void PlanCapacity(std::map<InstanceName, maintenance::InstanceFacts>& facts,
                     maintenance::MaintenanceOutput& wave_output,
                     SteadyTime now);
-  std::vector<jobs::Command> TakeResult(const maintenance::InstanceOrder& order,
-                                        maintenance::InstanceResult result);
+  std::vector<jobs::Command> HandleInstanceResult(
+      const maintenance::InstanceOrder& order,
+      maintenance::InstanceResult result);
   void Commit(std::vector<jobs::Command> commands);
   void Send(const maintenance::InstanceOrder& order);
   void RefreshList(SteadyTime now);
-  void CheckLives();
+  void UpdateInstanceStatuses();
   void LogList() const;
   kj::Promise<void> FetchPages(std::string token);
 
@@ -85,4 +86,4 @@
 
 }  // namespace sumac::daemon
 
-#endif  // SERVICES_SUMACD_INSTANCE_KEEPER_H_
+#endif  // SERVICES_SUMACD_INSTANCE_MANAGER_H_
--- a/services/sumacd/job_controller.cc
+++ b/services/sumacd/job_controller.cc
@@ -25,11 +25,11 @@
 constexpr Milliseconds kIdlePlanInterval{100};
 // After a renewal that got no answer, before the next.
 constexpr Milliseconds kRenewalPause{150};
-// A new leader asks all workers what they run, in slices: a thousand calls and
-// their connections at once keep its loop from its heartbeats for longer than
-// its followers wait.
-constexpr std::size_t kRenewalsOfSlice = 50;
-constexpr Milliseconds kSlicePause{10};
+// A new leader asks all workers what they run, in batch_index: a thousand calls
+// and their connections at once keep its loop from its heartbeats for longer
+// than its followers wait.
+constexpr std::size_t kRenewalsPerBatch = 50;
+constexpr Milliseconds kBatchPause{10};
 
 // Where a job is, in a request's path: its queue and its id.
 struct JobAddress {
@@ -42,9 +42,10 @@
           .message = "no job with this id is known"};
 }
 
-absl::StatusOr<JobAddress> Resolve(const jobs::JobsDeclaration& declaration,
-                                   const std::string& host,
-                                   const std::string& path) {
+absl::StatusOr<JobAddress> ResolveJobAddress(
+    const jobs::JobsDeclaration& declaration,
+    const std::string& host,
+    const std::string& path) {
   if (declaration.version() == 0) {
     return MakeError(ResultCode::kNothingDeclared,
                      "no declaration is in force yet");
@@ -67,11 +68,11 @@
     http::Metrics& metrics,
     jobs::DeclarationDecoder decoder,
     scheduler::WorkerCalls worker_calls,
-    RelayWorkers relay_workers,
+    RelayCallsFactory create_relay_calls,
     maintenance::InstanceCalls instance_calls) {
   std::unique_ptr<JobController> controller(
       new JobController(settings, provider, metrics, std::move(decoder), peers,
-                        std::move(worker_calls), std::move(relay_workers),
+                        std::move(worker_calls), std::move(create_relay_calls),
                         std::move(instance_calls)));
   JobController* self = controller.get();
   const ReplicaHostSettings host{.process = settings.process(),
@@ -86,7 +87,7 @@
   callbacks.apply = [self](const std::string& payload) {
     return self->Apply(payload);
   };
-  callbacks.after_pass = [self] { self->AfterPass(); };
+  callbacks.after_pump = [self] { self->HandleAppliedCommands(); };
   callbacks.begin_snapshot = [self](LogIndex index) {
     const auto measured = self->load.work_times.Measure(Work::kSnapshot);
     self->snapshot_writer->Begin(index, self->jobs_state.record());
@@ -141,7 +142,7 @@
                              jobs::DeclarationDecoder decoder,
                              Peers& peers,
                              scheduler::WorkerCalls worker_calls,
-                             RelayWorkers relay_workers,
+                             RelayCallsFactory create_relay_calls,
                              maintenance::InstanceCalls instance_calls)
     : settings(settings),
       timer(provider.getTimer()),
@@ -150,7 +151,7 @@
       commit_rounds(provider.getTimer()),
       peers(peers),
       worker_calls(std::move(worker_calls)),
-      relay_workers(std::move(relay_workers)),
+      create_relay_calls(std::move(create_relay_calls)),
       instance_calls(std::move(instance_calls)),
       jobs_state(std::move(decoder)),
       tasks(*this) {
@@ -177,13 +178,13 @@
 
 void JobController::Tick() {
   const SteadyTime now = this->clock.SteadyNow();
-  this->load.Measure();
+  this->load.MeasureLateness();
   this->loop_pacer.RecordLateness(this->load.lateness());
   {
     const auto measured = this->load.work_times.Measure(Work::kReplicate);
     this->host->Tick(now);
   }
-  this->FollowLeadership(now);
+  this->UpdateLeadership(now);
   if (!this->scheduler) {
     return;
   }
@@ -201,7 +202,7 @@
                       now);
 }
 
-void JobController::FollowLeadership(SteadyTime now) {
+void JobController::UpdateLeadership(SteadyTime now) {
   const bool is_leader =
       this->host->replica().role() == replication::Role::kLeader;
   const Term term = this->host->replica().term();
@@ -226,44 +227,46 @@
 void JobController::BeginLeadership() {
   const Term term = this->host->replica().term();
   this->term_watch.Begin(term);
-  this->tasks.add(this->Propose(jobs::BeginEpoch{})
-                      .then([this, term](const fleet::Answer& answer) {
-                        if (this->term_watch.TakeEpoch(term, answer.is_ok())) {
-                          this->StartDeciding();
-                        } else {
-                          LogEvent(LogLevel::kWarning, "epoch-not-begun",
-                                   {{"term", term.value()},
-                                    {"code", static_cast<int>(answer.code)}});
-                        }
-                      }));
-}
-
-void JobController::StartDeciding() {
+  this->tasks.add(
+      this->Propose(jobs::BeginEpoch{})
+          .then([this, term](const fleet::Answer& answer) {
+            if (this->term_watch.HandleEpochResult(term, answer.is_ok())) {
+              this->StartScheduling();
+            } else {
+              LogEvent(LogLevel::kWarning, "epoch-not-begun",
+                       {{"term", term.value()},
+                        {"code", static_cast<int>(answer.code)}});
+            }
+          }));
+}
+
+void JobController::StartScheduling() {
   const SteadyTime now = this->clock.SteadyNow();
   const PlatformTimes& times = this->settings.platform_times;
-  scheduler::SchedulerSettings chosen;
+  scheduler::SchedulerSettings scheduler_settings;
   const PolicySettings& policy = this->settings.policy;
-  chosen.orders_by_slack = policy.order_by_slack;
-  chosen.avoids_bad_workers = policy.leave_bad_workers;
+  scheduler_settings.orders_by_slack = policy.order_by_slack;
+  scheduler_settings.avoids_bad_workers = policy.leave_bad_workers;
   if (!policy.forecast) {
-    chosen.forecast.horizon = Milliseconds(0);
+    scheduler_settings.forecast.horizon = Milliseconds(0);
   }
-  chosen.lease.length = std::min(chosen.lease.length, times.longest_lease);
-  chosen.lease.max_waiting = this->worker_calls.max_waiting;
-  chosen.max_stop_time = times.longest_stop;
-  this->scheduler.emplace(this->jobs_state, chosen, now);
+  scheduler_settings.lease.length =
+      std::min(scheduler_settings.lease.length, times.longest_lease);
+  scheduler_settings.lease.max_waiting = this->worker_calls.max_waiting;
+  scheduler_settings.max_stop_time = times.longest_stop;
+  this->scheduler.emplace(this->jobs_state, scheduler_settings, now);
   const maintenance::MaintenanceSettings maintenance{
       .takeover_pause = times.instance_lease,
       .maintenance_time = times.maintenance_time()};
-  this->keeper = std::make_unique<InstanceKeeper>(
+  this->instance_manager = std::make_unique<InstanceManager>(
       this->jobs_state, *this->scheduler, this->instance_calls,
-      InstanceKeeper::Host{
+      InstanceManager::Host{
           .propose =
               [this](jobs::Command command) {
                 return this->Propose(std::move(command));
               },
           .may_act = [this] { return this->host->MayAct(); },
-          .count_order = [this] { this->load.CountPiece(Piece::kMove); }},
+          .count_order = [this] { this->load.CountWorkItem(WorkItem::kMove); }},
       maintenance,
       maintenance::CapacitySettings{.is_on = policy.moves,
                                     .takeover_pause = times.instance_lease,
@@ -279,7 +282,7 @@
             {"epoch", this->jobs_state.epoch().value()},
             {"workers", this->jobs_state.workers().size()},
             {"jobs", this->jobs_state.active_jobs().size()}});
-  this->AfterPass();
+  this->HandleAppliedCommands();
 }
 
 void JobController::EndLeadership() {
@@ -288,7 +291,7 @@
   this->term_watch.End();
   this->renewals.reset();
   this->relayed.reset();
-  this->keeper.reset();
+  this->instance_manager.reset();
   this->scheduler.reset();
   this->changed_workers.clear();
   this->waiting_ends.clear();
@@ -304,19 +307,19 @@
     return fleet::Answer::FromStatus(stamped.status());
   }
   this->has_applied = true;
-  this->NoteChangedWorker(stamped->command);
+  this->RecordAffectedWorkers(stamped->command);
   if (std::holds_alternative<jobs::ForgetWorker>(stamped->command)) {
-    this->load.CountPiece(Piece::kWorkerEnd);
+    this->load.CountWorkItem(WorkItem::kWorkerEnd);
   }
-  const std::vector<JobId> touched = this->ActiveJobsOf(stamped->command);
+  const std::vector<JobId> affected_jobs = this->ActiveJobsOf(stamped->command);
   fleet::Answer answer = this->jobs_state.Apply(*stamped);
-  this->LogFinished(touched);
+  this->LogFinishedJobs(affected_jobs);
   return answer;
 }
 
 // A scheduler takes in all workers when it begins, and from then on those that
 // change.
-void JobController::NoteChangedWorker(const jobs::Command& command) {
+void JobController::RecordAffectedWorkers(const jobs::Command& command) {
   if (!this->scheduler) {
     return;
   }
@@ -355,8 +358,8 @@
   return jobs;
 }
 
-void JobController::LogFinished(const std::vector<JobId>& touched) {
-  for (const JobId& id : touched) {
+void JobController::LogFinishedJobs(const std::vector<JobId>& affected_jobs) {
+  for (const JobId& id : affected_jobs) {
     const jobs::Job* job = this->jobs_state.FindJob(id);
     if (job == nullptr || job->is_active()) {
       continue;
@@ -379,7 +382,7 @@
   }
 }
 
-void JobController::AfterPass() {
+void JobController::HandleAppliedCommands() {
   if (!this->scheduler) {
     return;
   }
@@ -454,20 +457,20 @@
                   "it would begin too late behind those that wait",
                   forecast.RetryAfter(queue.name, now));
   }
-  if (!this->load.TakesJob()) {
+  if (!this->load.DecideAdmission()) {
     return refuse(scheduler::RefusalReason::kLate,
                   StrCat("this controller is ", this->load.lateness().count(),
                          " ms late"),
                   this->load.RetryAfter());
   }
   forecast.RecordAccepted(queue.name);
-  this->load.CountTakenJob();
+  this->load.CountAcceptedJob();
   return std::nullopt;
 }
 
 kj::Promise<fleet::Answer> JobController::Serve(const jobs::SubmitAt& request) {
-  const auto address =
-      Resolve(this->jobs_state.declaration(), request.host, request.path);
+  const auto address = ResolveJobAddress(this->jobs_state.declaration(),
+                                         request.host, request.path);
   if (!address.ok()) {
     return fleet::Answer::FromStatus(address.status());
   }
@@ -511,8 +514,8 @@
 }
 
 kj::Promise<fleet::Answer> JobController::Serve(const jobs::ShowAt& request) {
-  const auto address =
-      Resolve(this->jobs_state.declaration(), request.host, request.path);
+  const auto address = ResolveJobAddress(this->jobs_state.declaration(),
+                                         request.host, request.path);
   if (!address.ok()) {
     return fleet::Answer::FromStatus(address.status());
   }
@@ -531,8 +534,8 @@
 }
 
 kj::Promise<fleet::Answer> JobController::Serve(const jobs::CancelAt& request) {
-  const auto address =
-      Resolve(this->jobs_state.declaration(), request.host, request.path);
+  const auto address = ResolveJobAddress(this->jobs_state.declaration(),
+                                         request.host, request.path);
   if (!address.ok()) {
     return fleet::Answer::FromStatus(address.status());
   }
@@ -608,7 +611,7 @@
   const auto is_known = [this](const WorkerId& worker) {
     return this->scheduler->sessions().contains(worker);
   };
-  this->renewals->DropUnknown(is_known);
+  this->renewals->RemoveUnknown(is_known);
   for (const WorkerId& worker : changed) {
     if (is_known(worker)) {
       this->renewals->Begin(worker);
@@ -625,7 +628,7 @@
               [this](const ProcessName& controller) {
                 return this->peers.Find(controller);
               },
-          .lease_end = [this] { return this->host->ActsUntil(); },
+          .lease_end = [this] { return this->host->MayActUntil(); },
           .data_centre_of =
               [this](const WorkerId& id) {
                 const jobs::Worker* worker = this->jobs_state.FindWorker(id);
@@ -670,7 +673,7 @@
   }
   LogEvent(LogLevel::kInfo, "relays-for-leader", {{"epoch", epoch.value()}});
   return wire::Relay::Client(kj::heap<relay::RelayService>(
-      this->relay_workers(), kj::mv(answers), epoch, this->timer,
+      this->create_relay_calls(), kj::mv(answers), epoch, this->timer,
       relay::RelayService::Host{.is_current = [this](LeaderEpoch own) {
         return own >= this->jobs_state.epoch();
       }}));
@@ -687,54 +690,55 @@
                            },
                        .renew =
                            [this](const scheduler::RenewOrder& order) {
-                             this->load.CountPiece(Piece::kRenewal);
+                             this->load.CountWorkItem(WorkItem::kRenewal);
                              const auto measured =
                                  this->load.work_times.Measure(Work::kRenewal);
                              return this->relayed->Renew(order);
                            },
-                       .take =
+                       .handle_answer =
                            [this](const WorkerId& worker,
                                   const scheduler::RenewAnswer& answer) {
-                             return this->TakeRenewal(worker, answer);
+                             return this->HandleRenewalAnswer(worker, answer);
                            },
-                       .forget =
+                       .on_removed =
                            [this](const WorkerId& worker) {
                              this->relayed->RemoveWorker(worker);
                            }});
   std::size_t begun = 0;
   for (const auto& [worker, session] : this->scheduler->sessions()) {
-    const auto slices = static_cast<std::int64_t>(begun++ / kRenewalsOfSlice);
-    this->renewals->Begin(worker, slices * kSlicePause);
+    const auto batch_index =
+        static_cast<std::int64_t>(begun++ / kRenewalsPerBatch);
+    this->renewals->Begin(worker, batch_index * kBatchPause);
   }
 }
 
-RenewalOutcome JobController::TakeRenewal(
+RenewalOutcome JobController::HandleRenewalAnswer(
     const WorkerId& worker,
     const scheduler::RenewAnswer& answer) {
   if (answer.result != scheduler::OrderResult::kDone) {
     this->scheduler->HandleRenewalFailure(worker, answer.result,
                                           this->clock.SteadyNow());
     this->SchedulePlan();
-    return {.recorded = nullptr, .pause = kRenewalPause};
+    return {.committed = nullptr, .pause = kRenewalPause};
   }
   scheduler::EndsToRecord ends =
-      this->TakeReport(worker, answer.report, this->clock.SteadyNow());
+      this->HandleWorkerReport(worker, answer.report, this->clock.SteadyNow());
   if (this->scheduler->is_dirty()) {
     this->SchedulePlan();
   }
   if (ends.up_to == 0) {
-    return {.recorded = nullptr, .pause = Milliseconds(0)};
+    return {.committed = nullptr, .pause = Milliseconds(0)};
   }
-  return {.recorded = this->RecordEnds(worker, std::move(ends)),
+  return {.committed = this->RecordEnds(worker, std::move(ends)),
           .pause = this->loop_pacer.ReportPause()};
 }
 
-scheduler::EndsToRecord JobController::TakeReport(
+scheduler::EndsToRecord JobController::HandleWorkerReport(
     const WorkerId& worker,
     const scheduler::RenewReport& report,
     SteadyTime now) {
   const auto measured = this->load.work_times.Measure(Work::kReport);
-  this->load.CountPiece(Piece::kReport);
+  this->load.CountWorkItem(WorkItem::kReport);
   return this->scheduler->HandleReport(worker, report, now);
 }
 
@@ -828,14 +832,14 @@
     return;
   }
   const auto began = std::chrono::steady_clock::now();
-  const auto noted = kj::defer([this, began] {
-    this->NotePass(std::chrono::steady_clock::now() - began);
+  const auto record_duration = kj::defer([this, began] {
+    this->RecordPassDuration(std::chrono::steady_clock::now() - began);
   });
   this->last_plan = this->clock.SteadyNow();
   this->SyncWorkers();
   {
     const auto measured = this->load.work_times.Measure(Work::kInstances);
-    this->keeper->Plan(this->clock.Now(), this->last_plan);
+    this->instance_manager->Plan(this->clock.Now(), this->last_plan);
   }
   const scheduler::StartAllowance allowed = this->load.AllowStarts();
   scheduler::SchedulerOutput output;
@@ -855,15 +859,16 @@
     this->RequestReport(order);
   }
   if (output.question) {
-    this->AskForAdvice(*output.question);
+    this->RequestAdvice(*output.question);
   }
   if (allowed.all > 0 && output.orders.size() >= allowed.all) {
     this->SchedulePlan();
   }
 }
 
-void JobController::NotePass(std::chrono::steady_clock::duration took) {
-  this->load.CountTurn();
+void JobController::RecordPassDuration(
+    std::chrono::steady_clock::duration took) {
+  this->load.CountPlanningPass();
   this->metrics.Observe("sumac_pass_seconds",
                         std::chrono::duration<double>(took).count());
   this->loop_pacer.RecordPass(
@@ -876,13 +881,15 @@
   this->tasks.add(this->relayed->RequestReport(order).then(
       [this, term, worker = order.worker](
           const scheduler::RenewAnswer& answer) -> kj::Promise<void> {
-        const bool is_ours = this->scheduler && this->term_watch.term() == term;
-        if (!is_ours || answer.result != scheduler::OrderResult::kDone) {
+        const bool is_current_term =
+            this->scheduler && this->term_watch.term() == term;
+        if (!is_current_term ||
+            answer.result != scheduler::OrderResult::kDone) {
           // The next renewal tells the same.
           return kj::READY_NOW;
         }
-        scheduler::EndsToRecord ends =
-            this->TakeReport(worker, answer.report, this->clock.SteadyNow());
+        scheduler::EndsToRecord ends = this->HandleWorkerReport(
+            worker, answer.report, this->clock.SteadyNow());
         this->SchedulePlan();
         if (ends.up_to == 0) {
           return kj::READY_NOW;
@@ -891,7 +898,7 @@
       }));
 }
 
-void JobController::AskForAdvice(const scheduler::AdviceQuestion& question) {
+void JobController::RequestAdvice(const scheduler::AdviceQuestion& question) {
   const Term term = this->term_watch.term();
   this->tasks.add(this->worker_calls.advise(question).then(
       [this, term, question](const scheduler::AdviceAnswer& answer) {
@@ -922,9 +929,9 @@
   }
   const Term term = this->term_watch.term();
   kj::Promise<scheduler::OrderAnswer> answered = this->relayed->Send(order);
-  this->load.CountPiece(std::holds_alternative<scheduler::StartOrder>(order)
-                            ? Piece::kStart
-                            : Piece::kStop);
+  this->load.CountWorkItem(std::holds_alternative<scheduler::StartOrder>(order)
+                               ? WorkItem::kStart
+                               : WorkItem::kStop);
   if (std::holds_alternative<scheduler::StartOrder>(order)) {
     answered = answered.attach(this->load.CountStart());
   }
--- a/services/sumacd/job_controller.h
+++ b/services/sumacd/job_controller.h
@@ -30,7 +30,7 @@
 #include "libraries/scheduler/scheduler.h"
 #include "libraries/scheduler/worker_calls.h"
 #include "services/sumacd/commit_rounds.h"
-#include "services/sumacd/instance_keeper.h"
+#include "services/sumacd/instance_manager.h"
 #include "services/sumacd/leader_load.h"
 #include "services/sumacd/node_settings.h"
 #include "services/sumacd/peers.h"
@@ -47,7 +47,7 @@
 class JobController : private kj::TaskSet::ErrorHandler {
  public:
   // Makes the connections to workers of one relay.
-  using RelayWorkers = std::function<relay::OwnedWorkerCalls()>;
+  using RelayCallsFactory = std::function<relay::OwnedWorkerCalls()>;
 
   // Opens the data folder and starts the replica.
   static absl::StatusOr<std::unique_ptr<JobController>> Create(
@@ -57,7 +57,7 @@
       http::Metrics& metrics,
       jobs::DeclarationDecoder decoder,
       scheduler::WorkerCalls worker_calls,
-      RelayWorkers relay_workers,
+      RelayCallsFactory create_relay_calls,
       maintenance::InstanceCalls instance_calls);
 
   // Runs until the process ends.
@@ -102,7 +102,7 @@
                 jobs::DeclarationDecoder decoder,
                 Peers& peers,
                 scheduler::WorkerCalls worker_calls,
-                RelayWorkers relay_workers,
+                RelayCallsFactory create_relay_calls,
                 maintenance::InstanceCalls instance_calls);
 
   void taskFailed(kj::Exception&& exception) override;
@@ -110,15 +110,15 @@
   void RegisterMetrics();
   kj::Promise<void> TickLoop();
   void Tick();
-  void FollowLeadership(SteadyTime now);
+  void UpdateLeadership(SteadyTime now);
   void BeginLeadership();
-  void StartDeciding();
+  void StartScheduling();
   void EndLeadership();
   fleet::Answer Apply(const std::string& payload);
-  void NoteChangedWorker(const jobs::Command& command);
+  void RecordAffectedWorkers(const jobs::Command& command);
   std::vector<JobId> ActiveJobsOf(const jobs::Command& command) const;
-  void LogFinished(const std::vector<JobId>& touched);
-  void AfterPass();
+  void LogFinishedJobs(const std::vector<JobId>& affected_jobs);
+  void HandleAppliedCommands();
   kj::Promise<fleet::Answer> Propose(jobs::Command command);
   void ProposeInBackground(jobs::Command command);
 
@@ -138,21 +138,22 @@
   void BeginRelays();
   void SyncRelays(SteadyTime now);
   void BeginRenewals();
-  RenewalOutcome TakeRenewal(const WorkerId& worker,
-                             const scheduler::RenewAnswer& answer);
-  scheduler::EndsToRecord TakeReport(const WorkerId& worker,
-                                     const scheduler::RenewReport& report,
-                                     SteadyTime now);
+  RenewalOutcome HandleRenewalAnswer(const WorkerId& worker,
+                                     const scheduler::RenewAnswer& answer);
+  scheduler::EndsToRecord HandleWorkerReport(
+      const WorkerId& worker,
+      const scheduler::RenewReport& report,
+      SteadyTime now);
   kj::Promise<void> RecordEnds(const WorkerId& worker,
                                scheduler::EndsToRecord ends);
   void ScheduleEnds();
   void CommitEnds();
   void SchedulePlan();
   void Plan();
-  void NotePass(std::chrono::steady_clock::duration took);
+  void RecordPassDuration(std::chrono::steady_clock::duration took);
   void SendOrder(const scheduler::Order& order);
   void RequestReport(const scheduler::RenewOrder& order);
-  void AskForAdvice(const scheduler::AdviceQuestion& question);
+  void RequestAdvice(const scheduler::AdviceQuestion& question);
   void LogEvents(const std::vector<scheduler::SchedulerEvent>& events);
 
   const NodeSettings& settings;
@@ -162,7 +163,7 @@
   SystemClock clock;
   Peers& peers;
   scheduler::WorkerCalls worker_calls;
-  RelayWorkers relay_workers;
+  RelayCallsFactory create_relay_calls;
   maintenance::InstanceCalls instance_calls;
   jobs::JobsState jobs_state;
   std::unique_ptr<ReplicaHost> host;
@@ -171,7 +172,7 @@
   TermWatch term_watch;
   // Present once the epoch of this leadership is committed.
   std::optional<scheduler::Scheduler> scheduler;
-  std::unique_ptr<InstanceKeeper> keeper;
+  std::unique_ptr<InstanceManager> instance_manager;
   // Present as long as the scheduler.
   std::optional<relay::RelayedCalls> relayed;
   // It has enough workers for relays.
--- a/services/sumacd/job_queries.cc
+++ b/services/sumacd/job_queries.cc
@@ -13,7 +13,7 @@
 namespace {
 
 // Jobs in one answer; an answer must stay within one message.
-constexpr std::size_t kMostJobsShown = 500;
+constexpr std::size_t kMaxListedJobs = 500;
 
 using Rows = nlohmann::json;
 
@@ -24,9 +24,9 @@
 }
 
 Rows DescribeJob(const JobSources& sources, const jobs::Job& job) {
-  std::uint64_t tasks_each_time = 0;
+  std::uint64_t tasks_per_occurrence = 0;
   for (const jobs::StepSpec& step : job.spec.steps) {
-    tasks_each_time += step.count;
+    tasks_per_occurrence += step.count;
   }
   return {{"id", job.id.value()},
           {"queue", job.queue.value()},
@@ -34,7 +34,7 @@
           {"state", StateOf(sources, job)},
           {"reason", job.reason},
           {"steps", job.spec.steps.size()},
-          {"tasks", tasks_each_time * job.spec.occurrences()},
+          {"tasks", tasks_per_occurrence * job.spec.occurrences()},
           {"done", job.CountAllDone()},
           {"accepted_at_ms", job.accepted_at.time_since_epoch().count()}};
 }
@@ -107,7 +107,8 @@
 }
 
 // The workers that crashed under a step's tasks, for people.
-std::string CrashesOf(const JobSources& sources, const jobs::StepId& step) {
+std::string DescribeStepCrashes(const JobSources& sources,
+                                const jobs::StepId& step) {
   const jobs::Job* job = sources.state.FindJob(step.job);
   std::string text;
   if (job == nullptr) {
@@ -137,7 +138,7 @@
   }
   Rows rows = Rows::array();
   for (const auto& [sequence, job] : sources.state.active_jobs()) {
-    if (rows.size() < kMostJobsShown) {
+    if (rows.size() < kMaxListedJobs) {
       rows.push_back(DescribeJob(sources, *job));
     }
   }
@@ -237,7 +238,7 @@
                     {"not_admitted", cause.not_admitted},
                     {"places", cause.places},
                     {"is_feasible", cause.is_feasible},
-                    {"crashes", CrashesOf(sources, step)}});
+                    {"crashes", DescribeStepCrashes(sources, step)}});
   }
   return {.document = std::move(rows)};
 }
--- a/services/sumacd/jobs_link.cc
+++ b/services/sumacd/jobs_link.cc
@@ -24,11 +24,12 @@
   }
   // Encoded once, for all tries.
   auto bytes = std::make_shared<std::string>(ToCbor(request));
-  auto kept = std::make_shared<jobs::Request>(std::move(request));
+  auto shared_request = std::make_shared<jobs::Request>(std::move(request));
   return this->search
       .Run(
-          [this, kept, bytes](const ProcessName& process, Milliseconds left) {
-            return this->AskAt(process, *kept, *bytes, left);
+          [this, shared_request, bytes](const ProcessName& process,
+                                        Milliseconds left) {
+            return this->AskAt(process, *shared_request, *bytes, left);
           },
           limit)
       .then([this](fleet::Answer&& answer) {
--- a/services/sumacd/leader_load.cc
+++ b/services/sumacd/leader_load.cc
@@ -14,7 +14,7 @@
 namespace {
 
 // A leader says this often how busy it is: some ten lines of a rush.
-constexpr Milliseconds kLineInterval{2'000};
+constexpr Milliseconds kLogInterval{2'000};
 
 double InSeconds(Milliseconds time) {
   return std::chrono::duration<double>(time).count();
@@ -53,38 +53,38 @@
                "\"}"),
         [this, part] { return this->work_times.Spent(part).count(); });
   }
-  for (std::size_t piece = 0; piece < kPieceNames.size(); ++piece) {
+  for (std::size_t item = 0; item < kWorkItemNames.size(); ++item) {
     this->metrics.SetCounter(
-        StrCat("sumac_pieces_total{kind=\"", kPieceNames[piece], "\"}"),
-        [this, piece] { return static_cast<double>(this->pieces[piece]); });
+        StrCat("sumac_pieces_total{kind=\"", kWorkItemNames[item], "\"}"),
+        [this, item] { return static_cast<double>(this->work_items[item]); });
   }
   this->metrics.SetCounter("sumac_processor_seconds_total", [] {
     return std::chrono::duration<double>(ProcessProcessorTime()).count();
   });
 }
 
-void LeaderLoad::Measure() {
+void LeaderLoad::MeasureLateness() {
   const Milliseconds late = this->probe.Lateness();
   this->probe.Send();
   this->admission.RecordLateness(late);
-  this->most_late = std::max(this->most_late, late);
+  this->max_lateness = std::max(this->max_lateness, late);
   this->metrics.Observe("sumac_loop_late_seconds", InSeconds(late));
 }
 
 void LeaderLoad::BeginLeadership(SteadyTime now) {
   this->logged_starts = {};
   this->logged_relayed = {};
-  this->BeginSpan(now);
+  this->BeginInterval(now);
 }
 
-void LeaderLoad::BeginSpan(SteadyTime now) {
-  this->span_began = now;
-  this->most_late = Milliseconds(0);
-  this->turns = 0;
-  this->taken_jobs = 0;
+void LeaderLoad::BeginInterval(SteadyTime now) {
+  this->interval_began = now;
+  this->max_lateness = Milliseconds(0);
+  this->planning_passes = 0;
+  this->accepted_jobs = 0;
   this->refused_jobs.clear();
   this->logged_work = this->work_times;
-  this->logged_pieces = this->pieces;
+  this->logged_work_items = this->work_items;
   this->logged_loop_time = ThreadProcessorTime();
   this->logged_process_time = ProcessProcessorTime();
 }
@@ -105,11 +105,11 @@
   return busy;
 }
 
-nlohmann::json LeaderLoad::DescribePieces() const {
+nlohmann::json LeaderLoad::DescribeWorkItems() const {
   nlohmann::json counts = nlohmann::json::object();
-  for (std::size_t piece = 0; piece < kPieceNames.size(); ++piece) {
-    counts[std::string(kPieceNames[piece])] =
-        this->pieces[piece] - this->logged_pieces[piece];
+  for (std::size_t item = 0; item < kWorkItemNames.size(); ++item) {
+    counts[std::string(kWorkItemNames[item])] =
+        this->work_items[item] - this->logged_work_items[item];
   }
   return counts;
 }
@@ -121,7 +121,7 @@
 }
 
 void LeaderLoad::LogIfDue(const LeaderQueues& queues, SteadyTime now) {
-  if (now - this->span_began < kLineInterval) {
+  if (now - this->interval_began < kLogInterval) {
     return;
   }
   nlohmann::json refused = nlohmann::json::object();
@@ -129,22 +129,22 @@
     refused[std::string(NameOf(reason))] = count;
   }
   LogEvent(LogLevel::kInfo, "leader-load",
-           {{"span_ms", (now - this->span_began).count()},
+           {{"span_ms", (now - this->interval_began).count()},
             {"late_ms", this->lateness().count()},
-            {"most_late_ms", this->most_late.count()},
+            {"most_late_ms", this->max_lateness.count()},
             {"loop_ms",
              InMilliseconds(ThreadProcessorTime() - this->logged_loop_time)},
             {"process_ms", InMilliseconds(ProcessProcessorTime() -
                                           this->logged_process_time)},
             {"busy_ms", this->DescribeWork()},
-            {"pieces", this->DescribePieces()},
+            {"pieces", this->DescribeWorkItems()},
             {"pass_pause_ms", queues.pass_pause.count()},
             {"open_starts", this->open_starts},
             {"waiting_ends", queues.waiting_ends},
             {"active_jobs", queues.active_jobs},
             {"waiting_jobs", queues.waiting_jobs},
-            {"turns", this->turns},
-            {"taken_jobs", this->taken_jobs},
+            {"turns", this->planning_passes},
+            {"taken_jobs", this->accepted_jobs},
             {"refused_jobs", std::move(refused)},
             {"waiting", InJson(queues.waiting)},
             {"starts", InJson(queues.starts - this->logged_starts)},
@@ -152,7 +152,7 @@
             {"relayed", InJson(queues.relayed - this->logged_relayed)}});
   this->logged_starts = queues.starts;
   this->logged_relayed = queues.relayed;
-  this->BeginSpan(now);
+  this->BeginInterval(now);
 }
 
 }  // namespace sumac::daemon
--- a/services/sumacd/leader_load.h
+++ b/services/sumacd/leader_load.h
@@ -34,7 +34,7 @@
   scheduler::LatenessCounts waiting;
   // Ordered since the leadership began.
   scheduler::LatenessCounts starts;
-  // Between two turns of the scheduler.
+  // Between two planning_passes of the scheduler.
   Milliseconds pass_pause{0};
   // Controllers that make calls to workers for this one, and what they did
   // since the leadership began.
@@ -42,9 +42,9 @@
   relay::RelayCounts relayed;
 };
 
-// Work that is counted by its pieces, since each piece has its price.
-enum class Piece { kRenewal, kReport, kStart, kStop, kMove, kWorkerEnd };
-inline constexpr std::array<std::string_view, 6> kPieceNames = {
+// Work that is counted by its work_items, since each item has its price.
+enum class WorkItem { kRenewal, kReport, kStart, kStop, kMove, kWorkerEnd };
+inline constexpr std::array<std::string_view, 6> kWorkItemNames = {
     "renewals", "reports", "starts", "stops", "moves", "workers_ended"};
 
 // How busy a controller's event loop is, and how much new work it may take for
@@ -55,7 +55,7 @@
   LeaderLoad(kj::AsyncIoProvider& provider, http::Metrics& metrics);
 
   // Measures how late the loop reads; called at each tick.
-  void Measure();
+  void MeasureLateness();
 
   // Begins the span of the first line, with a new leadership.
   void BeginLeadership(SteadyTime now);
@@ -63,13 +63,13 @@
   void LogIfDue(const LeaderQueues& queues, SteadyTime now);
 
   // Decides about one new job; see Admission.
-  bool TakesJob() { return this->admission.AdmitJob(); }
-  void CountTakenJob() { ++this->taken_jobs; }
+  bool DecideAdmission() { return this->admission.AdmitJob(); }
+  void CountAcceptedJob() { ++this->accepted_jobs; }
   void CountRefusal(scheduler::RefusalReason reason);
   // Counts a turn of the scheduler.
-  void CountTurn() { ++this->turns; }
-  void CountPiece(Piece piece) {
-    ++this->pieces[static_cast<std::size_t>(piece)];
+  void CountPlanningPass() { ++this->planning_passes; }
+  void CountWorkItem(WorkItem item) {
+    ++this->work_items[static_cast<std::size_t>(item)];
   }
   Milliseconds RetryAfter() const { return this->admission.RetryAfter(); }
   Milliseconds lateness() const { return this->admission.lateness(); }
@@ -88,9 +88,9 @@
   WorkTimes work_times;
 
  private:
-  void BeginSpan(SteadyTime now);
+  void BeginInterval(SteadyTime now);
   nlohmann::json DescribeWork() const;
-  nlohmann::json DescribePieces() const;
+  nlohmann::json DescribeWorkItems() const;
 
   http::Metrics& metrics;
   LoopProbe probe;
@@ -98,17 +98,17 @@
   // Starts that were sent and are not answered.
   std::size_t open_starts = 0;
   // Since the last line.
-  SteadyTime span_began{};
-  Milliseconds most_late{0};
-  std::uint64_t turns = 0;
-  std::uint64_t taken_jobs = 0;
+  SteadyTime interval_began{};
+  Milliseconds max_lateness{0};
+  std::uint64_t planning_passes = 0;
+  std::uint64_t accepted_jobs = 0;
   std::map<scheduler::RefusalReason, std::uint64_t> refused_jobs;
-  std::array<std::uint64_t, kPieceNames.size()> pieces{};
+  std::array<std::uint64_t, kWorkItemNames.size()> work_items{};
   // As they were then.
   WorkTimes logged_work;
   scheduler::LatenessCounts logged_starts;
   relay::RelayCounts logged_relayed;
-  std::array<std::uint64_t, kPieceNames.size()> logged_pieces{};
+  std::array<std::uint64_t, kWorkItemNames.size()> logged_work_items{};
   std::chrono::nanoseconds logged_loop_time{0};
   std::chrono::nanoseconds logged_process_time{0};
 };
--- a/services/sumacd/leader_search.cc
+++ b/services/sumacd/leader_search.cc
@@ -13,9 +13,9 @@
 
 // One try at one controller takes at most this, so that a silent one does not
 // use up the limit.
-constexpr Milliseconds kLongestAttempt{700};
+constexpr Milliseconds kMaxAttemptTime{700};
 // Between two rounds without a leader.
-constexpr Milliseconds kPause{50};
+constexpr Milliseconds kRetryPause{50};
 // Before asking a controller that another one named.
 constexpr Milliseconds kHintPause{1};
 
@@ -38,7 +38,7 @@
 // NOTE: A controller speaks for itself when it refuses. One that was asked
 // before and lost its place may have the request in its log, and the next
 // leader, which does not know it yet, may still come to carry it out.
-fleet::Answer OutcomeOpen(const std::string& refusal) {
+fleet::Answer OutcomeUnknown(const std::string& refusal) {
   return {.code = ResultCode::kTimeout,
           .message = StrCat("an earlier try got no answer; then: ", refusal)};
 }
@@ -47,8 +47,9 @@
 
 kj::Promise<fleet::Answer> LeaderSearch::Run(Attempt attempt,
                                              Milliseconds limit) {
-  return this->TryUntil(std::move(attempt),
-                        Progress{.deadline = this->clock.SteadyNow() + limit});
+  return this->TryUntilDeadline(
+      std::move(attempt),
+      Progress{.deadline = this->clock.SteadyNow() + limit});
 }
 
 ProcessName LeaderSearch::NextController() {
@@ -56,12 +57,13 @@
   return controllers[this->next_controller++ % controllers.size()];
 }
 
-kj::Promise<fleet::Answer> LeaderSearch::TryUntil(Attempt attempt,
-                                                  Progress progress) {
+kj::Promise<fleet::Answer> LeaderSearch::TryUntilDeadline(Attempt attempt,
+                                                          Progress progress) {
   const SteadyTime now = this->clock.SteadyNow();
   if (now >= progress.deadline) {
     return fleet::Answer{
-        .code = progress.is_open ? ResultCode::kTimeout : ResultCode::kNoLeader,
+        .code = progress.may_have_run ? ResultCode::kTimeout
+                                      : ResultCode::kNoLeader,
         .message =
             StrCat("no controller that leads was reached in time",
                    progress.last_error.empty() ? "" : "; the last said: ",
@@ -70,7 +72,7 @@
   const ProcessName process = this->known_leader.value().empty()
                                   ? this->NextController()
                                   : this->known_leader;
-  const Milliseconds left = std::min(progress.deadline - now, kLongestAttempt);
+  const Milliseconds left = std::min(progress.deadline - now, kMaxAttemptTime);
   kj::Promise<fleet::Answer> answered = attempt(process, left);
   return answered
       .catch_([](kj::Exception&& exception) {
@@ -80,27 +82,28 @@
       .then([this, process, attempt = std::move(attempt),
              progress = std::move(progress)](
                 fleet::Answer&& answer) mutable -> kj::Promise<fleet::Answer> {
-        this->NoteAnswer(process, answer);
+        this->UpdateLeader(process, answer);
         if (IsFinal(answer)) {
-          return progress.is_open && IsRefusal(answer)
-                     ? OutcomeOpen(answer.message)
+          return progress.may_have_run && IsRefusal(answer)
+                     ? OutcomeUnknown(answer.message)
                      : kj::mv(answer);
         }
-        progress.is_open = progress.is_open ||
-                           answer.code == ResultCode::kUnreachable ||
-                           answer.code == ResultCode::kTimeout;
+        progress.may_have_run = progress.may_have_run ||
+                                answer.code == ResultCode::kUnreachable ||
+                                answer.code == ResultCode::kTimeout;
         progress.last_error = answer.message;
         const bool has_hint = !this->known_leader.value().empty();
-        return this->timer.afterDelay(ToKj(has_hint ? kHintPause : kPause))
+        return this->timer.afterDelay(ToKj(has_hint ? kHintPause : kRetryPause))
             .then([this, attempt = std::move(attempt),
                    progress = std::move(progress)]() mutable {
-              return this->TryUntil(std::move(attempt), std::move(progress));
+              return this->TryUntilDeadline(std::move(attempt),
+                                            std::move(progress));
             });
       });
 }
 
-void LeaderSearch::NoteAnswer(const ProcessName& process,
-                              const fleet::Answer& answer) {
+void LeaderSearch::UpdateLeader(const ProcessName& process,
+                                const fleet::Answer& answer) {
   if (answer.code == ResultCode::kNotLeader) {
     // The message names the leader; a controller that names itself has no lease
     // yet.
--- a/services/sumacd/leader_search.h
+++ b/services/sumacd/leader_search.h
@@ -41,11 +41,12 @@
     SteadyTime deadline{};
     std::string last_error;
     // Some try got no answer, so it may have been carried out.
-    bool is_open = false;
+    bool may_have_run = false;
   };
 
-  kj::Promise<fleet::Answer> TryUntil(Attempt attempt, Progress progress);
-  void NoteAnswer(const ProcessName& process, const fleet::Answer& answer);
+  kj::Promise<fleet::Answer> TryUntilDeadline(Attempt attempt,
+                                              Progress progress);
+  void UpdateLeader(const ProcessName& process, const fleet::Answer& answer);
   ProcessName NextController();
 
   Peers& peers;
--- a/services/sumacd/loop_probe.cc
+++ b/services/sumacd/loop_probe.cc
@@ -15,24 +15,25 @@
 
 void LoopProbe::Send() {
   ReadLateness() = this->Lateness();
-  if (this->is_open) {
+  if (this->is_byte_in_flight) {
     return;
   }
-  this->is_open = true;
+  this->is_byte_in_flight = true;
   this->sent_at = this->clock.SteadyNow();
   this->tasks.add(this->pipe.out->write(&this->sent, 1));
 }
 
 Milliseconds LoopProbe::Lateness() const {
-  const Milliseconds waiting =
-      this->is_open ? this->clock.SteadyNow() - this->sent_at : Milliseconds(0);
-  return std::max(this->last, waiting);
+  const Milliseconds waiting = this->is_byte_in_flight
+                                   ? this->clock.SteadyNow() - this->sent_at
+                                   : Milliseconds(0);
+  return std::max(this->last_lateness, waiting);
 }
 
 kj::Promise<void> LoopProbe::ReadLoop() {
   return this->pipe.in->read(&this->received, 1).then([this] {
-    this->last = this->clock.SteadyNow() - this->sent_at;
-    this->is_open = false;
+    this->last_lateness = this->clock.SteadyNow() - this->sent_at;
+    this->is_byte_in_flight = false;
     return this->ReadLoop();
   });
 }
--- a/services/sumacd/loop_probe.h
+++ b/services/sumacd/loop_probe.h
@@ -36,7 +36,7 @@
   kj::OneWayPipe pipe;
   char sent = 0;
   char received = 0;
-  bool is_open = false;
+  bool is_byte_in_flight = false;
   SteadyTime sent_at{};
   Milliseconds last{0};
   kj::TaskSet tasks;
--- a/services/sumacd/main.cc
+++ b/services/sumacd/main.cc
@@ -19,7 +19,7 @@
 
 constexpr int kExitUsage = 2;
 constexpr int kExitSettings = 3;
-constexpr int kMostHeaps = 4;
+constexpr int kMaxHeaps = 4;
 
 options::options_description DescribeOptions() {
   options::options_description description(
@@ -88,7 +88,7 @@
 
 int main(int argument_count, char** argument_values) {
   // One heap a thread would cost some 100 KB for each open connection.
-  mallopt(M_ARENA_MAX, kMostHeaps);
+  mallopt(M_ARENA_MAX, kMaxHeaps);
   const options::options_description description = DescribeOptions();
   options::variables_map arguments;
   try {
--- a/services/sumacd/node_daemon.cc
+++ b/services/sumacd/node_daemon.cc
@@ -19,16 +19,16 @@
 #include "libraries/base/text.h"
 #include "libraries/base/try.h"
 #include "libraries/codec/json_writer.h"
-#include "libraries/http/async_door.h"
+#include "libraries/http/async_http_server.h"
 #include "libraries/http/connection_budget.h"
 #include "libraries/http/metrics.h"
 #include "libraries/log/json_log.h"
-#include "libraries/rpc/door.h"
+#include "libraries/rpc/rpc_server.h"
 #include "libraries/storage/data_folder.h"
 #include "libraries/storage/posix_disk.h"
 #include "platform/advice_client.h"
-#include "platform/doors.h"
 #include "platform/instance_client.h"
+#include "platform/request_handlers.h"
 #include "platform/wire_codec.h"
 #include "platform/worker_client.h"
 #include "services/sumacd/job_controller.h"
@@ -44,10 +44,10 @@
 // The settings file is looked at this often.
 constexpr Milliseconds kFileCheckInterval{500};
 // An entry that has not reached a leader for this long is not ready.
-constexpr Milliseconds kOutOfTouchTime{3'000};
+constexpr Milliseconds kLeaderContactTimeout{3'000};
 // An entry asks for a sign of a leader this often.
 constexpr Milliseconds kProbeInterval{1'000};
-constexpr Milliseconds kProbeLimit{900};
+constexpr Milliseconds kProbeTimeout{900};
 // The balancer drops an entry that fails two checks, a second apart.
 constexpr Milliseconds kStopNotice{2'300};
 // A hand-over on a planned stop takes at most this.
@@ -60,9 +60,9 @@
 // However much the event loop has to do, it looks at its timers and sockets
 // after this many steps, some milliseconds of a third of a core: heartbeats and
 // answers that have come must not wait behind a burst of orders.
-constexpr unsigned kMostEventsBetweenPolls = 500;
-constexpr std::uint64_t kMostCallerBody = 256U << 10;
-constexpr std::uint64_t kMostControlBody = 4U << 20;
+constexpr unsigned kMaxEventsBetweenPolls = 500;
+constexpr std::uint64_t kMaxCallerBodyBytes = 256U << 10;
+constexpr std::uint64_t kMaxControlBodyBytes = 4U << 20;
 
 replication::NodeId NodeOf(const ProcessName& process,
                            std::uint64_t incarnation) {
@@ -97,7 +97,7 @@
       disk, settings.data_folder, identity);
 }
 
-// One running process.
+// One background_loops process.
 class NodeDaemon {
  public:
   NodeDaemon(NodeSettings initial,
@@ -134,17 +134,17 @@
   relay::OwnedWorkerCalls MakeRelayWorkers();
   absl::Status StartEntry();
   std::size_t EntryConnections() const;
-  void ShowConnections(const std::string& kind,
-                       const http::ConnectionBudget& connections);
-  absl::Status OpenDoor(std::unique_ptr<http::AsyncDoor>& door,
-                        http::DoorSettings door_settings,
-                        http::AsyncDoor::Handler handler);
-  absl::Status OpenMetricsDoor();
+  void AddConnectionMetrics(const std::string& kind,
+                            const http::ConnectionBudget& connections);
+  absl::Status OpenHttpListener(std::unique_ptr<http::AsyncHttpServer>& door,
+                                http::AsyncServerSettings door_settings,
+                                http::AsyncHttpServer::Handler handler);
+  absl::Status OpenMetricsListener();
   absl::Status ListenToPeers();
-  absl::Status OpenRpcDoor(const std::string& address,
-                           capnp::Capability::Client service);
+  absl::Status OpenRpcListener(const std::string& address,
+                               capnp::Capability::Client service);
   platform::AskLeader AskLeader();
-  http::DoorReply ReplyToHealthCheck() const;
+  http::ServerReply ReplyToHealthCheck() const;
   bool IsReady() const;
   kj::Promise<void> ProbeLoop();
   kj::Promise<void> ReloadLoop();
@@ -152,7 +152,7 @@
   void Reload(const char* cause);
   void StopController();
   void StopEntry();
-  void WaitUpTo(kj::Promise<void> done, Milliseconds limit);
+  void AwaitWithLimit(kj::Promise<void> done, Milliseconds limit);
 
   NodeSettings settings;
   std::string path;
@@ -168,16 +168,16 @@
   platform::AdviceClient advice;
   std::unique_ptr<JobController> controller;
   std::unique_ptr<JobsLink> link;
-  std::optional<platform::CallerDoor> caller_adapter;
-  std::optional<platform::ControlDoor> control_adapter;
-  std::unique_ptr<http::AsyncDoor> control_door;
-  std::unique_ptr<http::AsyncDoor> caller_door;
-  std::unique_ptr<http::AsyncDoor> health_door;
-  std::unique_ptr<http::AsyncDoor> metrics_door;
-  std::vector<std::unique_ptr<rpc::Door>> rpc_doors;
+  std::optional<platform::CallerRequestHandler> caller_adapter;
+  std::optional<platform::ControlRequestHandler> control_adapter;
+  std::unique_ptr<http::AsyncHttpServer> control_listener;
+  std::unique_ptr<http::AsyncHttpServer> caller_listener;
+  std::unique_ptr<http::AsyncHttpServer> health_listener;
+  std::unique_ptr<http::AsyncHttpServer> metrics_listener;
+  std::vector<std::unique_ptr<rpc::RpcServer>> rpc_listeners;
   bool is_stopping = false;
   std::int64_t file_changed_at = 0;
-  std::vector<kj::Promise<void>> running;
+  std::vector<kj::Promise<void>> background_loops;
 };
 
 platform::AskLeader NodeDaemon::AskLeader() {
@@ -190,7 +190,7 @@
   LogEvent(LogLevel::kInfo, "descriptors-shared",
            {{"disk", this->shares.disk},
             {"peers", this->shares.peers},
-            {"doors", this->shares.doors},
+            {"doors", this->shares.incoming},
             {"outgoing", this->shares.outgoing}});
   if (this->settings.is_controller()) {
     TRY(this->StartController());
@@ -198,16 +198,16 @@
     TRY(this->StartEntry());
   }
   if (!this->settings.operators_door.empty()) {
-    TRY(this->OpenRpcDoor(
+    TRY(this->OpenRpcListener(
         this->settings.operators_door,
         kj::heap<NodeOperatorService>(this->settings, *this->link,
                                       this->controller.get())));
   }
   if (!this->settings.metrics_door.empty()) {
-    TRY(this->OpenMetricsDoor());
+    TRY(this->OpenMetricsListener());
   }
-  this->running.push_back(this->ReloadLoop().eagerlyEvaluate(nullptr));
-  this->running.push_back(this->SignalLoop().eagerlyEvaluate(nullptr));
+  this->background_loops.push_back(this->ReloadLoop().eagerlyEvaluate(nullptr));
+  this->background_loops.push_back(this->SignalLoop().eagerlyEvaluate(nullptr));
   return absl::OkStatus();
 }
 
@@ -230,14 +230,15 @@
   this->link = std::make_unique<JobsLink>(this->settings.process(), this->peers,
                                           this->timer, this->controller.get());
   TRY(this->ListenToPeers());
-  this->running.push_back(this->controller->Run().eagerlyEvaluate(nullptr));
+  this->background_loops.push_back(
+      this->controller->Run().eagerlyEvaluate(nullptr));
   this->control_adapter.emplace(this->AskLeader(), this->controller->state());
-  return this->OpenDoor(
-      this->control_door,
-      http::DoorSettings{.address = this->settings.control_door,
-                         .most_body_bytes = kMostControlBody,
-                         .most_connections = this->shares.doors},
-      [this](http::DoorRequest request) {
+  return this->OpenHttpListener(
+      this->control_listener,
+      http::AsyncServerSettings{.address = this->settings.control_door,
+                                .max_body_bytes = kMaxControlBodyBytes,
+                                .max_connections = this->shares.incoming},
+      [this](http::ServerRequest request) {
         return this->control_adapter->Handle(std::move(request));
       });
 }
@@ -254,21 +255,22 @@
   this->link = std::make_unique<JobsLink>(this->settings.process(), this->peers,
                                           this->timer, nullptr);
   this->caller_adapter.emplace(this->AskLeader(), this->metrics);
-  this->running.push_back(this->ProbeLoop().eagerlyEvaluate(nullptr));
-  TRY(this->OpenDoor(
-      this->caller_door,
-      http::DoorSettings{.address = this->settings.caller_door,
-                         .most_body_bytes = kMostCallerBody,
-                         .headers = platform::CallerDoor::Headers(),
-                         .most_connections = this->EntryConnections()},
-      [this](const http::DoorRequest& request) {
+  this->background_loops.push_back(this->ProbeLoop().eagerlyEvaluate(nullptr));
+  TRY(this->OpenHttpListener(
+      this->caller_listener,
+      http::AsyncServerSettings{
+          .address = this->settings.caller_door,
+          .max_body_bytes = kMaxCallerBodyBytes,
+          .headers = platform::CallerRequestHandler::Headers(),
+          .max_connections = this->EntryConnections()},
+      [this](const http::ServerRequest& request) {
         return this->caller_adapter->Handle(request);
       }));
-  return this->OpenDoor(
-      this->health_door,
-      http::DoorSettings{.address = this->settings.health_door},
-      [this](const http::DoorRequest& /*request*/)
-          -> kj::Promise<http::DoorReply> {
+  return this->OpenHttpListener(
+      this->health_listener,
+      http::AsyncServerSettings{.address = this->settings.health_door},
+      [this](const http::ServerRequest& /*request*/)
+          -> kj::Promise<http::ServerReply> {
         return this->ReplyToHealthCheck();
       });
 }
@@ -276,14 +278,15 @@
 // An entry opens connections to its peers only, so its callers get that share
 // too.
 std::size_t NodeDaemon::EntryConnections() const {
-  return this->shares.doors + this->shares.outgoing;
+  return this->shares.incoming + this->shares.outgoing;
 }
 
-absl::Status NodeDaemon::OpenDoor(std::unique_ptr<http::AsyncDoor>& door,
-                                  http::DoorSettings door_settings,
-                                  http::AsyncDoor::Handler handler) {
+absl::Status NodeDaemon::OpenHttpListener(
+    std::unique_ptr<http::AsyncHttpServer>& door,
+    http::AsyncServerSettings door_settings,
+    http::AsyncHttpServer::Handler handler) {
   const std::string address = door_settings.address;
-  door = std::make_unique<http::AsyncDoor>(
+  door = std::make_unique<http::AsyncHttpServer>(
       this->timer, std::move(door_settings), std::move(handler));
   try {
     door->Listen(this->io.provider->getNetwork()).wait(this->io.waitScope);
@@ -296,27 +299,28 @@
 }
 
 absl::Status NodeDaemon::ListenToPeers() {
-  return this->OpenRpcDoor(this->settings.process().value(),
-                           kj::heap<NodePeerService>(*this->controller));
+  return this->OpenRpcListener(this->settings.process().value(),
+                               kj::heap<NodePeerService>(*this->controller));
 }
 
-absl::Status NodeDaemon::OpenRpcDoor(const std::string& address,
-                                     capnp::Capability::Client service) {
-  this->rpc_doors.push_back(
-      TRY(rpc::Door::Create(this->io, address, kj::mv(service))));
+absl::Status NodeDaemon::OpenRpcListener(const std::string& address,
+                                         capnp::Capability::Client service) {
+  this->rpc_listeners.push_back(
+      TRY(rpc::RpcServer::Create(this->io, address, kj::mv(service))));
   return absl::OkStatus();
 }
 
 // Descriptors in use by kind against their share.
-void NodeDaemon::ShowConnections(const std::string& kind,
-                                 const http::ConnectionBudget& connections) {
+void NodeDaemon::AddConnectionMetrics(
+    const std::string& kind,
+    const http::ConnectionBudget& connections) {
   const std::string label = StrCat("{kind=\"", kind, "\"}");
   this->metrics.SetGauge(StrCat("sumac_connections", label), [&connections] {
     return static_cast<double>(connections.open());
   });
   this->metrics.SetGauge(
       StrCat("sumac_connections_most", label),
-      [&connections] { return static_cast<double>(connections.most()); });
+      [&connections] { return static_cast<double>(connections.max_open()); });
   this->metrics.SetCounter(
       StrCat("sumac_connections_closed_for_others_total", label),
       [&connections] { return static_cast<double>(connections.closed()); });
@@ -325,32 +329,34 @@
       [&connections] { return static_cast<double>(connections.refused()); });
 }
 
-absl::Status NodeDaemon::OpenMetricsDoor() {
+absl::Status NodeDaemon::OpenMetricsListener() {
   if (this->settings.is_controller()) {
-    this->ShowConnections("workers", this->worker_connections);
-    this->ShowConnections("control", this->control_door->connections());
+    this->AddConnectionMetrics("workers", this->worker_connections);
+    this->AddConnectionMetrics("control",
+                               this->control_listener->connections());
   } else {
-    this->ShowConnections("callers", this->caller_door->connections());
+    this->AddConnectionMetrics("callers", this->caller_listener->connections());
   }
-  return this->OpenDoor(
-      this->metrics_door,
-      http::DoorSettings{.address = this->settings.metrics_door},
-      [this](const http::DoorRequest& /*request*/)
-          -> kj::Promise<http::DoorReply> {
-        return http::DoorReply{.body = this->metrics.ToText(),
-                               .content_type = "text/plain; version=0.0.4"};
+  return this->OpenHttpListener(
+      this->metrics_listener,
+      http::AsyncServerSettings{.address = this->settings.metrics_door},
+      [this](const http::ServerRequest& /*request*/)
+          -> kj::Promise<http::ServerReply> {
+        return http::ServerReply{.body = this->metrics.ToText(),
+                                 .content_type = "text/plain; version=0.0.4"};
       });
 }
 
 bool NodeDaemon::IsReady() const {
   return !this->is_stopping &&
-         this->clock.SteadyNow() - this->link->last_answer() < kOutOfTouchTime;
+         this->clock.SteadyNow() - this->link->last_answer() <
+             kLeaderContactTimeout;
 }
 
-http::DoorReply NodeDaemon::ReplyToHealthCheck() const {
+http::ServerReply NodeDaemon::ReplyToHealthCheck() const {
   constexpr std::uint32_t kOk = 200;
   constexpr std::uint32_t kUnavailable = 503;
-  return http::DoorReply{.status = this->IsReady() ? kOk : kUnavailable};
+  return http::ServerReply{.status = this->IsReady() ? kOk : kUnavailable};
 }
 
 // Asks for a sign of a leader now and then, so that an entry without traffic
@@ -360,7 +366,7 @@
       this->clock.SteadyNow() - this->link->last_answer() < kProbeInterval;
   kj::Promise<void> probed = kj::READY_NOW;
   if (!is_fresh) {
-    probed = this->link->Ask(jobs::ShowWave{}, kProbeLimit).ignoreResult();
+    probed = this->link->Ask(jobs::ShowWave{}, kProbeTimeout).ignoreResult();
   }
   return probed
       .then([this] { return this->timer.afterDelay(ToKj(kProbeInterval)); })
@@ -426,7 +432,7 @@
   LogEvent(LogLevel::kInfo, "stopped", nlohmann::json::object());
 }
 
-void NodeDaemon::WaitUpTo(kj::Promise<void> done, Milliseconds limit) {
+void NodeDaemon::AwaitWithLimit(kj::Promise<void> done, Milliseconds limit) {
   done.exclusiveJoin(this->timer.afterDelay(ToKj(limit)))
       .wait(this->io.waitScope);
 }
@@ -444,17 +450,18 @@
       this->timer.afterDelay(ToKj(kHandOverPoll)).wait(this->io.waitScope);
     }
   }
-  this->WaitUpTo(this->control_door->Drain(), kControllerDrain);
+  this->AwaitWithLimit(this->control_listener->Drain(), kControllerDrain);
 }
 
 // The balancer hears of it first; clients that stay on open connections are
 // served until the door drains.
 void NodeDaemon::StopEntry() {
-  this->caller_door->CloseAfterAnswers();
+  this->caller_listener->CloseAfterAnswers();
   this->timer.afterDelay(ToKj(kStopNotice)).wait(this->io.waitScope);
   const Milliseconds left =
       this->settings.platform_times.stop_grace - kStopNotice - kStopReserve;
-  this->WaitUpTo(this->caller_door->Drain(), std::max(left, Milliseconds(0)));
+  this->AwaitWithLimit(this->caller_listener->Drain(),
+                       std::max(left, Milliseconds(0)));
 }
 
 }  // namespace
@@ -471,7 +478,7 @@
   }
   signal(SIGPIPE, SIG_IGN);
   kj::AsyncIoContext io = kj::setupAsyncIo();
-  io.waitScope.setBusyPollInterval(kMostEventsBetweenPolls);
+  io.waitScope.setBusyPollInterval(kMaxEventsBetweenPolls);
   NodeDaemon daemon(settings, path, shares, io);
   absl::Status status = daemon.Start();
   if (!status.ok()) {
--- a/services/sumacd/node_operator_service.cc
+++ b/services/sumacd/node_operator_service.cc
@@ -15,8 +15,8 @@
 namespace {
 
 // How long an operator's call may take in all.
-constexpr Milliseconds kOperatorLimit{5'000};
-constexpr std::size_t kLargestJob = 256U << 10;
+constexpr Milliseconds kOperatorCallTimeout{5'000};
+constexpr std::size_t kMaxJobBytes = 256U << 10;
 constexpr ReaderCodes kJobCodes{ResultCode::kBadArgument,
                                 ResultCode::kBadArgument};
 
@@ -35,9 +35,9 @@
 };
 
 absl::StatusOr<SubmittedJob> ReadSubmittedJob(const std::string& text) {
-  if (text.size() > kLargestJob) {
+  if (text.size() > kMaxJobBytes) {
     return MakeError(ResultCode::kBadArgument,
-                     StrCat("the job is larger than ", kLargestJob, " bytes"));
+                     StrCat("the job is larger than ", kMaxJobBytes, " bytes"));
   }
   const nlohmann::json json =
       TRY(ParseJson(text, "job", ResultCode::kBadArgument));
@@ -73,7 +73,7 @@
   return ReplyWith(context,
                    this->link.Ask(jobs::Show{wire::ToString(params.getKind()),
                                              wire::ToString(params.getName())},
-                                  kOperatorLimit));
+                                  kOperatorCallTimeout));
 }
 
 // NOTE: The job's id is the operator's and makes a resend harmless.
@@ -88,7 +88,7 @@
   return ReplyWith(
       context, this->link.Ask(jobs::Commit{jobs::SubmitJob{
                                   job->id, job->queue, std::move(job->spec)}},
-                              kOperatorLimit));
+                              kOperatorCallTimeout));
 }
 
 kj::Promise<void> NodeOperatorService::cancelJob(CancelJobContext context) {
@@ -96,7 +96,7 @@
   const JobId job(wire::ToString(params.getJob()));
   LogCommand("operator-cancels", params, job);
   return ReplyWith(context, this->link.Ask(jobs::Commit{jobs::CancelJob{job}},
-                                           kOperatorLimit));
+                                           kOperatorCallTimeout));
 }
 
 kj::Promise<void> NodeOperatorService::status(StatusContext context) {
@@ -148,7 +148,7 @@
   return ReplyWith(context,
                    this->link.Ask(jobs::Show{StrCat("why-", kind),
                                              wire::ToString(params.getName())},
-                                  kOperatorLimit));
+                                  kOperatorCallTimeout));
 }
 kj::Promise<void> NodeOperatorService::changeController(
     ChangeControllerContext context) {
--- a/services/sumacd/operator_service.cc
+++ b/services/sumacd/operator_service.cc
@@ -21,11 +21,11 @@
 namespace {
 
 // How long an operator's call may take in all.
-constexpr Milliseconds kOperatorLimit{5'000};
-constexpr Milliseconds kPeerLimit{500};
+constexpr Milliseconds kOperatorCallTimeout{5'000};
+constexpr Milliseconds kPeerCallTimeout{500};
 constexpr Milliseconds kInForcePoll{20};
-constexpr std::size_t kLargestDeclaration = 1U << 20;
-constexpr std::size_t kLargestJob = 64U << 10;
+constexpr std::size_t kMaxDeclarationBytes = 1U << 20;
+constexpr std::size_t kMaxJobBytes = 64U << 10;
 
 constexpr ReaderCodes kJobCodes{ResultCode::kBadArgument,
                                 ResultCode::kBadArgument};
@@ -46,8 +46,8 @@
                    [](const nlohmann::json& left, const nlohmann::json& right) {
                      return left.value("at", 0LL) > right.value("at", 0LL);
                    });
-  if (rows.size() > kMostDecisionsShown) {
-    rows.resize(kMostDecisionsShown);
+  if (rows.size() > kMaxDecisionsShown) {
+    rows.resize(kMaxDecisionsShown);
   }
   return rows;
 }
@@ -57,8 +57,8 @@
 template <typename Context>
 kj::Promise<void> OperatorService::Commit(Context context,
                                           fleet::Command command) {
-  return ReplyWith(
-      context, this->parts.leader.Propose(std::move(command), kOperatorLimit));
+  return ReplyWith(context, this->parts.leader.Propose(std::move(command),
+                                                       kOperatorCallTimeout));
 }
 
 template <typename Context>
@@ -66,7 +66,7 @@
                                        const std::string& kind,
                                        const std::string& name) {
   return ReplyWith(context,
-                   this->parts.leader.Read(kind, name, kOperatorLimit));
+                   this->parts.leader.Read(kind, name, kOperatorCallTimeout));
 }
 
 template <typename Context>
@@ -83,8 +83,8 @@
 
 kj::Promise<void> OperatorService::apply(ApplyContext context) {
   auto params = context.getParams();
-  if (params.getDeclaration().size() > kLargestDeclaration) {
-    return Reply(context, TooLarge("the declaration", kLargestDeclaration));
+  if (params.getDeclaration().size() > kMaxDeclarationBytes) {
+    return Reply(context, TooLarge("the declaration", kMaxDeclarationBytes));
   }
   auto declaration = fleet::ParseDeclaration(
       wire::ToString(params.getDeclaration()), "declaration");
@@ -127,8 +127,8 @@
 
 kj::Promise<void> OperatorService::submitJob(SubmitJobContext context) {
   auto params = context.getParams();
-  if (params.getJob().size() > kLargestJob) {
-    return Reply(context, TooLarge("the job", kLargestJob));
+  if (params.getJob().size() > kMaxJobBytes) {
+    return Reply(context, TooLarge("the job", kMaxJobBytes));
   }
   const auto json = ParseJson(wire::ToString(params.getJob()), "job",
                               ResultCode::kBadArgument);
@@ -165,7 +165,7 @@
   }
   auto request = channel->Get<wire::Peer>().explainLocalRequest();
   request.setDecisionId(id.value());
-  return rpc::CallForAnswer(*channel, kPeerLimit, request)
+  return rpc::CallForAnswer(*channel, kPeerCallTimeout, request)
       .catch_([process](kj::Exception&& exception) {
         return fleet::Answer{
             .code = ResultCode::kUnreachable,
@@ -194,7 +194,7 @@
   auto request = channel->Get<wire::Peer>().whyLocalRequest();
   request.setKind(kind);
   request.setName(name);
-  return rpc::CallForAnswer(*channel, kPeerLimit, request)
+  return rpc::CallForAnswer(*channel, kPeerCallTimeout, request)
       .catch_([](kj::Exception&& /*exception*/) {
         return fleet::Answer{.code = ResultCode::kUnreachable};
       });
@@ -205,8 +205,8 @@
   const std::string name = wire::ToString(context.getParams().getName());
   auto asked = kj::heapArrayBuilder<kj::Promise<fleet::Answer>>(
       this->parts.peers.all().size() + 1);
-  asked.add(
-      this->parts.leader.Read(StrCat("why-", kind), name, kOperatorLimit));
+  asked.add(this->parts.leader.Read(StrCat("why-", kind), name,
+                                    kOperatorCallTimeout));
   for (const ProcessName& process : this->parts.peers.all()) {
     asked.add(this->WhyAt(process, kind, name));
   }
@@ -253,7 +253,7 @@
         {"last_index", replica.last_index().value()},
         {"snapshot_index", replica.snapshot_index().value()},
         {"revision", controller->state().record().revision.value()},
-        {"disk_full", controller->is_stalled()}};
+        {"disk_full", controller->is_disk_full()}};
   }
   return document;
 }
@@ -276,7 +276,7 @@
   }
   return channel
       ->Guard(
-          kPeerLimit,
+          kPeerCallTimeout,
           channel->Get<wire::Peer>().handOverRequest().send().ignoreResult())
       .then([context]() mutable {
         return Reply(context, fleet::Answer::Success("handing over"));
@@ -291,7 +291,7 @@
   auto request = channel->Get<wire::Peer>().changeControllerRequest();
   request.setAction(action);
   request.setNode(node);
-  return rpc::CallForAnswer(*channel, kPeerLimit, request)
+  return rpc::CallForAnswer(*channel, kPeerCallTimeout, request)
       .catch_([](kj::Exception&& /*exception*/) {
         return fleet::Answer{.code = ResultCode::kNotLeader};
       });
@@ -325,7 +325,7 @@
     const ProcessName& process) {
   rpc::Channel* channel = this->parts.peers.Find(process);
   return channel
-      ->Guard(kPeerLimit,
+      ->Guard(kPeerCallTimeout,
               channel->Get<wire::Peer>().viewStateRequest().send().then(
                   [process](auto&& response) {
                     return EntryView{process, true, response.getVersion()};
--- a/services/sumacd/platform_teller.cc
+++ b/services/sumacd/platform_notifier.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "services/sumacd/platform_teller.h"
+#include "services/sumacd/platform_notifier.h"
 
 #include <utility>
 
@@ -10,21 +10,21 @@
 namespace {
 
 // An operation is told again after this, until the platform reports its end.
-constexpr Milliseconds kTellAgainAfter{500};
+constexpr Milliseconds kResendInterval{500};
 
 }  // namespace
 
-PlatformTeller::PlatformTeller(http::PlatformClient initial_client,
-                               OnReport report_function)
+PlatformNotifier::PlatformNotifier(http::PlatformClient initial_client,
+                                   OnReport report_function)
     : client(std::move(initial_client)),
       on_report(std::move(report_function)),
       thread([this] { this->Run(); }) {}
 
-PlatformTeller::~PlatformTeller() {
+PlatformNotifier::~PlatformNotifier() {
   this->Stop();
 }
 
-void PlatformTeller::Stop() {
+void PlatformNotifier::Stop() {
   {
     const std::lock_guard lock(this->mutex);
     this->is_stopping = true;
@@ -35,23 +35,24 @@
   }
 }
 
-void PlatformTeller::Tell(const std::vector<fleet::PlatformStep>& steps,
-                          SteadyTime now) {
+void PlatformNotifier::Enqueue(const std::vector<fleet::PlatformStep>& steps,
+                               SteadyTime now) {
   const std::lock_guard lock(this->mutex);
-  std::erase_if(this->told_at, [&](const auto& told) {
-    return now - told.second > 10 * kTellAgainAfter;
+  std::erase_if(this->queued_at, [&](const auto& told) {
+    return now - told.second > 10 * kResendInterval;
   });
   for (const fleet::PlatformStep& step : steps) {
-    const auto told = this->told_at.find(step.operation);
-    if (told == this->told_at.end() || now - told->second >= kTellAgainAfter) {
-      this->told_at[step.operation] = now;
+    const auto told = this->queued_at.find(step.operation);
+    if (told == this->queued_at.end() ||
+        now - told->second >= kResendInterval) {
+      this->queued_at[step.operation] = now;
       this->queue.push_back(step);
     }
   }
   this->wake.notify_all();
 }
 
-void PlatformTeller::Run() {
+void PlatformNotifier::Run() {
   while (true) {
     fleet::PlatformStep step;
     {
@@ -64,7 +65,7 @@
       step = this->queue.front();
       this->queue.pop_front();
     }
-    const auto report = this->client.Tell(step);
+    const auto report = this->client.SendOperation(step);
     if (report.ok()) {
       this->on_report(*report);
     } else {
--- a/services/sumacd/queries.cc
+++ b/services/sumacd/queries.cc
@@ -149,7 +149,7 @@
   }
   const auto& decisions = state.record().decisions;
   for (auto item = decisions.rbegin();
-       item != decisions.rend() && rows.size() < kMostDecisionsShown; ++item) {
+       item != decisions.rend() && rows.size() < kMaxDecisionsShown; ++item) {
     const bool is_about = item->subject_kind == *kind && item->subject == name;
     const bool is_in_pool =
         *kind == fleet::SubjectKind::kPool && item->pool.value() == name;
--- a/services/sumacd/queries.h
+++ b/services/sumacd/queries.h
@@ -12,7 +12,7 @@
 namespace sumac::daemon {
 
 // How many decisions an answer to "why" holds at most.
-inline constexpr std::size_t kMostDecisionsShown = 20;
+inline constexpr std::size_t kMaxDecisionsShown = 20;
 
 // Answers one question about the committed state. Kinds: declaration, pools,
 // instances, services, jobs, controllers, decision (name is an id),
--- a/services/sumacd/replica_host.cc
+++ b/services/sumacd/replica_host.cc
@@ -28,7 +28,7 @@
 constexpr Milliseconds kMessageTimeout{1'000};
 // Messages to one process that may be under way; further ones are dropped, as
 // by a slow network.
-constexpr std::size_t kMostMessagesInFlight = 64;
+constexpr std::size_t kMaxMessagesInFlight = 64;
 // A replica that has not answered for this long may be replaced by its
 // process's new one, which proves that the old one is gone.
 constexpr Milliseconds kSilentControllerTime{1'000};
@@ -38,17 +38,17 @@
 constexpr Milliseconds kJoinInterval{500};
 // A replica that has heard no leader for this long asks to be taken in again:
 // it may have been replaced while it was cut off.
-constexpr Milliseconds kForgottenTime{4'000};
+constexpr Milliseconds kRejoinAfterSilenceTime{4'000};
 // A leader whose disk has held one write for this long hands over.
 constexpr Milliseconds kStalledDiskTime{1'000};
 
 // While a snapshot goes over to a member, the next one is taken after this many
 // times the usual number of entries: some seconds of a rush, in which the
 // member gets the whole of it, while the log stays bounded.
-constexpr std::uint64_t kPatienceWhileSending = 4;
+constexpr std::uint64_t kSnapshotIntervalFactorWhileSending = 4;
 // Committed entries that are applied before other events get their turn: some
 // ten milliseconds on a third of a core.
-constexpr std::size_t kMostAppliedAtOnce = 64;
+constexpr std::size_t kMaxAppliedPerBatch = 64;
 constexpr kj::Duration kApplyPause = 100 * kj::MICROSECONDS;
 
 replication::ReplicationSettings ToReplicationSettings(
@@ -64,7 +64,7 @@
 }
 
 // True if the disk refused for a reason that passes, and holds what it held.
-bool IsPassing(const absl::Status& status) {
+bool IsTemporaryShortage(const absl::Status& status) {
   return CodeOf(status) == ResultCode::kDiskFull ||
          CodeOf(status) == ResultCode::kStorageShort;
 }
@@ -86,11 +86,11 @@
     ReplicaCallbacks callbacks) {
   ReplicaStore store = TRY(OpenReplicaStore(
       std::make_shared<storage::PosixDisk>(), settings.data_folder));
-  return CreateOn(std::move(store), settings, peers, timer,
-                  std::move(callbacks));
+  return CreateWithStore(std::move(store), settings, peers, timer,
+                         std::move(callbacks));
 }
 
-absl::StatusOr<std::unique_ptr<ReplicaHost>> ReplicaHost::CreateOn(
+absl::StatusOr<std::unique_ptr<ReplicaHost>> ReplicaHost::CreateWithStore(
     ReplicaStore store,
     const ReplicaHostSettings& settings,
     Peers& peers,
@@ -132,11 +132,11 @@
   if (this->has_full_disk) {
     this->StartWrite();
   }
-  if (this->IsMuted(now)) {
+  if (this->IsSendingBlocked(now)) {
     return;
   }
   this->replica_core->Tick(now);
-  this->AskToJoin(now);
+  this->RequestToJoin(now);
   const bool is_leader =
       this->replica_core->role() == replication::Role::kLeader;
   if (is_leader && this->WriteAge(now) > kStalledDiskTime &&
@@ -148,10 +148,10 @@
 }
 
 bool ReplicaHost::MayAct() const {
-  return this->ActsUntil().has_value();
+  return this->MayActUntil().has_value();
 }
 
-std::optional<SteadyTime> ReplicaHost::ActsUntil() const {
+std::optional<SteadyTime> ReplicaHost::MayActUntil() const {
   const bool is_ready =
       !this->has_full_disk && this->replica_core->is_ready_to_lead() &&
       this->last_applied >= this->replica_core->leader_start();
@@ -250,7 +250,7 @@
   replication::MemberHealth health;
   health.is_silent = silence > kSilentControllerTime;
   health.is_lost = silence > kLostControllerTime;
-  health.is_caught_up = !health.is_silent && this->catch_up_mark.HasCaughtUp(
+  health.is_caught_up = !health.is_silent && this->catch_up_tracker.HasCaughtUp(
                                                  this->replica_core->term(),
                                                  found->second.match_index);
   return health;
@@ -267,8 +267,8 @@
       health[node] = this->HealthOf(node, now);
     }
   }
-  this->catch_up_mark.RecordCommitIndex(this->replica_core->term(),
-                                        this->replica_core->commit_index());
+  this->catch_up_tracker.RecordCommitIndex(this->replica_core->term(),
+                                           this->replica_core->commit_index());
   const auto next = replication::PlanNextMembers(members, health,
                                                  this->settings.wanted_voters);
   if (next) {
@@ -282,18 +282,19 @@
 
 // A replica that belongs to no group, or was taken out of it while it was cut
 // off, asks one controller after the other to be taken in.
-void ReplicaHost::AskToJoin(SteadyTime now) {
+void ReplicaHost::RequestToJoin(SteadyTime now) {
   const replication::Replica& replica = *this->replica_core;
-  const bool is_blank = replica.membership().voters.empty();
-  const bool is_forgotten =
+  const bool has_no_group = replica.membership().voters.empty();
+  const bool may_have_been_removed =
       this->settings.wanted_voters > 0 &&
-      now - replica.last_leader_contact_at() > kForgottenTime &&
+      now - replica.last_leader_contact_at() > kRejoinAfterSilenceTime &&
       replica.role() != replication::Role::kLeader;
-  if ((!is_blank && !is_forgotten) || now - this->last_join < kJoinInterval) {
+  if ((!has_no_group && !may_have_been_removed) ||
+      now - this->last_join_request_at < kJoinInterval) {
     return;
   }
-  this->last_join = now;
-  const ProcessName process = this->NextToAsk();
+  this->last_join_request_at = now;
+  const ProcessName process = this->NextJoinController();
   rpc::Channel* channel = this->peers.Find(process);
   if (process == this->settings.process || channel == nullptr) {
     return;
@@ -309,7 +310,7 @@
                                 ProcessName(is_hint ? answer.message : "");
                             if (is_hint && !answer.message.empty()) {
                               // The leader is asked with the next tick.
-                              this->last_join = SteadyTime{};
+                              this->last_join_request_at = SteadyTime{};
                             }
                           },
                           [](kj::Exception&& /*exception*/) {}));
@@ -317,7 +318,7 @@
 
 // The controller to ask for being taken in: the leader if another one named
 // it, else those that are known in turn.
-ProcessName ReplicaHost::NextToAsk() {
+ProcessName ReplicaHost::NextJoinController() {
   ProcessName hint = std::exchange(this->join_hint, ProcessName());
   if (!hint.value().empty()) {
     return hint;
@@ -327,7 +328,7 @@
        this->replica_core->membership().voters) {
     controllers.push_back(ProcessOf(voter));
   }
-  return controllers[this->next_to_ask++ % controllers.size()];
+  return controllers[this->next_join_controller++ % controllers.size()];
 }
 
 absl::Status ReplicaHost::HandOver() {
@@ -348,20 +349,20 @@
 
 kj::Promise<std::vector<replication::Message>> ReplicaHost::Receive(
     replication::Message message) {
-  if (this->IsMuted(this->clock.SteadyNow())) {
+  if (this->IsSendingBlocked(this->clock.SteadyNow())) {
     return std::vector<replication::Message>();
   }
   const ProcessName sender = ProcessOf(message.from);
-  this->TakeIn(std::move(message));
+  this->HandleMessage(std::move(message));
   auto paf = kj::newPromiseAndFulfiller<std::vector<replication::Message>>();
   this->waiting_senders.push_back(
       WaitingSender{sender, {}, kj::mv(paf.fulfiller)});
   return kj::mv(paf.promise);
 }
 
-void ReplicaHost::TakeIn(replication::Message message) {
+void ReplicaHost::HandleMessage(replication::Message message) {
   const SteadyTime now = this->clock.SteadyNow();
-  if (this->IsMuted(now)) {
+  if (this->IsSendingBlocked(now)) {
     return;
   }
   this->replica_core->Receive(std::move(message), now);
@@ -416,12 +417,12 @@
       this->replica_core->role() == replication::Role::kLeader;
   // One that may say nothing has none, and leaves no call open for it.
   if (this->unwritten.empty() || is_leader ||
-      this->IsMuted(this->clock.SteadyNow())) {
+      this->IsSendingBlocked(this->clock.SteadyNow())) {
     this->AnswerSenders();
   }
   this->FailLostProposals();
-  this->callbacks.after_pass();
-  this->MaybeSnapshot();
+  this->callbacks.after_pump();
+  this->BeginSnapshotIfDue();
 }
 
 // Takes one output of the replica; false when there is none that may be taken
@@ -430,21 +431,21 @@
   const bool is_leader =
       this->replica_core->role() == replication::Role::kLeader;
   const bool may_take = this->unwritten.empty() || is_leader;
-  if (!may_take || this->IsMuted(this->clock.SteadyNow()) ||
+  if (!may_take || this->IsSendingBlocked(this->clock.SteadyNow()) ||
       !this->replica_core->has_output()) {
     return false;
   }
   replication::Output output = this->replica_core->TakeOutput();
-  const bool is_ahead = this->MayRunAheadOfDisk(output);
-  if (is_ahead || (this->unwritten.empty() && !output.has_writes())) {
+  const bool can_send_early = this->CanSendBeforeWrite(output);
+  if (can_send_early || (this->unwritten.empty() && !output.has_writes())) {
     this->Deliver(output);
   }
-  if (!output.has_writes() && (is_ahead || this->unwritten.empty())) {
+  if (!output.has_writes() && (can_send_early || this->unwritten.empty())) {
     return true;
   }
   // The first one is being written, and the second collects what comes
   // meanwhile.
-  const bool can_merge = is_ahead && this->unwritten.size() > 1 &&
+  const bool can_merge = can_send_early && this->unwritten.size() > 1 &&
                          !this->unwritten.back().hard_state;
   if (can_merge) {
     MergeEntries(this->unwritten.back(), output);
@@ -452,14 +453,14 @@
     this->unwritten.push_back(std::move(output));
   }
   this->StartWrite();
-  return is_ahead;
+  return can_send_early;
 }
 
 // A leader's entries and heartbeats may go out while its own disk still writes
 // (Ongaro's thesis, section 10.2.1): it counts its own copy only once it is
 // written. A vote or a new term must be on the disk first, and a follower
 // answers only for what its disk holds.
-bool ReplicaHost::MayRunAheadOfDisk(const replication::Output& output) const {
+bool ReplicaHost::CanSendBeforeWrite(const replication::Output& output) const {
   const bool is_queue_plain =
       std::none_of(this->unwritten.begin(), this->unwritten.end(),
                    [](const replication::Output& waiting) {
@@ -488,7 +489,7 @@
 
 void ReplicaHost::FinishWrite(const absl::Status& status) {
   this->is_writing = false;
-  if (IsPassing(status)) {
+  if (IsTemporaryShortage(status)) {
     // Nothing was acknowledged and nothing is lost: the same output is written
     // once there is room.
     if (!std::exchange(this->has_full_disk, true)) {
@@ -526,10 +527,10 @@
 // leader that hands over goes on until that is done or has failed: its
 // heartbeats and entries need no write of its own, and what it was asked is
 // decided with it.
-bool ReplicaHost::IsMuted(SteadyTime now) const {
+bool ReplicaHost::IsSendingBlocked(SteadyTime now) const {
   const bool hands_over =
       this->replica_core->role() == replication::Role::kLeader &&
-      now < this->hands_over_until;
+      now < this->hand_over_deadline;
   return this->has_full_disk && !hands_over;
 }
 
@@ -542,7 +543,7 @@
   LogEvent(LogLevel::kWarning, "hands-over-with-full-disk",
            {{"status", status.ToString()}});
   if (status.ok()) {
-    this->hands_over_until = now + this->settings.group.election_timeout;
+    this->hand_over_deadline = now + this->settings.group.election_timeout;
     this->SchedulePump();
   }
 }
@@ -580,7 +581,7 @@
                                 const replication::Message& message) {
   rpc::Channel* channel = this->peers.Find(process);
   std::size_t& in_flight = this->messages_in_flight[process];
-  if (channel == nullptr || in_flight >= kMostMessagesInFlight) {
+  if (channel == nullptr || in_flight >= kMaxMessagesInFlight) {
     return;
   }
   ++in_flight;
@@ -599,7 +600,7 @@
               [this, &in_flight](std::vector<replication::Message>&& replies) {
                 --in_flight;
                 for (replication::Message& reply : replies) {
-                  this->TakeIn(std::move(reply));
+                  this->HandleMessage(std::move(reply));
                 }
               },
               [&in_flight](kj::Exception&& /*exception*/) { --in_flight; }));
@@ -609,7 +610,7 @@
 // whole log since the last snapshot, and heartbeats must go on meanwhile.
 void ReplicaHost::ApplyCommitted() {
   for (std::size_t count = 0;
-       count < kMostAppliedAtOnce && !this->committed.empty(); ++count) {
+       count < kMaxAppliedPerBatch && !this->committed.empty(); ++count) {
     const replication::Entry entry = std::move(this->committed.front());
     this->committed.pop_front();
     VERIFY(entry.index == this->last_applied.Next());
@@ -664,11 +665,12 @@
   }
 }
 
-void ReplicaHost::MaybeSnapshot() {
+void ReplicaHost::BeginSnapshotIfDue() {
   // A newer snapshot would make a member that takes one in begin anew.
-  const std::uint64_t due_after =
-      this->settings.group.snapshot_every *
-      (this->replica_core->is_sending_snapshot() ? kPatienceWhileSending : 1);
+  const std::uint64_t due_after = this->settings.group.snapshot_every *
+                                  (this->replica_core->is_sending_snapshot()
+                                       ? kSnapshotIntervalFactorWhileSending
+                                       : 1);
   if (this->entries_since_snapshot < due_after || this->is_snapshot_under_way ||
       !this->unwritten.empty()) {
     // NOTE: With nothing left to write, the disk holds all that is applied, so
@@ -699,7 +701,7 @@
                 status.ok() ? LogLevel::kInfo : LogLevel::kError, "snapshot",
                 {{"index", meta.index.value()}, {"status", status.ToString()}});
             // The log goes on without it, and the next one is tried later.
-            if (!status.ok() && !IsPassing(status)) {
+            if (!status.ok() && !IsTemporaryShortage(status)) {
               std::_Exit(EXIT_FAILURE);
             }
           }));
--- a/services/sumacd/replica_host.h
+++ b/services/sumacd/replica_host.h
@@ -38,7 +38,7 @@
   // Applies one committed command and gives its answer.
   std::function<fleet::Answer(const std::string& payload)> apply;
   // Called after each pass in which something may have been applied.
-  std::function<void()> after_pass;
+  std::function<void()> after_pump;
   // Starts making a snapshot of the state as it is now; the bytes come back
   // through FinishSnapshot.
   std::function<void(LogIndex index)> begin_snapshot;
@@ -70,7 +70,7 @@
       ReplicaCallbacks callbacks);
 
   // The same with a store that is open already.
-  static absl::StatusOr<std::unique_ptr<ReplicaHost>> CreateOn(
+  static absl::StatusOr<std::unique_ptr<ReplicaHost>> CreateWithStore(
       ReplicaStore store,
       const ReplicaHostSettings& settings,
       Peers& peers,
@@ -101,7 +101,7 @@
   // it.
   bool MayAct() const;
   // Until when it may do so; nothing if it may not.
-  std::optional<SteadyTime> ActsUntil() const;
+  std::optional<SteadyTime> MayActUntil() const;
 
   // Takes a replica in as a learner. kNotLeader, or kWrongState while another
   // change is under way.
@@ -150,26 +150,26 @@
   void LogRole();
   void Pump();
   bool PumpOnce();
-  bool MayRunAheadOfDisk(const replication::Output& output) const;
+  bool CanSendBeforeWrite(const replication::Output& output) const;
   void StartWrite();
   void FinishWrite(const absl::Status& status);
-  bool IsMuted(SteadyTime now) const;
+  bool IsSendingBlocked(SteadyTime now) const;
   void HandOverWithFullDisk();
   void Deliver(replication::Output& output);
   void SendMessages(std::vector<replication::Message> messages);
   void CallReplicate(const ProcessName& process,
                      const replication::Message& message);
-  void TakeIn(replication::Message message);
+  void HandleMessage(replication::Message message);
   void AnswerSenders();
   void ApplyCommitted();
   void ResolveProposal(const replication::Entry& entry, fleet::Answer answer);
   void FailLostProposals();
-  void MaybeSnapshot();
+  void BeginSnapshotIfDue();
   replication::MemberHealth HealthOf(const replication::NodeId& node,
                                      SteadyTime now) const;
   absl::Status ProposeMembers(const replication::Membership& membership);
-  void AskToJoin(SteadyTime now);
-  ProcessName NextToAsk();
+  void RequestToJoin(SteadyTime now);
+  ProcessName NextJoinController();
 
   ReplicaHostSettings settings;
   Peers& peers;
@@ -182,15 +182,15 @@
   std::pair<replication::Role, ProcessName> logged_role{
       replication::Role::kFollower, ProcessName()};
   // How far the log was committed when the members were last looked after.
-  replication::CatchUpTracker catch_up_mark;
-  SteadyTime last_join{};
-  std::size_t next_to_ask = 0;
+  replication::CatchUpTracker catch_up_tracker;
+  SteadyTime last_join_request_at{};
+  std::size_t next_join_controller = 0;
   // The leader as the last one asked named it; empty if it did not.
   ProcessName join_hint;
   bool is_pump_scheduled = false;
   bool has_full_disk = false;
   // Until when a leader with a full disk tries to hand over.
-  SteadyTime hands_over_until{};
+  SteadyTime hand_over_deadline{};
   // Outputs that are not on the disk yet, oldest first; the first is being
   // written while `is_writing`.
   std::deque<replication::Output> unwritten;
--- a/services/sumacd/settings.h
+++ b/services/sumacd/settings.h
@@ -67,7 +67,7 @@
 };
 
 // Limits of the doors that HTTP comes through.
-struct DoorSettings {
+struct HttpListenerSettings {
   std::uint32_t most_caller_connections = 1'024;
   std::uint32_t most_target_connections = 128;
   // A request body's bytes at most, whatever its service declares.
@@ -127,7 +127,7 @@
   // The platform's door as IP:PORT; empty if there is none.
   std::string platform_address;
   GroupSettings group;
-  DoorSettings doors;
+  HttpListenerSettings doors;
   RoutingSettings routing;
   // How long a draining instance gets before it may count as drained.
   Milliseconds drain_grace{3'000};
--- a/services/sumacd/term_watch.cc
+++ b/services/sumacd/term_watch.cc
@@ -7,7 +7,7 @@
   return !this->is_idle() && (!is_leader || term != this->current);
 }
 
-bool TermWatch::TakeEpoch(Term term, bool is_committed) {
+bool TermWatch::HandleEpochResult(Term term, bool is_committed) {
   if (this->current != term) {
     return false;
   }
--- a/services/sumacd/term_watch.h
+++ b/services/sumacd/term_watch.h
@@ -25,7 +25,7 @@
 
   // Takes in how asking for the epoch of `term` ended; true if it decides from
   // now on. After a refusal it is idle again and may ask anew.
-  bool TakeEpoch(Term term, bool is_committed);
+  bool HandleEpochResult(Term term, bool is_committed);
 
  private:
   Term current;
--- a/services/sumacd/view_follower.cc
+++ b/services/sumacd/view_follower.cc
@@ -14,7 +14,7 @@
 namespace {
 
 // A controller answers after this at the latest, also when nothing is new.
-constexpr Milliseconds kLongestWait{2'000};
+constexpr Milliseconds kMaxFollowWait{2'000};
 constexpr Milliseconds kAnswerMargin{1'000};
 constexpr Milliseconds kPauseAfterFailure{100};
 
@@ -44,20 +44,20 @@
 }
 
 kj::Promise<void> ViewFollower::Run() {
-  return this->AskOnce().then([this] { return this->Run(); });
+  return this->FollowOnce().then([this] { return this->Run(); });
 }
 
-kj::Promise<void> ViewFollower::AskOnce() {
+kj::Promise<void> ViewFollower::FollowOnce() {
   const auto& controllers = this->peers.controllers();
   const bool asks_local = this->local != nullptr;
   const ProcessName process =
       asks_local ? this->settings.process
                  : controllers[this->next_controller % controllers.size()];
-  return this->Ask(process).then(
+  return this->RequestView(process).then(
       [this](ServedView&& served) -> kj::Promise<void> {
         const bool is_usable = served.is_verified || this->has_view();
         if (is_usable) {
-          this->Take(served);
+          this->ApplyServedView(served);
           return kj::READY_NOW;
         }
         ++this->next_controller;
@@ -71,17 +71,17 @@
       });
 }
 
-kj::Promise<ServedView> ViewFollower::Ask(const ProcessName& process) {
+kj::Promise<ServedView> ViewFollower::RequestView(const ProcessName& process) {
   const std::uint64_t have = this->version.load();
   if (this->local != nullptr) {
-    return this->local->Follow(have, kLongestWait);
+    return this->local->Follow(have, kMaxFollowWait);
   }
   auto request = this->peers.Find(process)->Get<wire::Peer>().followRequest();
   request.setProcess(this->settings.process.value());
   request.setHave(have);
-  request.setWaitMs(static_cast<std::uint32_t>(kLongestWait.count()));
+  request.setWaitMs(static_cast<std::uint32_t>(kMaxFollowWait.count()));
   return this->peers.Find(process)->Guard(
-      kLongestWait + kAnswerMargin,
+      kMaxFollowWait + kAnswerMargin,
       request.send().then([have](auto&& response) -> ServedView {
         ServedView served{.is_verified = response.getIsVerified()};
         served.view.version = response.getVersion();
@@ -98,7 +98,7 @@
       }));
 }
 
-void ViewFollower::Take(const ServedView& served) {
+void ViewFollower::ApplyServedView(const ServedView& served) {
   const std::uint64_t have = this->version.load();
   if (served.view.version > have &&
       this->on_view(served.view, served.is_delta)) {
--- a/services/sumacd/view_follower.h
+++ b/services/sumacd/view_follower.h
@@ -46,9 +46,9 @@
   std::uint64_t current_version() const { return this->version.load(); }
 
  private:
-  kj::Promise<void> AskOnce();
-  kj::Promise<ServedView> Ask(const ProcessName& process);
-  void Take(const ServedView& served);
+  kj::Promise<void> FollowOnce();
+  kj::Promise<ServedView> RequestView(const ProcessName& process);
+  void ApplyServedView(const ServedView& served);
 
   const Settings& settings;
   Peers& peers;
--- a/services/sumacd/work_times.h
+++ b/services/sumacd/work_times.h
@@ -48,12 +48,12 @@
   // within, and counts it.
   [[nodiscard]] auto Measure(Work work) {
     const auto began = std::chrono::steady_clock::now();
-    const auto within_outer = std::exchange(this->within, {});
-    return ScopeGuard([this, work, began, within_outer] {
+    const auto outer_nested_time = std::exchange(this->nested_time, {});
+    return ScopeGuard([this, work, began, outer_nested_time] {
       const auto took = std::chrono::steady_clock::now() - began;
-      this->spent[static_cast<std::size_t>(work)] += took - this->within;
+      this->spent[static_cast<std::size_t>(work)] += took - this->nested_time;
       ++this->counts[static_cast<std::size_t>(work)];
-      this->within = within_outer + took;
+      this->nested_time = outer_nested_time + took;
     });
   }
 
--- a/services/sumacd/worker_renewals.cc
+++ b/services/sumacd/worker_renewals.cc
@@ -16,13 +16,13 @@
 // A renewal waits this long at most for ends to be on record: a commit that
 // takes longer than a lease must not end the lease of a worker that is sound.
 // Leases of 6 s outlast ten such waits.
-constexpr Milliseconds kLongestRecordWait{500};
+constexpr Milliseconds kMaxCommitWait{500};
 
 }  // namespace
 
 WorkerRenewals::~WorkerRenewals() {
   for (const auto& [worker, renewal] : this->renewals) {
-    this->host.forget(worker);
+    this->host.on_removed(worker);
   }
 }
 
@@ -31,27 +31,27 @@
   if (is_new) {
     renewal->second.loop =
         this->timer.afterDelay(ToKj(pause))
-            .then([this, worker] { return this->Loop(worker); })
+            .then([this, worker] { return this->RenewalLoop(worker); })
             .eagerlyEvaluate(nullptr);
   }
 }
 
-void WorkerRenewals::DropUnknown(
+void WorkerRenewals::RemoveUnknown(
     const std::function<bool(const WorkerId&)>& is_known) {
   for (auto item = this->renewals.begin(); item != this->renewals.end();) {
     if (is_known(item->first)) {
       ++item;
       continue;
     }
-    this->host.forget(item->first);
+    this->host.on_removed(item->first);
     item = this->renewals.erase(item);
   }
 }
 
-kj::Promise<void> WorkerRenewals::Loop(const WorkerId& worker) {
+kj::Promise<void> WorkerRenewals::RenewalLoop(const WorkerId& worker) {
   if (!this->host.may_act()) {
     return this->timer.afterDelay(ToKj(kNoLeasePause)).then([this, worker] {
-      return this->Loop(worker);
+      return this->RenewalLoop(worker);
     });
   }
   const auto order = this->host.next(worker);
@@ -61,48 +61,50 @@
   return this->host.renew(*order)
       .then([this, worker,
              pause = order->pause](const scheduler::RenewAnswer& answer) {
-        return this->TakeAnswer(worker, answer, pause);
+        return this->HandleAnswer(worker, answer, pause);
       })
-      .then([this, worker] { return this->Loop(worker); });
+      .then([this, worker] { return this->RenewalLoop(worker); });
 }
 
-kj::Promise<void> WorkerRenewals::TakeAnswer(
+kj::Promise<void> WorkerRenewals::HandleAnswer(
     const WorkerId& worker,
     const scheduler::RenewAnswer& answer,
-    Milliseconds least_pause) {
-  RenewalOutcome outcome = this->host.take(worker, answer);
-  const std::shared_ptr<OpenRecords>& open = this->renewals.at(worker).open;
-  KJ_IF_MAYBE (recorded, outcome.recorded) {
-    this->AwaitRecord(open, kj::mv(*recorded));
+    Milliseconds min_pause) {
+  RenewalOutcome outcome = this->host.handle_answer(worker, answer);
+  const std::shared_ptr<PendingReports>& pending =
+      this->renewals.at(worker).pending;
+  KJ_IF_MAYBE (committed, outcome.committed) {
+    this->AwaitCommit(pending, kj::mv(*committed));
   }
-  const Milliseconds pause = std::max(outcome.pause, least_pause);
-  return this->AwaitSettled(*open).then([this, pause]() -> kj::Promise<void> {
-    if (pause == Milliseconds(0)) {
-      return kj::READY_NOW;
-    }
-    return this->timer.afterDelay(ToKj(pause));
-  });
+  const Milliseconds pause = std::max(outcome.pause, min_pause);
+  return this->AwaitAllCommitted(*pending).then(
+      [this, pause]() -> kj::Promise<void> {
+        if (pause == Milliseconds(0)) {
+          return kj::READY_NOW;
+        }
+        return this->timer.afterDelay(ToKj(pause));
+      });
 }
 
-void WorkerRenewals::AwaitRecord(const std::shared_ptr<OpenRecords>& open,
-                                 kj::Promise<void> recorded) {
-  ++open->count;
-  this->records.add(recorded.then([open] {
-    if (--open->count == 0 && open->settled.get() != nullptr) {
-      open->settled->fulfill();
+void WorkerRenewals::AwaitCommit(const std::shared_ptr<PendingReports>& pending,
+                                 kj::Promise<void> committed) {
+  ++pending->count;
+  this->commit_waits.add(committed.then([pending] {
+    if (--pending->count == 0 && pending->all_committed.get() != nullptr) {
+      pending->all_committed->fulfill();
     }
   }));
 }
 
 // Until all ends are on record, or long enough.
-kj::Promise<void> WorkerRenewals::AwaitSettled(OpenRecords& open) {
-  if (open.count == 0) {
+kj::Promise<void> WorkerRenewals::AwaitAllCommitted(PendingReports& pending) {
+  if (pending.count == 0) {
     return kj::READY_NOW;
   }
-  auto settled = kj::newPromiseAndFulfiller<void>();
-  open.settled = kj::mv(settled.fulfiller);
-  return settled.promise.exclusiveJoin(
-      this->timer.afterDelay(ToKj(kLongestRecordWait)));
+  auto all_committed = kj::newPromiseAndFulfiller<void>();
+  pending.all_committed = kj::mv(all_committed.fulfiller);
+  return all_committed.promise.exclusiveJoin(
+      this->timer.afterDelay(ToKj(kMaxCommitWait)));
 }
 
 void WorkerRenewals::taskFailed(kj::Exception&& exception) {
--- a/services/sumacd/worker_renewals.h
+++ b/services/sumacd/worker_renewals.h
@@ -23,7 +23,7 @@
 struct RenewalOutcome {
   // Fulfilled once the ends that the answer listed are on record; nothing if it
   // listed none.
-  kj::Maybe<kj::Promise<void>> recorded;
+  kj::Maybe<kj::Promise<void>> committed;
   // Before the next renewal.
   Milliseconds pause{0};
 };
@@ -46,13 +46,13 @@
     // Takes in the answer to a renewal.
     std::function<RenewalOutcome(const WorkerId&,
                                  const scheduler::RenewAnswer&)>
-        take;
+        handle_answer;
     // The worker is not renewed any more.
-    std::function<void(const WorkerId&)> forget;
+    std::function<void(const WorkerId&)> on_removed;
   };
 
   WorkerRenewals(kj::Timer& timer, Host host)
-      : timer(timer), host(std::move(host)), records(*this) {}
+      : timer(timer), host(std::move(host)), commit_waits(*this) {}
   ~WorkerRenewals();
   WorkerRenewals(const WorkerRenewals&) = delete;
   WorkerRenewals& operator=(const WorkerRenewals&) = delete;
@@ -60,34 +60,35 @@
   // Begins to renew a worker after a pause, unless it is renewed already.
   void Begin(const WorkerId& worker, Milliseconds pause = Milliseconds(0));
   // Ends the loops of the workers for which `is_known` is false.
-  void DropUnknown(const std::function<bool(const WorkerId&)>& is_known);
+  void RemoveUnknown(const std::function<bool(const WorkerId&)>& is_known);
 
  private:
   // Ends of one worker that are not on record yet.
-  struct OpenRecords {
+  struct PendingReports {
     std::size_t count = 0;
     // Fulfilled once there are none.
-    kj::Own<kj::PromiseFulfiller<void>> settled;
+    kj::Own<kj::PromiseFulfiller<void>> all_committed;
   };
   struct Renewal {
-    std::shared_ptr<OpenRecords> open = std::make_shared<OpenRecords>();
+    std::shared_ptr<PendingReports> pending =
+        std::make_shared<PendingReports>();
     kj::Promise<void> loop = nullptr;
   };
 
   void taskFailed(kj::Exception&& exception) override;
 
-  kj::Promise<void> Loop(const WorkerId& worker);
-  kj::Promise<void> TakeAnswer(const WorkerId& worker,
-                               const scheduler::RenewAnswer& answer,
-                               Milliseconds least_pause);
-  void AwaitRecord(const std::shared_ptr<OpenRecords>& open,
-                   kj::Promise<void> recorded);
-  kj::Promise<void> AwaitSettled(OpenRecords& open);
+  kj::Promise<void> RenewalLoop(const WorkerId& worker);
+  kj::Promise<void> HandleAnswer(const WorkerId& worker,
+                                 const scheduler::RenewAnswer& answer,
+                                 Milliseconds min_pause);
+  void AwaitCommit(const std::shared_ptr<PendingReports>& pending,
+                   kj::Promise<void> committed);
+  kj::Promise<void> AwaitAllCommitted(PendingReports& pending);
 
   kj::Timer& timer;
   Host host;
   std::map<WorkerId, Renewal> renewals;
-  kj::TaskSet records;
+  kj::TaskSet commit_waits;
 };
 
 }  // namespace sumac::daemon
--- a/tests/libraries/base/descriptor_shares_test.cc
+++ b/tests/libraries/base/descriptor_shares_test.cc
@@ -18,12 +18,12 @@
   for (const std::size_t limit : {128U, 256U, 1'024U, 4'324U, 20'000U}) {
     const auto shares = ShareDescriptors(limit);
     ASSERT_TRUE(shares.ok()) << limit;
-    EXPECT_LE(shares->process + shares->disk + shares->peers + shares->doors +
-                  shares->outgoing,
+    EXPECT_LE(shares->process + shares->disk + shares->peers +
+                  shares->incoming + shares->outgoing,
               limit);
     EXPECT_GE(shares->disk, 16U) << limit;
     EXPECT_GE(shares->peers, 12U) << limit;
-    EXPECT_GE(shares->doors, 24U) << limit;
+    EXPECT_GE(shares->incoming, 24U) << limit;
   }
   // Of which a platform keeps 200 for files outside the disk folder.
   EXPECT_GE(ShareDescriptors(4'324)->process, 200U);
--- a/tests/libraries/base/response_limit_test.cc
+++ b/tests/libraries/base/response_limit_test.cc
@@ -18,17 +18,17 @@
   for (const Milliseconds late : {Milliseconds(0), Milliseconds(5)}) {
     ResponseLimit limit(kLimit, kBegin);
     const SteadyTime fired = kBegin + kLimit + late;
-    EXPECT_EQ(limit.WaitMore(fired), kLastRound);
-    EXPECT_FALSE(limit.WaitMore(fired + kLastRound));
+    EXPECT_EQ(limit.ExtendWait(fired), kLastRound);
+    EXPECT_FALSE(limit.ExtendWait(fired + kLastRound));
   }
 }
 
 // A loop's timers count from its last round, so they may fire early.
 TEST(ResponseLimitTest, AnEarlyTimerWaitsForTheRest) {
   ResponseLimit limit(kLimit, kBegin);
-  EXPECT_EQ(limit.WaitMore(kBegin + Milliseconds(350)), Milliseconds(50));
-  EXPECT_EQ(limit.WaitMore(kBegin + kLimit), kLastRound);
-  EXPECT_FALSE(limit.WaitMore(kBegin + kLimit + kLastRound));
+  EXPECT_EQ(limit.ExtendWait(kBegin + Milliseconds(350)), Milliseconds(50));
+  EXPECT_EQ(limit.ExtendWait(kBegin + kLimit), kLastRound);
+  EXPECT_FALSE(limit.ExtendWait(kBegin + kLimit + kLastRound));
 }
 
 // The loop stood still for 120 ms: it must read what came meanwhile before it
@@ -36,8 +36,8 @@
 TEST(ResponseLimitTest, ALateTimerGivesTheLoopOneMoreRound) {
   ResponseLimit limit(kLimit, kBegin);
   const SteadyTime fired = kBegin + kLimit + Milliseconds(120);
-  EXPECT_EQ(limit.WaitMore(fired), Milliseconds(120));
-  EXPECT_FALSE(limit.WaitMore(fired + Milliseconds(121)));
+  EXPECT_EQ(limit.ExtendWait(fired), Milliseconds(120));
+  EXPECT_FALSE(limit.ExtendWait(fired + Milliseconds(121)));
 }
 
 // The timers of a busy loop were punctual to 30 ms while what had come lay in
@@ -46,10 +46,10 @@
 TEST(ResponseLimitTest, ALoopThatReadsLateGetsMoreRoundsForAPunctualTimer) {
   ResponseLimit limit(kLimit, kBegin);
   SteadyTime fired = kBegin + kLimit;
-  EXPECT_EQ(limit.WaitMore(fired, Milliseconds(420)), Milliseconds(250));
+  EXPECT_EQ(limit.ExtendWait(fired, Milliseconds(420)), Milliseconds(250));
   fired += Milliseconds(250);
-  EXPECT_EQ(limit.WaitMore(fired, Milliseconds(200)), Milliseconds(200));
-  EXPECT_FALSE(limit.WaitMore(fired + Milliseconds(200), Milliseconds(2)));
+  EXPECT_EQ(limit.ExtendWait(fired, Milliseconds(200)), Milliseconds(200));
+  EXPECT_FALSE(limit.ExtendWait(fired + Milliseconds(200), Milliseconds(2)));
 }
 
 // A process that was stopped for long does not wait for as long again, and one
@@ -58,10 +58,10 @@
   ResponseLimit limit(kLimit, kBegin);
   SteadyTime fired = kBegin + kLimit + Milliseconds(9'000);
   for (int round = 0; round < 4; ++round) {
-    EXPECT_EQ(limit.WaitMore(fired), Milliseconds(250)) << round;
+    EXPECT_EQ(limit.ExtendWait(fired), Milliseconds(250)) << round;
     fired += Milliseconds(250 + 300);
   }
-  EXPECT_FALSE(limit.WaitMore(fired));
+  EXPECT_FALSE(limit.ExtendWait(fired));
 }
 
 }  // namespace
--- a/tests/libraries/base/suspended_machine_test.cc
+++ b/tests/libraries/base/suspended_machine_test.cc
@@ -6,7 +6,7 @@
 
 #include "libraries/base/time.h"
 #include "libraries/http/async_connection.h"
-#include "libraries/http/async_door.h"
+#include "libraries/http/async_http_server.h"
 #include "tests/stand_ins/suspendable_clock.h"
 
 namespace sumac {
@@ -23,8 +23,8 @@
       : io(kj::setupAsyncIo()),
         headers(this->builder.build()),
         door(this->io.provider->getTimer(),
-             http::DoorSettings{.address = kAddress},
-             [this](const http::DoorRequest& request) {
+             http::AsyncServerSettings{.address = kAddress},
+             [this](const http::ServerRequest& request) {
                return this->Answer(request);
              }),
         connection(this->io.provider->getNetwork(),
@@ -34,23 +34,23 @@
     this->door.Listen(this->io.provider->getNetwork()).wait(this->io.waitScope);
   }
 
-  kj::Promise<http::DoorReply> Answer(const http::DoorRequest& request) {
+  kj::Promise<http::ServerReply> Answer(const http::ServerRequest& request) {
     ++this->arrived;
     if (request.path == "/hang") {
       return kj::NEVER_DONE;
     }
-    return http::DoorReply{.body = "{}"};
+    return http::ServerReply{.body = "{}"};
   }
 
   kj::AsyncIoContext io;
   kj::HttpHeaderTable::Builder builder;
   kj::Own<kj::HttpHeaderTable> headers;
   int arrived = 0;
-  http::AsyncDoor door;
+  http::AsyncHttpServer door;
   http::AsyncConnection connection;
 };
 
-TEST(SuspendedMachineTest, TheTimeOfASuspensionCounts) {
+TEST(SuspendedMachineTest, SteadyTimeIncludesASuspension) {
   const SystemClock clock;
   const SteadyTime before = clock.SteadyNow();
   SimulateSuspension(kSuspended);
--- a/tests/libraries/codec/cbor_test.cc
+++ b/tests/libraries/codec/cbor_test.cc
@@ -100,7 +100,7 @@
 }
 
 Tree AnyTree() {
-  constexpr int kMost = 30;
+  constexpr int kMaxItems = 30;
   Tree tree;
   tree.id = JobId(AnyText());
   tree.slots = *rc::gen::inRange<std::uint32_t>(1, 65);
@@ -108,7 +108,7 @@
   tree.wait = Milliseconds(*rc::gen::arbitrary<std::int32_t>());
   tree.at =
       WallTime(Milliseconds(*rc::gen::inRange<std::int64_t>(0, 1LL << 41)));
-  const int count = *rc::gen::inRange(0, kMost);
+  const int count = *rc::gen::inRange(0, kMaxItems);
   for (int place = 0; place < count; ++place) {
     tree.leaves.push_back(AnyLeaf());
     tree.by_name[PoolName("pool-" + std::to_string(place))] = AnyLeaf();
@@ -123,7 +123,7 @@
   return tree;
 }
 
-std::string ByTree(const Tree& tree) {
+std::string EncodeByTree(const Tree& tree) {
   std::string bytes;
   nlohmann::json::to_cbor(ToJson(tree), bytes);
   return bytes;
@@ -151,14 +151,14 @@
              : std::string(read.status().message());
 }
 
-RC_GTEST_PROP(CborTest, WhatIsWrittenHoldsTheSameAsATree, ()) {
+RC_GTEST_PROP(CborTest, WriterOutputEqualsTheJsonTree, ()) {
   const Tree tree = AnyTree();
   RC_ASSERT(nlohmann::json::from_cbor(ToCbor(tree)) == ToJson(tree));
 }
 
-RC_GTEST_PROP(CborTest, OwnBytesAreReadWithoutATree, ()) {
+RC_GTEST_PROP(CborTest, WriterOutputIsReadWithoutAJsonTree, ()) {
   const Tree tree = AnyTree();
-  for (const std::string& bytes : {ToCbor(tree), ByTree(tree)}) {
+  for (const std::string& bytes : {ToCbor(tree), EncodeByTree(tree)}) {
     internal::CborCursor cursor(bytes);
     Tree read;
     RC_ASSERT(internal::ReadCborValue(cursor, read, Limits{}));
@@ -201,7 +201,7 @@
   }
 }
 
-TEST(CborTest, DeepNestingEndsNothing) {
+TEST(CborTest, DeepNestingDoesNotOverflowTheStack) {
   constexpr std::size_t kDeep = 1'000'000;
   internal::CborCursor cursor{std::string_view()};
   EXPECT_FALSE(cursor.Skip());
--- a/tests/libraries/http/async_connection_test.cc
+++ b/tests/libraries/http/async_connection_test.cc
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "libraries/base/kj_time.h"
-#include "libraries/http/async_door.h"
+#include "libraries/http/async_http_server.h"
 #include "tests/stand_ins/relay.h"
 
 namespace sumac::http {
@@ -28,7 +28,7 @@
         headers(this->builder.build()),
         door(this->io.provider->getTimer(),
              DoorSettings{.address = kAddress},
-             [](const DoorRequest&) { return DoorReply{.body = "{}"}; }),
+             [](const ServerRequest&) { return ServerReply{.body = "{}"}; }),
         relay(this->io, kAddress),
         connection(this->io.provider->getNetwork(),
                    this->io.provider->getTimer(),
@@ -45,7 +45,7 @@
   kj::AsyncIoContext io;
   kj::HttpHeaderTable::Builder builder;
   kj::Own<kj::HttpHeaderTable> headers;
-  AsyncDoor door;
+  AsyncHttpServer door;
   stand_ins::Relay relay;
   AsyncConnection connection;
 };
--- a/tests/libraries/http/async_door_test.cc
+++ b/tests/libraries/http/async_http_server_test.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "libraries/http/async_door.h"
+#include "libraries/http/async_http_server.h"
 
 #include <gtest/gtest.h>
 #include <kj/async-io.h>
@@ -17,8 +17,9 @@
 
 TEST(AsyncDoorTest, ACallerThatFallsSilentWithinItsBodyIsKeptForGood) {
   kj::AsyncIoContext io = kj::setupAsyncIo();
-  AsyncDoor door(io.provider->getTimer(), DoorSettings{.address = kAddress},
-                 [](const DoorRequest&) { return DoorReply{}; });
+  AsyncHttpServer door(io.provider->getTimer(),
+                       DoorSettings{.address = kAddress},
+                       [](const ServerRequest&) { return ServerReply{}; });
   door.Listen(io.provider->getNetwork()).wait(io.waitScope);
   auto stream = io.provider->getNetwork()
                     .parseAddress(kAddress)
--- a/tests/libraries/http/connection_budget_test.cc
+++ b/tests/libraries/http/connection_budget_test.cc
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "libraries/http/async_connection.h"
-#include "libraries/http/async_door.h"
+#include "libraries/http/async_http_server.h"
 
 namespace sumac::http {
 namespace {
@@ -59,11 +59,11 @@
         budget(most),
         door(this->io.provider->getTimer(),
              DoorSettings{.address = kAddress},
-             [](const DoorRequest& request) -> kj::Promise<DoorReply> {
+             [](const ServerRequest& request) -> kj::Promise<ServerReply> {
                if (request.path == "/hang") {
                  return kj::NEVER_DONE;
                }
-               return DoorReply{.body = "{}"};
+               return ServerReply{.body = "{}"};
              }) {
     this->door.Listen(this->io.provider->getNetwork()).wait(this->io.waitScope);
     for (std::size_t count = 0; count < kConnections; ++count) {
@@ -80,7 +80,7 @@
   kj::HttpHeaderTable::Builder builder;
   kj::Own<kj::HttpHeaderTable> headers;
   ConnectionBudget budget;
-  AsyncDoor door;
+  AsyncHttpServer door;
   std::vector<std::unique_ptr<AsyncConnection>> connections;
 };
 
@@ -160,10 +160,10 @@
 // Callers that keep their connections open must not keep others out.
 TEST(ConnectionBudgetTest, ADoorClosesIdleConnectionsForNewOnes) {
   auto parts = std::make_unique<Parts>(Parts::kConnections);
-  AsyncDoor door(
+  AsyncHttpServer door(
       parts->io.provider->getTimer(),
-      DoorSettings{.address = "127.0.7.34:18735", .most_connections = 2},
-      [](const DoorRequest&) { return DoorReply{.body = "{}"}; });
+      DoorSettings{.address = "127.0.7.34:18735", .max_connections = 2},
+      [](const ServerRequest&) { return ServerReply{.body = "{}"}; });
   door.Listen(parts->io.provider->getNetwork()).wait(parts->io.waitScope);
   std::vector<std::unique_ptr<AsyncConnection>> callers;
   for (int count = 0; count < 6; ++count) {
@@ -186,12 +186,12 @@
   auto parts = std::make_unique<Parts>(Parts::kConnections);
   auto paf = kj::newPromiseAndFulfiller<void>();
   kj::ForkedPromise<void> released = paf.promise.fork();
-  AsyncDoor door(
+  AsyncHttpServer door(
       parts->io.provider->getTimer(),
-      DoorSettings{.address = "127.0.7.34:18736", .most_connections = 1},
-      [&](const DoorRequest&) {
+      DoorSettings{.address = "127.0.7.34:18736", .max_connections = 1},
+      [&](const ServerRequest&) {
         return released.addBranch().then(
-            [] { return DoorReply{.body = "{}"}; });
+            [] { return ServerReply{.body = "{}"}; });
       });
   door.Listen(parts->io.provider->getNetwork()).wait(parts->io.waitScope);
   const auto make = [&] {
@@ -218,10 +218,10 @@
 // gives its place back.
 TEST(ConnectionBudgetTest, ADoorMayGoWithARequestUnderWay) {
   auto parts = std::make_unique<Parts>(Parts::kConnections);
-  auto door = std::make_unique<AsyncDoor>(
+  auto door = std::make_unique<AsyncHttpServer>(
       parts->io.provider->getTimer(),
-      DoorSettings{.address = "127.0.7.34:18737", .most_connections = 4},
-      [](const DoorRequest&) -> kj::Promise<DoorReply> {
+      DoorSettings{.address = "127.0.7.34:18737", .max_connections = 4},
+      [](const ServerRequest&) -> kj::Promise<ServerReply> {
         return kj::NEVER_DONE;
       });
   door->Listen(parts->io.provider->getNetwork()).wait(parts->io.waitScope);
--- a/tests/libraries/http/connection_pool_test.cc
+++ b/tests/libraries/http/connection_pool_test.cc
@@ -7,7 +7,7 @@
 #include <memory>
 #include <vector>
 
-#include "libraries/http/async_door.h"
+#include "libraries/http/async_http_server.h"
 
 namespace sumac::http {
 namespace {
@@ -23,11 +23,11 @@
         headers(this->builder.build()),
         door(this->io.provider->getTimer(),
              DoorSettings{.address = kAddress},
-             [](const DoorRequest& request) -> kj::Promise<DoorReply> {
+             [](const ServerRequest& request) -> kj::Promise<ServerReply> {
                if (request.path == "/hang") {
                  return kj::NEVER_DONE;
                }
-               return DoorReply{.body = "{}"};
+               return ServerReply{.body = "{}"};
              }),
         pool(this->io.provider->getNetwork(),
              this->io.provider->getTimer(),
@@ -40,7 +40,7 @@
   kj::AsyncIoContext io;
   kj::HttpHeaderTable::Builder builder;
   kj::Own<kj::HttpHeaderTable> headers;
-  AsyncDoor door;
+  AsyncHttpServer door;
   ConnectionPool pool;
 };
 
--- a/tests/libraries/http/http_server_test.cc
+++ b/tests/libraries/http/http_server_test.cc
@@ -31,7 +31,7 @@
                                  HttpServer::Handler handler) {
   auto server =
       HttpServer::Create(ServerSettings{.address = address,
-                                        .most_connections = 4,
+                                        .max_connections = 4,
                                         .idle_time = Milliseconds(600'000)},
                          std::move(handler));
   EXPECT_TRUE(server.ok()) << server.status();
--- a/tests/libraries/log/bounded_writer_test.cc
+++ b/tests/libraries/log/bounded_writer_test.cc
@@ -48,12 +48,12 @@
   EXPECT_TRUE(writer.WriteLine("one"));
   EXPECT_TRUE(writer.WriteLine("two"));
   EXPECT_EQ(pipe.ReadAll(), "one\ntwo\n");
-  EXPECT_EQ(writer.waiting_bytes(), 0U);
+  EXPECT_EQ(writer.buffered_bytes(), 0U);
 }
 
 // Writing to a pipe that nobody reads would block for good; this test would
 // hang.
-TEST(BoundedWriterTest, ASilentReaderIsNotWaitedFor) {
+TEST(BoundedWriterTest, WritingDoesNotBlockOnAStalledReader) {
   constexpr std::size_t kBound = 10'000;
   Pipe pipe;
   BoundedWriter writer(pipe.write_end(), kBound);
@@ -63,12 +63,12 @@
     refused += static_cast<std::uint64_t>(!writer.WriteLine(line));
   }
   EXPECT_GT(refused, 0U);
-  EXPECT_LE(writer.waiting_bytes(), kBound);
+  EXPECT_LE(writer.buffered_bytes(), kBound);
   EXPECT_EQ(writer.TakeDropCount(), refused);
   EXPECT_EQ(writer.TakeDropCount(), 0U);
 }
 
-TEST(BoundedWriterTest, WhatWaitedGoesOutWholeOnceThereIsRoom) {
+TEST(BoundedWriterTest, BufferedLinesAreWrittenWholeOnceThereIsRoom) {
   Pipe pipe;
   BoundedWriter writer(pipe.write_end(), 1U << 20);
   std::string expected;
@@ -78,9 +78,9 @@
       expected += line + '\n';
     }
   }
-  EXPECT_GT(writer.waiting_bytes(), 0U);
+  EXPECT_GT(writer.buffered_bytes(), 0U);
   std::string text;
-  while (writer.waiting_bytes() > 0) {
+  while (writer.buffered_bytes() > 0) {
     text += pipe.ReadAll();
     writer.Flush();
   }
--- a/tests/libraries/rpc/door_test.cc
+++ b/tests/libraries/rpc/rpc_server_test.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "libraries/rpc/door.h"
+#include "libraries/rpc/rpc_server.h"
 
 #include <gtest/gtest.h>
 #include <kj/async-io.h>
--- a/tests/libraries/statechart/chart_test.cc
+++ b/tests/libraries/statechart/chart_test.cc
@@ -73,7 +73,7 @@
             "chart: /states/locked/last: unknown key");
 }
 
-TEST(ChartTest, TheProgramsChartsLoadAndFit) {
+TEST(ChartTest, TheChartsOfTheProgramLoadAndMatchItsStates) {
   const auto charts =
       fleet::Charts::Load(std::string(SUMAC_SOURCE_DIR) + "/charts");
   EXPECT_TRUE(charts.ok()) << charts.status();
--- a/tests/libraries/storage/data_folder_test.cc
+++ b/tests/libraries/storage/data_folder_test.cc
@@ -104,7 +104,7 @@
   EXPECT_EQ(folder.report().entries_after_snapshot, 3U);
 }
 
-TEST_F(DataFolderTest, KeepsWhatWasWrittenOverACrash) {
+TEST_F(DataFolderTest, WrittenEntriesSurviveACrash) {
   {
     Folder folder = this->Open();
     ASSERT_TRUE(
@@ -289,7 +289,7 @@
   EXPECT_TRUE(folder.SaveSnapshot(snapshot).ok());
 }
 
-TEST_F(DataFolderTest, AFailedSyncIsAnErrorOfItsOwn) {
+TEST_F(DataFolderTest, AFailedSyncReturnsStorageFailed) {
   Folder folder = this->Open();
   this->disk.fails_sync = true;
   EXPECT_EQ(CodeOf(folder.Write(MakeOutput({MakeEntry(1, 1, "a")}))),
--- a/tests/libraries/storage/fake_disk.h
+++ b/tests/libraries/storage/fake_disk.h
@@ -45,7 +45,7 @@
 
     absl::Status Append(std::string_view bytes) {
       TRY(this->disk->CheckRoom(DiskOperation::kAppend));
-      if (this->disk->IsPowerGone()) {
+      if (this->disk->IsPowerLost()) {
         return MakeError(ResultCode::kStorageFailed, "power lost");
       }
       Content& content = this->disk->files[this->path];
@@ -61,7 +61,7 @@
 
     absl::Status Sync() {
       TRY(this->disk->CheckRoom(DiskOperation::kSync));
-      if (this->disk->fails_sync || this->disk->IsPowerGone()) {
+      if (this->disk->fails_sync || this->disk->IsPowerLost()) {
         return MakeError(ResultCode::kStorageFailed, "sync failed");
       }
       Content& content = this->disk->files[this->path];
@@ -104,7 +104,7 @@
 
   absl::Status Truncate(const std::string& path, std::uint64_t length) {
     TRY(this->CheckRoom(DiskOperation::kTruncate));
-    if (this->IsPowerGone()) {
+    if (this->IsPowerLost()) {
       return MakeError(ResultCode::kStorageFailed, "power lost");
     }
     Content& content = this->files[path];
@@ -115,7 +115,7 @@
 
   absl::Status Rename(const std::string& from, const std::string& to) {
     TRY(this->CheckRoom(DiskOperation::kRename));
-    if (this->IsPowerGone()) {
+    if (this->IsPowerLost()) {
       return MakeError(ResultCode::kStorageFailed, "power lost");
     }
     this->files[to] = this->files[from];
@@ -125,7 +125,7 @@
 
   absl::Status Remove(const std::string& path) {
     TRY(this->CheckRoom(DiskOperation::kRemove));
-    if (this->IsPowerGone()) {
+    if (this->IsPowerLost()) {
       return MakeError(ResultCode::kStorageFailed, "power lost");
     }
     this->files.erase(path);
@@ -134,13 +134,13 @@
 
   absl::Status SyncFolder(const std::string& /*path*/) {
     TRY(this->CheckRoom(DiskOperation::kSyncFolder));
-    if (this->IsPowerGone()) {
+    if (this->IsPowerLost()) {
       return MakeError(ResultCode::kStorageFailed, "power lost");
     }
     // What is in the folder now, by name, survives a crash.
-    this->lasting_names.clear();
+    this->durable_names.clear();
     for (const auto& [file, content] : this->files) {
-      this->lasting_names.insert(file);
+      this->durable_names.insert(file);
     }
     return absl::OkStatus();
   }
@@ -150,7 +150,7 @@
   void Crash(std::size_t torn = 0) {
     this->operations_left.reset();
     std::erase_if(this->files, [this](const auto& item) {
-      return !this->lasting_names.contains(item.first);
+      return !this->durable_names.contains(item.first);
     });
     for (auto& [file, content] : this->files) {
       content.bytes.resize(
@@ -173,7 +173,7 @@
                : absl::OkStatus();
   }
 
-  bool IsPowerGone() {
+  bool IsPowerLost() {
     if (!this->operations_left) {
       return false;
     }
@@ -184,7 +184,7 @@
     return false;
   }
 
-  std::set<std::string> lasting_names;
+  std::set<std::string> durable_names;
 };
 
 static_assert(Disk<FakeDisk>);
--- a/tests/libraries/storage/switched_disk.h
+++ b/tests/libraries/storage/switched_disk.h
@@ -52,7 +52,7 @@
   }
   absl::StatusOr<File> OpenForAppend(const std::string& path) {
     TRY(this->CheckRoom());
-    if (this->is_short) {
+    if (this->is_out_of_descriptors) {
       return MakeError(ResultCode::kStorageShort, "too many open files");
     }
     return File(this, TRY(this->inner.OpenForAppend(path)));
@@ -77,7 +77,7 @@
   // While it is full it refuses everything that writes.
   std::atomic<bool> is_full = false;
   // While the process has no descriptor to spare, no file can be opened.
-  std::atomic<bool> is_short = false;
+  std::atomic<bool> is_out_of_descriptors = false;
   // Only for the thread that uses the disk, or once that has ended.
   FakeDisk inner;
 
--- a/tests/platform/doors_test.cc
+++ b/tests/platform/request_handlers_test.cc
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "platform/doors.h"
+#include "platform/request_handlers.h"
 
 #include <gtest/gtest.h>
 #include <kj/async.h>
@@ -31,26 +31,27 @@
       return this->answer;
     };
   }
-  http::DoorReply Call(kj::HttpMethod method,
-                       const std::string& body = "",
-                       const std::string& deadline = "3000") {
-    CallerDoor door(this->Leader(), this->metrics);
-    http::DoorRequest request{.method = method,
-                              .path = "/clips/5c0e7a21d94b36f8",
-                              .host = "desk.example:80",
-                              .body = body};
+  http::ServerReply Call(kj::HttpMethod method,
+                         const std::string& body = "",
+                         const std::string& deadline = "3000") {
+    CallerRequestHandler door(this->Leader(), this->metrics);
+    http::ServerRequest request{.method = method,
+                                .path = "/clips/5c0e7a21d94b36f8",
+                                .host = "desk.example:80",
+                                .body = body};
     request.headers["Sumacstack-Deadline-Ms"] = deadline;
     return door.Handle(request).wait(this->turns->scope);
   }
-  http::DoorReply Control(kj::HttpMethod method,
-                          const std::string& path,
-                          const std::string& body = "") {
-    ControlDoor door(this->Leader(), this->state);
+  http::ServerReply Control(kj::HttpMethod method,
+                            const std::string& path,
+                            const std::string& body = "") {
+    ControlRequestHandler door(this->Leader(), this->state);
     return door
-        .Handle(http::DoorRequest{.method = method, .path = path, .body = body})
+        .Handle(
+            http::ServerRequest{.method = method, .path = path, .body = body})
         .wait(this->turns->scope);
   }
-  static std::string RetryAfter(const http::DoorReply& reply) {
+  static std::string RetryAfter(const http::ServerReply& reply) {
     for (const auto& [name, value] : reply.headers) {
       if (name == "Retry-After") {
         return value;
@@ -95,7 +96,7 @@
         Case{ResultCode::kSubmissionUnknown, 504, false},
         Case{ResultCode::kTimeout, 504, false}}) {
     this->answer = fleet::Answer{.code = code};
-    const http::DoorReply reply = this->Call(kj::HttpMethod::POST, kJob);
+    const http::ServerReply reply = this->Call(kj::HttpMethod::POST, kJob);
     EXPECT_EQ(reply.status, status) << static_cast<int>(code);
     EXPECT_EQ(!RetryAfter(reply).empty(), is_certain) << static_cast<int>(code);
   }
--- a/tests/platform/worker_client_test.cc
+++ b/tests/platform/worker_client_test.cc
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "libraries/base/kj_time.h"
-#include "libraries/http/async_door.h"
+#include "libraries/http/async_http_server.h"
 #include "tests/stand_ins/relay.h"
 
 namespace sumac::platform {
@@ -31,16 +31,16 @@
   Parts()
       : io(kj::setupAsyncIo()),
         door(this->io.provider->getTimer(),
-             http::DoorSettings{.address = kAddress,
-                                .headers = {kExpectedWorkerHeader}},
-             [this](const http::DoorRequest& request) {
+             http::AsyncServerSettings{.address = kAddress,
+                                       .headers = {kExpectedWorkerHeader}},
+             [this](const http::ServerRequest& request) {
                const auto header = request.headers.find(kExpectedWorkerHeader);
                const bool is_meant = header != request.headers.end() &&
                                      header->second == this->present;
-               return is_meant ? http::DoorReply{.body = R"({"clock_ms":5,)"
-                                                         R"("running":[],)"
-                                                         R"("ended":[]})"}
-                               : http::DoorReply{.status = kOtherLifeStatus};
+               return is_meant ? http::ServerReply{.body = R"({"clock_ms":5,)"
+                                                           R"("running":[],)"
+                                                           R"("ended":[]})"}
+                               : http::ServerReply{.status = kOtherLifeStatus};
              }),
         relay(this->io, kAddress),
         client(this->io.provider->getNetwork(), this->io.provider->getTimer()) {
@@ -69,7 +69,7 @@
   kj::AsyncIoContext io;
   // The life that runs there.
   std::string present = "i-1";
-  http::AsyncDoor door;
+  http::AsyncHttpServer door;
   stand_ins::Relay relay;
   WorkerClient client;
 };
--- a/tests/platform/worker_lives_test.cc
+++ b/tests/platform/worker_lives_test.cc
@@ -20,7 +20,7 @@
 #include <vector>
 
 #include "libraries/base/text.h"
-#include "libraries/http/async_door.h"
+#include "libraries/http/async_http_server.h"
 #include "libraries/jobs/jobs_state.h"
 #include "nlohmann/json.hpp"
 #include "platform/wire_codec.h"
@@ -139,9 +139,9 @@
   Life(kj::AsyncIoContext& io, std::optional<std::int64_t> born)
       : born(born),
         door(io.provider->getTimer(),
-             http::DoorSettings{.address = kAddress,
-                                .headers = {kExpectedWorkerHeader}},
-             [this](const http::DoorRequest& request) {
+             http::AsyncServerSettings{.address = kAddress,
+                                       .headers = {kExpectedWorkerHeader}},
+             [this](const http::ServerRequest& request) {
                return this->Handle(request);
              }) {
     this->door.Listen(io.provider->getNetwork()).wait(io.waitScope);
@@ -154,10 +154,10 @@
   std::uint64_t acknowledged = 0;
 
  private:
-  kj::Promise<http::DoorReply> Handle(const http::DoorRequest& request) {
+  kj::Promise<http::ServerReply> Handle(const http::ServerRequest& request) {
     constexpr std::uint32_t kMisdirected = 421;
     if (request.headers.at(kExpectedWorkerHeader) != kName) {
-      return http::DoorReply{.status = kMisdirected};
+      return http::ServerReply{.status = kMisdirected};
     }
     const nlohmann::json body = nlohmann::json::parse(request.body);
     nlohmann::json reply = {{"clock_ms", 1}};
@@ -173,13 +173,13 @@
     this->starts += static_cast<std::size_t>(request.path == "/run-start");
     this->stops += static_cast<std::size_t>(request.path == "/run-stop");
     if (this->is_mute) {
-      return kj::Promise<http::DoorReply>(kj::NEVER_DONE);
+      return kj::Promise<http::ServerReply>(kj::NEVER_DONE);
     }
-    return http::DoorReply{.body = reply.dump()};
+    return http::ServerReply{.body = reply.dump()};
   }
 
   std::optional<std::int64_t> born;
-  http::AsyncDoor door;
+  http::AsyncHttpServer door;
 };
 
 enum class Call { kStart, kStop, kRenewal, kReport };
--- a/tests/services/sumacd/commit_rounds_test.cc
+++ b/tests/services/sumacd/commit_rounds_test.cc
@@ -11,7 +11,7 @@
 
 // Commands that come while a round is gathered go with it, in their order, and
 // one that comes after it waits for the next.
-TEST(CommitRoundsTest, WhatComesWhileARoundIsGatheredGoesWithIt) {
+TEST(CommitRoundsTest, CommandsBeforeARoundBeginsArePartOfIt) {
   auto io = kj::setupAsyncIo();
   kj::TimerImpl timer(kj::origin<kj::TimePoint>());
   CommitRounds rounds(timer);
