--- a/tests/services/sumacd/instance_keeper_test.cc
+++ b/tests/services/sumacd/instance_manager_test.cc
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 // Instances came to a pool five seconds after its turn had begun, while up to
 // 580 of its jobs waited. The lines about the leader's load show for these
-// seconds no time at all spent on instances: their planner didn't look while a
+// seconds no time at all spent on instances: their planner didn't pass while a
 // command of its own was being committed, each answer to an order was one, and
 // a busy leader gathers commits, so that one was open nearly all the time.
-#include "services/sumacd/instance_keeper.h"
+#include "services/sumacd/instance_manager.h"
 
 #include <gtest/gtest.h>
 #include <kj/async.h>
@@ -22,13 +22,13 @@
 
 constexpr Milliseconds kBeforeOrders{4'000};
 // Beyond the time between two looks, also while a commit is open.
-constexpr Milliseconds kTurn{250};
+constexpr Milliseconds kPassInterval{250};
 
-class InstanceKeeperTest : public testing::Test {
+class InstanceManagerTest : public testing::Test {
  protected:
-  InstanceKeeperTest() : fleet(3) {
+  InstanceManagerTest() : fleet(3) {
     this->fleet.PassTime(Milliseconds(300));
-    this->keeper = std::make_unique<InstanceKeeper>(
+    this->instance_manager = std::make_unique<InstanceManager>(
         this->fleet.state, *this->fleet.scheduler,
         maintenance::InstanceCalls{
             .list =
@@ -43,13 +43,13 @@
                       kj::NEVER_DONE);
                 }},
         // What is proposed here is not committed for long.
-        InstanceKeeper::Host{.propose =
-                                 [this](jobs::Command command) {
-                                   this->proposed.push_back(std::move(command));
-                                   return kj::Promise<fleet::Answer>(
-                                       kj::NEVER_DONE);
-                                 },
-                             .may_act = [] { return true; }},
+        InstanceManager::Host{
+            .propose =
+                [this](jobs::Command command) {
+                  this->proposed.push_back(std::move(command));
+                  return kj::Promise<fleet::Answer>(kj::NEVER_DONE);
+                },
+            .may_act = [] { return true; }},
         maintenance::MaintenanceSettings(),
         maintenance::CapacitySettings{.is_on = false}, ProcessName("c"),
         this->fleet.now);
@@ -57,8 +57,9 @@
   }
 
   void Plan() {
-    this->now += kTurn;
-    this->keeper->Plan(WallTime(this->now.time_since_epoch()), this->now);
+    this->now += kPassInterval;
+    this->instance_manager->Plan(WallTime(this->now.time_since_epoch()),
+                                 this->now);
   }
   void StartWave(const std::string& wave, const std::string& instance) {
     this->fleet.Commit(jobs::StartWave{
@@ -76,13 +77,13 @@
 
   std::unique_ptr<Loop> loop = std::make_unique<Loop>();
   scheduler::FakeFleet fleet;
-  std::unique_ptr<InstanceKeeper> keeper;
+  std::unique_ptr<InstanceManager> instance_manager;
   std::vector<jobs::Command> proposed;
   std::vector<maintenance::InstanceOrder> orders;
   SteadyTime now;
 };
 
-TEST_F(InstanceKeeperTest, ItLooksOnWhileACommitIsOpen) {
+TEST_F(InstanceManagerTest, ThePlannersRunWhileACommitIsOpen) {
   this->StartWave("1", "m0");
   this->Plan();
   this->Plan();
@@ -95,23 +96,24 @@
 
 // A leader that reads lists of the instances of a fleet, one of whose workers
 // is silent.
-class ListedFleet {
+class FleetWithSilentWorker {
  public:
-  explicit ListedFleet(std::size_t workers)
+  explicit FleetWithSilentWorker(std::size_t workers)
       : fleet(workers),
-        keeper(this->fleet.state,
-               *this->fleet.scheduler,
-               this->Calls(),
-               InstanceKeeper::Host{.propose =
-                                        [](const jobs::Command&) {
-                                          return kj::Promise<fleet::Answer>(
-                                              kj::NEVER_DONE);
-                                        },
-                                    .may_act = [] { return true; }},
-               maintenance::MaintenanceSettings(),
-               maintenance::CapacitySettings{.is_on = false},
-               ProcessName("c"),
-               this->fleet.now) {
+        instance_manager(
+            this->fleet.state,
+            *this->fleet.scheduler,
+            this->Calls(),
+            InstanceManager::Host{.propose =
+                                      [](const jobs::Command&) {
+                                        return kj::Promise<fleet::Answer>(
+                                            kj::NEVER_DONE);
+                                      },
+                                  .may_act = [] { return true; }},
+            maintenance::MaintenanceSettings(),
+            maintenance::CapacitySettings{.is_on = false},
+            ProcessName("c"),
+            this->fleet.now) {
     this->fleet.scheduler->HandleRenewalFailure(
         WorkerId("w0"), scheduler::OrderResult::kUnknown, this->fleet.now);
   }
@@ -120,15 +122,15 @@
     constexpr Milliseconds kStep{50};
     for (Milliseconds passed{0}; passed < time; passed += kStep) {
       this->fleet.now += kStep;
-      this->keeper.Plan(WallTime(this->fleet.now.time_since_epoch()),
-                        this->fleet.now);
+      this->instance_manager.Plan(WallTime(this->fleet.now.time_since_epoch()),
+                                  this->fleet.now);
       this->scope.poll();
     }
   }
   // Lists of late show these rows.
-  bool IsAlive(std::vector<maintenance::ListedInstance> rows) {
+  bool HasSessionAfterListing(std::vector<maintenance::ListedInstance> rows) {
     this->listed = std::move(rows);
-    this->PassTime(kTurn);
+    this->PassTime(kPassInterval);
     return this->fleet.scheduler->sessions().contains(WorkerId("w0"));
   }
 
@@ -155,18 +157,18 @@
   kj::WaitScope scope{this->loop};
   scheduler::FakeFleet fleet;
   std::vector<maintenance::ListedInstance> listed;
-  InstanceKeeper keeper;
+  InstanceManager instance_manager;
 };
 
 int CountLists(std::size_t workers) {
-  ListedFleet fleet(workers);
+  FleetWithSilentWorker fleet(workers);
   fleet.PassTime(Milliseconds(5'000));
   return fleet.lists;
 }
 
 // One pace for all sizes let the lists of a large fleet crowd out other work.
-TEST(InstanceListingPaceTest,
-     ALongListIsFetchedMoreSeldomWhileAWorkerIsSilent) {
+TEST(InstanceListingIntervalTest,
+     ALongListIsFetchedLessOftenWhileAWorkerIsSilent) {
   EXPECT_EQ(CountLists(3), 20);
   EXPECT_EQ(CountLists(800), 10);
   EXPECT_EQ(CountLists(4'000), 5);
@@ -177,27 +179,29 @@
   return {.name = InstanceName(name), .state = state};
 }
 
-TEST(InstanceListingLivesTest, OnlyTwoListsWithoutAnInstanceEndItsLife) {
+TEST(InstanceListingStatusTest,
+     AWorkerEndsOnlyAfterTwoListsWithoutItsInstance) {
   using enum maintenance::InstanceState;
   const maintenance::ListedInstance other = Row("m1", kDown);
-  ListedFleet fleet(2);
-  EXPECT_TRUE(fleet.IsAlive({}));
-  EXPECT_TRUE(fleet.IsAlive({other, Row("m0", kUp)}));
-  EXPECT_TRUE(fleet.IsAlive({other, Row("m0", kUnknown)}));
-  EXPECT_TRUE(fleet.IsAlive({other}));
-  EXPECT_FALSE(fleet.IsAlive({other}));
+  FleetWithSilentWorker fleet(2);
+  EXPECT_TRUE(fleet.HasSessionAfterListing({}));
+  EXPECT_TRUE(fleet.HasSessionAfterListing({other, Row("m0", kUp)}));
+  EXPECT_TRUE(fleet.HasSessionAfterListing({other, Row("m0", kUnknown)}));
+  EXPECT_TRUE(fleet.HasSessionAfterListing({other}));
+  EXPECT_FALSE(fleet.HasSessionAfterListing({other}));
 }
 
-TEST(InstanceListingLivesTest, AnInstanceThatIsDownEndsItsWorkersLife) {
+TEST(InstanceListingStatusTest, AWorkerEndsOnceItsInstanceIsDown) {
   using enum maintenance::InstanceState;
-  ListedFleet fleet(2);
-  EXPECT_TRUE(fleet.IsAlive({Row("m0", kUp), Row("m1", kDown)}));
-  EXPECT_FALSE(fleet.IsAlive({Row("m0", kDown), Row("m1", kUp)}));
+  FleetWithSilentWorker fleet(2);
+  EXPECT_TRUE(fleet.HasSessionAfterListing({Row("m0", kUp), Row("m1", kDown)}));
+  EXPECT_FALSE(
+      fleet.HasSessionAfterListing({Row("m0", kDown), Row("m1", kUp)}));
 }
 
-TEST_F(InstanceKeeperTest, ItProposesNothingTwiceThatIsBeingCommitted) {
+TEST_F(InstanceManagerTest, ACommandIsNotProposedAgainWhileItIsBeingCommitted) {
   this->StartWave("1", "m0");
-  for (int look = 0; look < 5; ++look) {
+  for (int pass = 0; pass < 5; ++pass) {
     this->Plan();
   }
   EXPECT_EQ(this->proposed.size(), 1U);
--- a/tests/services/sumacd/instance_orders_test.cc
+++ b/tests/services/sumacd/instance_orders_test.cc
@@ -33,11 +33,11 @@
 using jobs::MaintenanceState;
 
 const WaveId kWave("1");
-const InstanceName kEmptied("m0");
-const std::string kEmptiedWorker("w0");
-constexpr Milliseconds kTurn{50};
+const InstanceName kDrainedInstance("m0");
+const std::string kDrainedWorker("w0");
+constexpr Milliseconds kPassInterval{50};
 // Longer than a new leader gives no orders, and than its first orders take.
-constexpr Milliseconds kFirstSeconds{5'000};
+constexpr Milliseconds kTimeOfFirstOrders{5'000};
 
 // Leaders of a fake fleet whose planners look at its instances every turn. The
 // orders that they give are kept and not carried out.
@@ -59,13 +59,13 @@
 
   // As a leader does it: first the planners of instances, then the scheduler.
   void PassTime(Milliseconds time) {
-    for (Milliseconds passed{0}; passed < time; passed += kTurn) {
-      this->Look();
-      this->fleet.PassTime(kTurn);
+    for (Milliseconds passed{0}; passed < time; passed += kPassInterval) {
+      this->RunPlanners();
+      this->fleet.PassTime(kPassInterval);
     }
   }
 
-  void Look() {
+  void RunPlanners() {
     const auto facts = GatherInstanceFacts(*this->fleet.scheduler);
     maintenance::MaintenanceOutput output = this->waves->Plan(
         this->fleet.state, facts, {}, this->wall(), this->fleet.now);
@@ -78,11 +78,11 @@
       this->fleet.Commit(std::move(command));
     }
     for (const maintenance::InstanceOrder& order : output.orders) {
-      this->Take(order);
+      this->RecordOrder(order);
     }
   }
 
-  void Take(const maintenance::InstanceOrder& order) {
+  void RecordOrder(const maintenance::InstanceOrder& order) {
     for (const auto& [id, worker] : this->fleet.all_workers()) {
       if (worker.description.instance == order.instance) {
         this->ended_tasks += worker.running().size();
@@ -99,7 +99,7 @@
   WallTime wall() const { return WallTime(this->fleet.now.time_since_epoch()); }
 
   // Three tasks that last, one on each worker; one may be away at a time.
-  void SubmitLasting() {
+  void SubmitLongRunningTasks() {
     this->fleet.Submit("lasting", jobs::StepSpec{.count = 3,
                                                  .most_per_worker = 1,
                                                  .is_long_running = true,
@@ -107,15 +107,16 @@
                                                  .disruption_budget = 1});
   }
   // One of them has left the first worker, whose maintenance is on record.
-  void LetTheFirstWorkerBeEmptied() {
+  void CommitMaintenanceOfTheFirstWorker() {
     this->fleet.Commit(
-        jobs::StartWave{kWave, {kEmptied}, Milliseconds(20'000), 1});
-    this->fleet.Commit(jobs::RecordMaintenance{
-        kWave, kEmptied, MaintenanceState::kOrdered, WorkerId(kEmptiedWorker)});
+        jobs::StartWave{kWave, {kDrainedInstance}, Milliseconds(20'000), 1});
+    this->fleet.Commit(jobs::RecordMaintenance{kWave, kDrainedInstance,
+                                               MaintenanceState::kOrdered,
+                                               WorkerId(kDrainedWorker)});
   }
-  std::size_t RunsOfTheFirstWorker() const {
+  std::size_t CountRunsOfTheFirstWorker() const {
     return this->fleet.all_workers()
-        .at(WorkerId(kEmptiedWorker))
+        .at(WorkerId(kDrainedWorker))
         .running()
         .size();
   }
@@ -129,61 +130,63 @@
   std::size_t ended_tasks = 0;
 };
 
-TEST_F(InstanceOrdersTest, ANewLeaderLeavesAnInstanceEmptyThatMayBeMaintained) {
+TEST_F(InstanceOrdersTest,
+       ANewLeaderStartsNothingOnAnInstanceOrderedForMaintenance) {
   this->PassTime(Milliseconds(500));
-  this->LetTheFirstWorkerBeEmptied();
+  this->CommitMaintenanceOfTheFirstWorker();
   this->ChangeLeader();
-  this->SubmitLasting();
-  this->PassTime(kFirstSeconds);
-  EXPECT_EQ(this->RunsOfTheFirstWorker(), 0U);
+  this->SubmitLongRunningTasks();
+  this->PassTime(kTimeOfFirstOrders);
+  EXPECT_EQ(this->CountRunsOfTheFirstWorker(), 0U);
   ASSERT_EQ(this->orders.size(), 1U);
   EXPECT_EQ(this->ended_tasks, 0U);
 }
 
-TEST_F(InstanceOrdersTest, AnOrderOnRecordWaitsForTheTasksThatRunThere) {
+TEST_F(InstanceOrdersTest, ACommittedOrderWaitsForTheTasksOfItsInstance) {
   this->PassTime(Milliseconds(500));
-  this->SubmitLasting();
+  this->SubmitLongRunningTasks();
   this->PassTime(Milliseconds(2'000));
-  ASSERT_EQ(this->RunsOfTheFirstWorker(), 1U);
-  this->LetTheFirstWorkerBeEmptied();
+  ASSERT_EQ(this->CountRunsOfTheFirstWorker(), 1U);
+  this->CommitMaintenanceOfTheFirstWorker();
   this->ChangeLeader();
   // There is no place but this one, so nothing can leave it.
-  this->PassTime(kFirstSeconds);
+  this->PassTime(kTimeOfFirstOrders);
   EXPECT_EQ(this->ended_tasks, 0U);
   EXPECT_TRUE(this->orders.empty());
 }
 
 // The order of the leader before may be carried out any moment.
-TEST_F(InstanceOrdersTest, ANewLeaderLeavesAnInstanceEmptyThatMayBeMoved) {
+TEST_F(InstanceOrdersTest, ANewLeaderStartsNothingOnAnInstanceOrderedToMove) {
   this->PassTime(Milliseconds(500));
-  this->fleet.Commit(
-      jobs::RecordMoves{.instances = {kEmptied},
-                        .workers = {{kEmptied, WorkerId(kEmptiedWorker)}}});
+  this->fleet.Commit(jobs::RecordMoves{
+      .instances = {kDrainedInstance},
+      .workers = {{kDrainedInstance, WorkerId(kDrainedWorker)}}});
   this->ChangeLeader();
-  this->SubmitLasting();
+  this->SubmitLongRunningTasks();
   this->PassTime(Milliseconds(2'000));
-  EXPECT_EQ(this->RunsOfTheFirstWorker(), 0U);
+  EXPECT_EQ(this->CountRunsOfTheFirstWorker(), 0U);
 }
 
 // An instance that was off when its move was recorded has a worker since then.
-TEST_F(InstanceOrdersTest, AWorkerOnAnInstanceThatWasOffIsUsed) {
+TEST_F(InstanceOrdersTest, AWorkerOnAnInstanceThatWasDownAtItsMoveIsUsed) {
   this->PassTime(Milliseconds(500));
-  this->fleet.Commit(jobs::RecordMoves{.instances = {kEmptied}});
+  this->fleet.Commit(jobs::RecordMoves{.instances = {kDrainedInstance}});
   this->ChangeLeader();
-  this->SubmitLasting();
+  this->SubmitLongRunningTasks();
   this->PassTime(Milliseconds(2'000));
-  EXPECT_EQ(this->RunsOfTheFirstWorker(), 1U);
+  EXPECT_EQ(this->CountRunsOfTheFirstWorker(), 1U);
 }
 
 // Where the order was carried out another worker runs, and can be used.
-TEST_F(InstanceOrdersTest, AWorkerThatBeganAfterTheMoveIsUsed) {
+TEST_F(InstanceOrdersTest, AWorkerStartedAfterTheMoveIsUsed) {
   this->PassTime(Milliseconds(500));
-  this->fleet.Commit(jobs::RecordMoves{
-      .instances = {kEmptied}, .workers = {{kEmptied, WorkerId("before")}}});
+  this->fleet.Commit(
+      jobs::RecordMoves{.instances = {kDrainedInstance},
+                        .workers = {{kDrainedInstance, WorkerId("before")}}});
   this->ChangeLeader();
-  this->SubmitLasting();
+  this->SubmitLongRunningTasks();
   this->PassTime(Milliseconds(2'000));
-  EXPECT_EQ(this->RunsOfTheFirstWorker(), 1U);
+  EXPECT_EQ(this->CountRunsOfTheFirstWorker(), 1U);
 }
 
 }  // namespace
--- a/tests/services/sumacd/leader_search_test.cc
+++ b/tests/services/sumacd/leader_search_test.cc
@@ -57,7 +57,7 @@
 }
 
 // Nobody took the request, so it may be called refused.
-TEST_F(LeaderSearchTest, WithoutALeaderNothingWasTaken) {
+TEST_F(LeaderSearchTest, WithoutALeaderTheRequestHasNotRun) {
   const fleet::Answer answer =
       this->Run([](const ProcessName& /*process*/,
                    Milliseconds /*left*/) -> kj::Promise<fleet::Answer> {
@@ -69,7 +69,7 @@
 
 // One try got no answer and may have been carried out, whatever the others
 // said.
-TEST_F(LeaderSearchTest, AnUnansweredTryLeavesTheOutcomeOpen) {
+TEST_F(LeaderSearchTest, AnUnansweredAttemptLeavesTheOutcomeUnknown) {
   for (const ResultCode unanswered :
        {ResultCode::kTimeout, ResultCode::kUnreachable}) {
     this->asked.clear();
@@ -90,7 +90,8 @@
 // the submission ended; the next leader, which did not know the job yet, was
 // overloaded, and its refusal was passed on as the answer. A refusal says that
 // the request has not run, and holds for the controller that gives it.
-TEST_F(LeaderSearchTest, ARefusalAfterAnUnansweredTryLeavesTheOutcomeOpen) {
+TEST_F(LeaderSearchTest,
+       ARefusalAfterAnUnansweredAttemptLeavesTheOutcomeUnknown) {
   for (const ResultCode unanswered :
        {ResultCode::kTimeout, ResultCode::kUnreachable}) {
     for (const ResultCode refusal :
@@ -121,7 +122,7 @@
   EXPECT_EQ(this->asked.size(), 2U);
 }
 
-TEST_F(LeaderSearchTest, ATryThatFailsIsNoAnswer) {
+TEST_F(LeaderSearchTest, AFailedAttemptIsNoAnswer) {
   const fleet::Answer answer =
       this->Run([this](const ProcessName& /*process*/,
                        Milliseconds /*left*/) -> kj::Promise<fleet::Answer> {
--- a/tests/services/sumacd/node_settings_test.cc
+++ b/tests/services/sumacd/node_settings_test.cc
@@ -11,19 +11,19 @@
 namespace sumac::daemon {
 namespace {
 
-const nlohmann::json& Good() {
-  static const nlohmann::json kGood = nlohmann::json::parse(R"({
+const nlohmann::json& ValidSettings() {
+  static const nlohmann::json kValidSettings = nlohmann::json::parse(R"({
     "label": "c1", "data_centre": "dc-1", "role": "controller", "ip": "10.0.0.1",
     "peer_port": 7060, "seeds": ["10.0.0.1:8623", "10.0.0.2:8623"], "tolerated_losses": 2,
     "data_folder": "data", "control_door": "10.0.0.1:8623"})");
-  return kGood;
+  return kValidSettings;
 }
 
 // The error for the good settings after a JSON patch; empty when they are
 // accepted.
 std::string ErrorAfter(const std::string& patch) {
   const std::string path = testing::TempDir() + "/node-settings-test.json";
-  std::ofstream(path) << Good().patch(nlohmann::json::parse(patch));
+  std::ofstream(path) << ValidSettings().patch(nlohmann::json::parse(patch));
   const auto settings = NodeSettings::Load(path);
   std::filesystem::remove(path);
   return settings.ok()
@@ -33,7 +33,7 @@
 
 TEST(NodeSettingsTest, ProcessesAreNamedByTheirAddress) {
   const std::string path = testing::TempDir() + "/node-settings-good.json";
-  std::ofstream(path) << Good();
+  std::ofstream(path) << ValidSettings();
   EXPECT_TRUE(IsNodeSettingsFile(path));
   const auto settings = NodeSettings::Load(path);
   ASSERT_TRUE(settings.ok()) << settings.status();
@@ -43,7 +43,7 @@
   std::filesystem::remove(path);
 }
 
-TEST(NodeSettingsTest, EachMistakeIsNamed) {
+TEST(NodeSettingsTest, EachErrorNamesTheKey) {
   const std::vector<std::pair<std::string, std::string>> cases = {
       {R"([{"op":"remove","path":"/ip"}])",
        "/ip: found nothing, allowed: a value is required"},
--- a/tests/services/sumacd/replica_host_test.cc
+++ b/tests/services/sumacd/replica_host_test.cc
@@ -32,12 +32,12 @@
 constexpr Milliseconds kElectionTimeout{2'000};
 // A leader's silence is noticed one heartbeat before it at the earliest.
 constexpr Milliseconds kHandOverBound{1'200};
-constexpr Milliseconds kPatience{10'000};
+constexpr Milliseconds kMaxWait{10'000};
 
 // Hands messages to a host.
-class HostDoor final : public wire::Peer::Server {
+class ReplicateService final : public wire::Peer::Server {
  public:
-  explicit HostDoor(std::unique_ptr<ReplicaHost>& host) : host(host) {}
+  explicit ReplicateService(std::unique_ptr<ReplicaHost>& host) : host(host) {}
 
   kj::Promise<void> replicate(ReplicateContext context) override {
     return ServeReplicate(*this->host, context);
@@ -85,7 +85,7 @@
         this->parts->io, StrCat("127.0.0.1:", member.receiver->getPort()));
     member.address = member.path->address();
     member.server = std::make_unique<capnp::TwoPartyServer>(
-        kj::heap<HostDoor>(member.host));
+        kj::heap<ReplicateService>(member.host));
   }
 
   void Start(Member& member) {
@@ -103,7 +103,7 @@
         this->network(), this->parts->io.provider->getTimer(), names);
     ReplicaHostSettings settings{.process = ProcessName(member.address)};
     settings.group.election_timeout = kElectionTimeout;
-    auto host = ReplicaHost::CreateOn(
+    auto host = ReplicaHost::CreateWithStore(
         *std::move(store), settings, *member.peers,
         this->parts->io.provider->getTimer(), CallbacksOf(member));
     ASSERT_TRUE(host.ok()) << host.status();
@@ -125,7 +125,7 @@
               member.applied.push_back(payload);
               return fleet::Answer::Success("applied");
             },
-        .after_pass = [] {},
+        .after_pump = [] {},
         .begin_snapshot = [](LogIndex) {}};
   }
 
@@ -141,7 +141,7 @@
   std::optional<Milliseconds> Await(const std::function<bool()>& holds) {
     const SteadyTime began_at = this->clock.SteadyNow();
     while (!holds()) {
-      if (this->clock.SteadyNow() - began_at > kPatience) {
+      if (this->clock.SteadyNow() - began_at > kMaxWait) {
         return std::nullopt;
       }
       this->parts->io.provider->getTimer()
@@ -170,7 +170,7 @@
     return member.host->Propose(command).wait(this->scope()).is_ok();
   }
 
-  bool AreAllAlike() {
+  bool HaveAllAppliedTheSame() {
     const auto& members = this->parts->members;
     return std::all_of(members.begin(), members.end(), [&](const auto& member) {
       return member->applied == members.front()->applied;
@@ -212,7 +212,7 @@
   // Whoever asked is not left without an answer until there is room.
   ASSERT_TRUE(this->Await([&] { return answer.has_value(); }));
   first->disk->is_full = false;
-  EXPECT_TRUE(this->Await([&] { return this->AreAllAlike(); }));
+  EXPECT_TRUE(this->Await([&] { return this->HaveAllAppliedTheSame(); }));
   EXPECT_FALSE(first->host->is_disk_full());
   const std::vector<std::string> whole{"a", "b", "c"};
   if (answer->is_ok()) {
@@ -235,7 +235,7 @@
   EXPECT_TRUE(this->Await([&] { return voter->host->is_disk_full(); }));
   EXPECT_TRUE(leader->host->MayAct());
   voter->disk->is_full = false;
-  EXPECT_TRUE(this->Await([&] { return this->AreAllAlike(); }));
+  EXPECT_TRUE(this->Await([&] { return this->HaveAllAppliedTheSame(); }));
   EXPECT_FALSE(voter->host->is_disk_full());
   EXPECT_EQ(voter->applied, (std::vector<std::string>{"a", "b", "c"}));
 }
@@ -246,11 +246,11 @@
 TEST_F(ReplicaHostTest, ASnapshotWithoutADescriptorIsNoReasonToEnd) {
   Member* leader = this->AwaitLeader();
   ASSERT_NE(leader, nullptr);
-  leader->disk->is_short = true;
+  leader->disk->is_out_of_descriptors = true;
   ASSERT_TRUE(this->Propose(*leader, "a"));
   leader->host->FinishSnapshot(leader->host->applied_index(), "state");
   ASSERT_TRUE(this->Propose(*leader, "b"));
-  leader->disk->is_short = false;
+  leader->disk->is_out_of_descriptors = false;
   ASSERT_TRUE(this->Propose(*leader, "c"));
   leader->host->FinishSnapshot(leader->host->applied_index(), "state");
   ASSERT_TRUE(this->Propose(*leader, "d"));
@@ -283,7 +283,7 @@
   Member* next = this->AwaitLeader();
   ASSERT_NE(next, nullptr);
   ASSERT_TRUE(this->Propose(*next, "c"));
-  EXPECT_TRUE(this->Await([&] { return this->AreAllAlike(); }));
+  EXPECT_TRUE(this->Await([&] { return this->HaveAllAppliedTheSame(); }));
   std::vector<std::shared_ptr<SwitchedDisk>> disks;
   for (const auto& member : this->parts->members) {
     disks.push_back(member->disk);
@@ -313,7 +313,7 @@
   Member* leader = this->AwaitLeader();
   ASSERT_NE(leader, nullptr);
   ASSERT_TRUE(this->Propose(*leader, "a"));
-  ASSERT_TRUE(this->Await([&] { return this->AreAllAlike(); }));
+  ASSERT_TRUE(this->Await([&] { return this->HaveAllAppliedTheSame(); }));
   std::size_t opened = 0;
   for (const auto& member : this->parts->members) {
     opened += member->path->accepted();
@@ -321,14 +321,14 @@
   }
   const SteadyTime silent_from = this->clock.SteadyNow();
   bool is_decided = false;
-  while (!is_decided && this->clock.SteadyNow() - silent_from < kPatience) {
+  while (!is_decided && this->clock.SteadyNow() - silent_from < kMaxWait) {
     Member* next = this->AwaitLeader();
     is_decided = next != nullptr && this->Propose(*next, "b");
   }
   const Milliseconds took = this->clock.SteadyNow() - silent_from;
   RecordProperty("decides_again_ms", static_cast<int>(took.count()));
   ASSERT_TRUE(is_decided);
-  EXPECT_TRUE(this->Await([&] { return this->AreAllAlike(); }));
+  EXPECT_TRUE(this->Await([&] { return this->HaveAllAppliedTheSame(); }));
   EXPECT_EQ(this->parts->members.front()->applied.front(), "a");
   std::size_t opened_again = 0;
   for (const auto& member : this->parts->members) {
--- a/tests/services/sumacd/settings_test.cc
+++ b/tests/services/sumacd/settings_test.cc
@@ -12,22 +12,22 @@
 namespace sumac::daemon {
 namespace {
 
-const nlohmann::json& Good() {
-  static const nlohmann::json kGood = nlohmann::json::parse(R"({
+const nlohmann::json& ValidSettings() {
+  static const nlohmann::json kValidSettings = nlohmann::json::parse(R"({
     "process": "e1",
     "listen": {"callers": "127.0.0.1:8080", "targets": "127.0.0.1:8081",
                "operators": "127.0.0.1:9090"},
     "processes": [{"name": "e1", "data_centre": "dc-1", "roles": ["entry", "controller"],
                    "peer_address": "127.0.0.1:9091"}],
     "data_folder": "data"})");
-  return kGood;
+  return kValidSettings;
 }
 
 // The error for the good settings after a JSON patch; empty when they are
 // accepted.
 std::string ErrorAfter(const std::string& patch, ResultCode* code = nullptr) {
   const std::string path = testing::TempDir() + "/settings-test.json";
-  std::ofstream(path) << Good().patch(nlohmann::json::parse(patch));
+  std::ofstream(path) << ValidSettings().patch(nlohmann::json::parse(patch));
   const auto settings = Settings::Load(path);
   std::filesystem::remove(path);
   if (code != nullptr) {
@@ -38,11 +38,11 @@
              : std::string(settings.status().message()).substr(path.size() + 2);
 }
 
-TEST(SettingsTest, GoodOnesAreTaken) {
+TEST(SettingsTest, ValidSettingsAreAccepted) {
   EXPECT_EQ(ErrorAfter("[]"), "");
 }
 
-TEST(SettingsTest, EachMistakeIsNamed) {
+TEST(SettingsTest, EachErrorNamesTheKey) {
   const std::vector<std::pair<std::string, std::string>> cases = {
       {R"([{"op":"remove","path":"/process"}])",
        "/process: found nothing, allowed: a value is required"},
@@ -75,7 +75,7 @@
   }
 }
 
-TEST(SettingsTest, UnknownKeysHaveACodeOfTheirOwn) {
+TEST(SettingsTest, UnknownKeysHaveTheirOwnCode) {
   ResultCode code = ResultCode::kOk;
   EXPECT_EQ(
       ErrorAfter(R"([{"op":"add","path":"/listen/callrs","value":1}])", &code),
@@ -83,7 +83,7 @@
   EXPECT_EQ(code, ResultCode::kSettingsUnknownKey);
 }
 
-TEST(SettingsTest, TheExamplesAreGood) {
+TEST(SettingsTest, ExampleSettingsAreValid) {
   for (const char* name : {"suva-e1.json", "leselicht-e1.json"}) {
     const auto settings =
         Settings::Load(std::string(SUMAC_SOURCE_DIR) + "/settings/" + name);
--- a/tests/services/sumacd/work_times_test.cc
+++ b/tests/services/sumacd/work_times_test.cc
@@ -10,13 +10,13 @@
 
 using Seconds = std::chrono::duration<double>;
 
-std::size_t PlaceOf(Work work) {
+std::size_t IndexOf(Work work) {
   return static_cast<std::size_t>(work);
 }
 
 void SpendSomeTime() {
-  constexpr std::chrono::milliseconds kSome{3};
-  const auto until = std::chrono::steady_clock::now() + kSome;
+  constexpr std::chrono::milliseconds kBusyTime{3};
+  const auto until = std::chrono::steady_clock::now() + kBusyTime;
   while (std::chrono::steady_clock::now() < until) {
   }
 }
@@ -37,13 +37,13 @@
     }
   }
   const Seconds passed = std::chrono::steady_clock::now() - began;
-  const Seconds outer = times.Spent(PlaceOf(Work::kReplicate));
-  const Seconds inner = times.Spent(PlaceOf(Work::kApply));
+  const Seconds outer = times.Spent(IndexOf(Work::kReplicate));
+  const Seconds inner = times.Spent(IndexOf(Work::kApply));
   EXPECT_GT(outer, Seconds(0));
   EXPECT_GT(inner, Seconds(0));
   EXPECT_LE(outer + inner, passed);
-  EXPECT_EQ(times.Count(PlaceOf(Work::kReplicate)), 1U);
-  EXPECT_EQ(times.Count(PlaceOf(Work::kApply)), 2U);
+  EXPECT_EQ(times.Count(IndexOf(Work::kReplicate)), 1U);
+  EXPECT_EQ(times.Count(IndexOf(Work::kApply)), 2U);
 }
 
 }  // namespace
--- a/tests/services/sumacd/worker_renewals_test.cc
+++ b/tests/services/sumacd/worker_renewals_test.cc
@@ -22,7 +22,7 @@
 namespace sumac::daemon {
 namespace {
 
-constexpr Milliseconds kRecordTime{8'000};
+constexpr Milliseconds kCommitTime{8'000};
 constexpr Milliseconds kStep{10};
 constexpr Milliseconds kEndsPause{15};
 
@@ -49,12 +49,12 @@
                                  [this](const scheduler::RenewOrder& order) {
                                    return this->Renew(order);
                                  },
-                             .take =
+                             .handle_answer =
                                  [this](const WorkerId& worker,
                                         const scheduler::RenewAnswer& answer) {
-                                   return this->Take(worker, answer);
+                                   return this->HandleAnswer(worker, answer);
                                  },
-                             .forget = [](const WorkerId&) {}});
+                             .on_removed = [](const WorkerId&) {}});
     this->renewals->Begin(WorkerId("w0"));
   }
 
@@ -75,19 +75,19 @@
         });
   }
 
-  RenewalOutcome Take(const WorkerId& worker,
-                      const scheduler::RenewAnswer& answer) {
+  RenewalOutcome HandleAnswer(const WorkerId& worker,
+                              const scheduler::RenewAnswer& answer) {
     scheduler::EndsToRecord ends = this->fleet.scheduler->HandleReport(
         worker, answer.report, this->fleet.now);
     if (ends.up_to == 0) {
-      return {.recorded = nullptr, .pause = Milliseconds(0)};
+      return {.committed = nullptr, .pause = Milliseconds(0)};
     }
-    return {.recorded = this->parts->timer.afterDelay(ToKj(kRecordTime))
-                            .then([this, worker, ends] {
-                              this->fleet.Commit(jobs::RecordEnds{ends.ends});
-                              this->fleet.scheduler->HandleEndsCommitted(worker,
-                                                                         ends);
-                            }),
+    return {.committed = this->parts->timer.afterDelay(ToKj(kCommitTime))
+                             .then([this, worker, ends] {
+                               this->fleet.Commit(jobs::RecordEnds{ends.ends});
+                               this->fleet.scheduler->HandleEndsCommitted(
+                                   worker, ends);
+                             }),
             .pause = kEndsPause};
   }
 
@@ -106,7 +106,7 @@
   Milliseconds longest_gap{0};
 };
 
-TEST_F(WorkerRenewalsTest, ALeaseIsRenewedWhileARecordOfEndsTakesLong) {
+TEST_F(WorkerRenewalsTest, ALeaseIsRenewedDuringASlowCommitOfEnds) {
   this->PassTime(Milliseconds(300));
   this->fleet.Submit("job", {.count = 1});
   this->PassTime(Milliseconds(10'000));
@@ -114,7 +114,7 @@
 }
 
 TEST_F(WorkerRenewalsTest,
-       ADoneTaskIsNotStartedAgainWhileAnotherEndIsRecorded) {
+       ADoneTaskIsNotRestartedDuringASlowCommitOfAnotherEnd) {
   this->PassTime(Milliseconds(300));
   this->fleet.Submit("first", {.count = 1});
   this->PassTime(Milliseconds(400));
--- a/tests/stand_ins/fault_proxy_main.cc
+++ b/tests/stand_ins/fault_proxy_main.cc
@@ -12,7 +12,7 @@
 
 #include "absl/strings/numbers.h"
 #include "absl/strings/str_split.h"
-#include "libraries/http/async_door.h"
+#include "libraries/http/async_http_server.h"
 #include "tests/stand_ins/fault_proxy.h"
 
 namespace {
@@ -25,7 +25,7 @@
 // and the time.
 constexpr std::size_t kPathParts = 4;
 
-sumac::http::DoorReply Apply(const Links& links, const std::string& path) {
+sumac::http::ServerReply Apply(const Links& links, const std::string& path) {
   const std::vector<std::string> parts = absl::StrSplit(path, '/');
   std::size_t link = 0;
   std::int64_t time = 0;
@@ -57,11 +57,12 @@
         std::make_unique<FaultProxy>(network, timer, pair.at(0), pair.at(1)));
     links.back()->Listen().wait(io.waitScope);
   }
-  sumac::http::AsyncDoor door(timer, {.address = argument_values[1]},
-                              [&links](const sumac::http::DoorRequest& request)
-                                  -> kj::Promise<sumac::http::DoorReply> {
-                                return Apply(links, request.path);
-                              });
+  sumac::http::AsyncHttpServer door(
+      timer, {.address = argument_values[1]},
+      [&links](const sumac::http::ServerRequest& request)
+          -> kj::Promise<sumac::http::ServerReply> {
+        return Apply(links, request.path);
+      });
   door.Listen(network).wait(io.waitScope);
   std::cout << "ready" << std::endl;
   kj::NEVER_DONE.wait(io.waitScope);
--- a/tests/stand_ins/target.cc
+++ b/tests/stand_ins/target.cc
@@ -84,7 +84,7 @@
   auto opened = http::HttpServer::Create(
       http::ServerSettings{
           .address = this->options.description.address,
-          .most_connections =
+          .max_connections =
               static_cast<int>(this->options.description.connections) + 4},
       [this](Poco::Net::HTTPServerRequest& request,
              Poco::Net::HTTPServerResponse& response) {
--- a/tests/stand_ins/task_worker.cc
+++ b/tests/stand_ins/task_worker.cc
@@ -68,15 +68,15 @@
       log(log),
       worker(this->settings.description, this->settings.clock_offset, 0),
       headers(this->header_builder.build()),
-      door(
-          timer,
-          http::DoorSettings{.address = this->settings.listen_address.empty()
-                                            ? this->settings.description.address
-                                            : this->settings.listen_address,
-                             .headers = {kExpectedWorkerHeader}},
-          [this](const http::DoorRequest& request) {
-            return this->Handle(request);
-          }) {
+      door(timer,
+           http::AsyncServerSettings{
+               .address = this->settings.listen_address.empty()
+                              ? this->settings.description.address
+                              : this->settings.listen_address,
+               .headers = {kExpectedWorkerHeader}},
+           [this](const http::ServerRequest& request) {
+             return this->Handle(request);
+           }) {
   for (const std::string& control : this->settings.controls) {
     this->controls.push_back(std::make_unique<http::AsyncConnection>(
         network, timer, *this->headers, control));
@@ -253,16 +253,16 @@
       .then([this] { return this->AnnounceLoop(); });
 }
 
-kj::Promise<http::DoorReply> TaskWorker::Handle(
-    const http::DoorRequest& request) {
+kj::Promise<http::ServerReply> TaskWorker::Handle(
+    const http::ServerRequest& request) {
   const SteadyTime now = this->clock.SteadyNow();
   this->Tick(now);
   if (!this->worker.is_up) {
-    return http::DoorReply{.status = kUnavailable};
+    return http::ServerReply{.status = kUnavailable};
   }
   const auto expected = request.headers.find(kExpectedWorkerHeader);
   if (expected != request.headers.end() && expected->second != this->Name()) {
-    return http::DoorReply{.status = kMisdirected};
+    return http::ServerReply{.status = kMisdirected};
   }
   nlohmann::json body = nlohmann::json::parse(request.body, nullptr, false);
   if (request.path == "/run-start") {
@@ -276,20 +276,20 @@
     return this->Hold(std::move(body), now + wait, this->incarnation);
   }
   constexpr std::uint32_t kNotFound = 404;
-  return http::DoorReply{.status = kNotFound};
+  return http::ServerReply{.status = kNotFound};
 }
 
-http::DoorReply TaskWorker::OrderReply(
+http::ServerReply TaskWorker::OrderReply(
     const scheduler::OrderAnswer& answer) const {
   nlohmann::json body = {{"clock_ms", answer.clock->value()}};
   if (answer.result == scheduler::OrderResult::kDone) {
-    return http::DoorReply{.body = body.dump()};
+    return http::ServerReply{.body = body.dump()};
   }
   body["reason"] = ReasonName(answer.result);
-  return http::DoorReply{.status = kConflict, .body = body.dump()};
+  return http::ServerReply{.status = kConflict, .body = body.dump()};
 }
 
-http::DoorReply TaskWorker::Start(const nlohmann::json& body) {
+http::ServerReply TaskWorker::Start(const nlohmann::json& body) {
   scheduler::StartOrder order;
   order.epoch = LeaderEpoch(body.at("fence_token").get<std::uint64_t>());
   order.task = *jobs::TaskId::Parse(body.at("task").get<std::string>());
@@ -318,7 +318,7 @@
   return this->OrderReply(answer);
 }
 
-http::DoorReply TaskWorker::Stop(const nlohmann::json& body) {
+http::ServerReply TaskWorker::Stop(const nlohmann::json& body) {
   scheduler::StopOrder order;
   order.epoch = LeaderEpoch(body.at("fence_token").get<std::uint64_t>());
   order.task = *jobs::TaskId::Parse(body.at("task").get<std::string>());
@@ -333,11 +333,11 @@
 // Answers once a run has ended or the time to wait is over.
 // `expected_incarnation` is the incarnation that received the call; another one
 // answers "unavailable".
-kj::Promise<http::DoorReply> TaskWorker::Hold(nlohmann::json body,
-                                              SteadyTime until,
-                                              int expected_incarnation) {
+kj::Promise<http::ServerReply> TaskWorker::Hold(nlohmann::json body,
+                                                SteadyTime until,
+                                                int expected_incarnation) {
   if (expected_incarnation != this->incarnation) {
-    return http::DoorReply{.status = kUnavailable};
+    return http::ServerReply{.status = kUnavailable};
   }
   const SteadyTime now = this->clock.SteadyNow();
   this->Tick(now);
@@ -381,7 +381,7 @@
     reply["ended"].push_back({end.number, end.task.ToText(), end.run.value(),
                               CauseName(end.cause), end.checkpoint});
   }
-  return http::DoorReply{.body = reply.dump()};
+  return http::ServerReply{.body = reply.dump()};
 }
 
 }  // namespace sumac::stand_ins
--- a/tests/stand_ins/task_worker.h
+++ b/tests/stand_ins/task_worker.h
@@ -13,7 +13,7 @@
 
 #include "libraries/base/time.h"
 #include "libraries/http/async_connection.h"
-#include "libraries/http/async_door.h"
+#include "libraries/http/async_http_server.h"
 #include "nlohmann/json.hpp"
 #include "tests/libraries/scheduler/fake_worker.h"
 #include "tests/stand_ins/event_log.h"
@@ -63,18 +63,18 @@
   std::uint64_t done() const { return this->done_count; }
 
  private:
-  kj::Promise<http::DoorReply> Handle(const http::DoorRequest& request);
-  kj::Promise<http::DoorReply> Hold(nlohmann::json body,
-                                    SteadyTime until,
-                                    int expected_incarnation);
-  http::DoorReply Start(const nlohmann::json& body);
-  http::DoorReply Stop(const nlohmann::json& body);
+  kj::Promise<http::ServerReply> Handle(const http::ServerRequest& request);
+  kj::Promise<http::ServerReply> Hold(nlohmann::json body,
+                                      SteadyTime until,
+                                      int expected_incarnation);
+  http::ServerReply Start(const nlohmann::json& body);
+  http::ServerReply Stop(const nlohmann::json& body);
   // Loses all runs; after kRestartTime another incarnation begins at the same
   // address. Only for a worker that does not report its start time: the
   // connections of one that does would have to end with its incarnation.
   kj::Promise<void> Crash();
   void BeginNextIncarnation();
-  http::DoorReply OrderReply(const scheduler::OrderAnswer& answer) const;
+  http::ServerReply OrderReply(const scheduler::OrderAnswer& answer) const;
   kj::Promise<void> AnnounceLoop();
   kj::Promise<void> TickLoop();
   // Advances the worker to `now` and logs the runs that ended meanwhile.
@@ -100,7 +100,7 @@
   scheduler::FakeWorker worker;
   kj::HttpHeaderTable::Builder header_builder;
   kj::Own<kj::HttpHeaderTable> headers;
-  http::AsyncDoor door;
+  http::AsyncHttpServer door;
   std::vector<std::unique_ptr<http::AsyncConnection>> controls;
   std::size_t next_control = 0;
   std::uint64_t sequence = 0;
