--- a/benchmarks/control_bench.cc
+++ b/benchmarks/control_bench.cc
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Measures a running group of controllers from outside, through the doors that
-// entries and operators use. Prints JSON lines.
+// Measures a running group of controllers from outside, through the listeners
+// for entries and operators. Prints JSON lines.
 
 #include <fcntl.h>
 #include <kj/async-io.h>
@@ -43,7 +43,7 @@
   return std::chrono::duration_cast<Microseconds>(BenchClock::now() - begin);
 }
 
-// One bench run's connections.
+// The benchmarks, and the connections that they share.
 class Bench {
  public:
   explicit Bench(const options::variables_map& arguments)
@@ -56,11 +56,11 @@
     }
   }
 
-  void Commit();
-  void Gap();
-  void Followers();
-  void CatchUp();
-  void Fill();
+  void MeasureCommits();
+  void MeasureLongestGap();
+  void MeasureFollowers();
+  void MeasureCatchUp();
+  void FillLog();
 
  private:
   std::unique_ptr<rpc::Channel> Open(const std::string& address) {
@@ -69,12 +69,14 @@
                                           address);
   }
 
-  int Number(const char* name) const { return this->arguments[name].as<int>(); }
+  int IntOption(const char* name) const {
+    return this->arguments[name].as<int>();
+  }
 
   // Commits one claim at one controller.
   kj::Promise<fleet::Answer> ProposeAt(rpc::Channel& channel,
                                        Milliseconds limit);
-  // The controller that leads now.
+  // Returns the channel to the current leader; retries until there is one.
   rpc::Channel& FindLeader();
   kj::Promise<void> CommitLoop(rpc::Channel& leader,
                                int& left,
@@ -83,8 +85,9 @@
                                std::uint64_t have,
                                std::uint64_t until,
                                BenchClock::time_point& reached_at);
-  // Applies the next declaration; the view version in which it is in force.
-  std::uint64_t ApplyNext(rpc::Channel& door);
+  // Applies the next declaration and returns the version of the view in which
+  // it is in force.
+  std::uint64_t ApplyNext(rpc::Channel& operator_channel);
 
   const options::variables_map& arguments;
   kj::AsyncIoContext io;
@@ -117,7 +120,8 @@
           return *peer;
         }
       } catch (const kj::Exception&) {
-        // Not this one.
+        // The peer is not the leader or not reachable, so the next one is
+        // tried.
       }
     }
   }
@@ -140,11 +144,12 @@
       });
 }
 
-// Commits claims from a number of loops at once.
-void Bench::Commit() {
+// Measures the latency and rate of commits of claims from 1, 16 and 128
+// concurrent loops.
+void Bench::MeasureCommits() {
   rpc::Channel& leader = this->FindLeader();
   for (const int loops : {1, 16, 128}) {
-    int left = this->Number("count");
+    int left = this->IntOption("count");
     std::vector<Microseconds> latencies;
     auto running = kj::heapArrayBuilder<kj::Promise<void>>(loops);
     const auto begin = BenchClock::now();
@@ -165,11 +170,11 @@
   }
 }
 
-// Commits one after the other wherever somebody leads; the longest time without
-// a commit.
-void Bench::Gap() {
+// Commits claims one after the other at any controller that leads, and measures
+// the longest time without a commit.
+void Bench::MeasureLongestGap() {
   const auto end =
-      BenchClock::now() + std::chrono::seconds(this->Number("seconds"));
+      BenchClock::now() + std::chrono::seconds(this->IntOption("seconds"));
   auto last = BenchClock::now();
   Microseconds longest{0};
   std::size_t commits = 0;
@@ -182,7 +187,7 @@
                     .wait(this->io.waitScope)
                     .is_ok();
     } catch (const kj::Exception&) {
-      // This one is gone; the next is asked.
+      // The peer is not reachable, so the next one is tried.
     }
     if (is_done) {
       longest = std::max(longest, Since(last));
@@ -205,8 +210,8 @@
             << std::endl;
 }
 
-std::uint64_t Bench::ApplyNext(rpc::Channel& door) {
-  auto request = door.Get<wire::Operator>().applyRequest();
+std::uint64_t Bench::ApplyNext(rpc::Channel& operator_channel) {
+  auto request = operator_channel.Get<wire::Operator>().applyRequest();
   auto identity = request.initIdentity();
   identity.setOperatorName("bench");
   identity.setRequestId(StrCat("bench-", ::getpid(), "-", ++this->next_key));
@@ -214,7 +219,8 @@
   request.setDeclaration(StrCat(R"({"pools":[{"name":"p","capacity":)",
                                 this->next_key % 1'000 + 1, "}]}"));
   const fleet::Answer answer =
-      door.Guard(kCallLimit, request.send().then([](auto&& response) {
+      operator_channel
+          .Guard(kCallLimit, request.send().then([](auto&& response) {
             return rpc::ReadAnswer(response.getResult());
           }))
           .wait(this->io.waitScope);
@@ -226,7 +232,8 @@
   return answer.document["view_version"];
 }
 
-// Follows one controller until it has a version, and notes when that was.
+// Follows the views of one controller until their version is at least `until`,
+// and sets `reached_at` to that time.
 kj::Promise<void> Bench::FollowLoop(rpc::Channel& channel,
                                     std::uint64_t have,
                                     std::uint64_t until,
@@ -245,21 +252,22 @@
   });
 }
 
-// Declarations one after the other, and how long after each was accepted the
-// last of a number of followers has it.
-void Bench::Followers() {
-  const auto door = this->Open(this->arguments["operators"].as<std::string>());
+// Applies declarations one after the other and measures the time from the
+// acceptance of each until the last of a number of followers has received it.
+void Bench::MeasureFollowers() {
+  const auto operator_channel =
+      this->Open(this->arguments["operators"].as<std::string>());
   std::vector<std::unique_ptr<rpc::Channel>> channels;
-  const int count = this->Number("followers");
+  const int count = this->IntOption("followers");
   channels.reserve(count);
   for (int number = 0; number < count; ++number) {
     channels.push_back(
         this->Open(this->peers[number % this->peers.size()]->address()));
   }
-  std::uint64_t version = this->ApplyNext(*door);
+  std::uint64_t version = this->ApplyNext(*operator_channel);
   std::vector<Microseconds> to_last;
   std::vector<Microseconds> apply_times;
-  for (int change = 0; change < this->Number("count"); ++change) {
+  for (int change = 0; change < this->IntOption("count"); ++change) {
     std::vector<BenchClock::time_point> reached(count);
     auto following = kj::heapArrayBuilder<kj::Promise<void>>(count);
     for (int number = 0; number < count; ++number) {
@@ -268,7 +276,7 @@
                         .eagerlyEvaluate(nullptr));
     }
     const auto begin = BenchClock::now();
-    const std::uint64_t accepted_version = this->ApplyNext(*door);
+    const std::uint64_t accepted_version = this->ApplyNext(*operator_channel);
     const auto accepted = BenchClock::now();
     kj::joinPromises(following.finish()).wait(this->io.waitScope);
     const auto last = *std::max_element(reached.begin(), reached.end());
@@ -288,12 +296,14 @@
   std::cout << line.dump() << std::endl;
 }
 
-// What a follower that missed a number of changes gets, in time and bytes.
-void Bench::CatchUp() {
-  const auto door = this->Open(this->arguments["operators"].as<std::string>());
-  const std::uint64_t missed_from = this->ApplyNext(*door);
-  for (int change = 0; change < this->Number("count"); ++change) {
-    this->ApplyNext(*door);
+// Measures the time and the bytes that a follower needs to catch up on a number
+// of missed changes.
+void Bench::MeasureCatchUp() {
+  const auto operator_channel =
+      this->Open(this->arguments["operators"].as<std::string>());
+  const std::uint64_t missed_from = this->ApplyNext(*operator_channel);
+  for (int change = 0; change < this->IntOption("count"); ++change) {
+    this->ApplyNext(*operator_channel);
   }
   const auto begin = BenchClock::now();
   auto request = this->peers.front()->Get<wire::Peer>().followRequest();
@@ -301,7 +311,7 @@
   request.setWaitMs(0);
   const auto response = request.send().wait(this->io.waitScope);
   std::cout << nlohmann::json{{"bench", "catch_up"},
-                              {"missed_changes", this->Number("count")},
+                              {"missed_changes", this->IntOption("count")},
                               {"is_delta", response.getIsDelta()},
                               {"bytes", response.getView().size()},
                               {"ms", static_cast<double>(Since(begin).count()) /
@@ -310,11 +320,11 @@
             << std::endl;
 }
 
-// Commits a number of claims as fast as it goes, to make a log long.
-void Bench::Fill() {
+// Commits a number of claims as fast as possible, to make the log long.
+void Bench::FillLog() {
   constexpr int kLoops = 128;
   rpc::Channel& leader = this->FindLeader();
-  int left = this->Number("count");
+  int left = this->IntOption("count");
   std::vector<Microseconds> latencies;
   auto running = kj::heapArrayBuilder<kj::Promise<void>>(kLoops);
   for (int loop = 0; loop < kLoops; ++loop) {
@@ -323,7 +333,7 @@
   kj::joinPromises(running.finish()).wait(this->io.waitScope);
 }
 
-// What one small append with fdatasync costs on this disk.
+// Measures the time of one small append with fdatasync on this disk.
 void MeasureDisk(const std::string& folder) {
   constexpr int kWrites = 300;
   const std::string path = folder + "/bench-disk";
@@ -352,7 +362,8 @@
       "commit, gap, followers, catch-up, fill or disk");
   add("peers", options::value<std::string>(),
       "the controllers' peer addresses, by commas");
-  add("operators", options::value<std::string>(), "one operators' door");
+  add("operators", options::value<std::string>(),
+      "one operators' operator_channel");
   add("count", options::value<int>()->default_value(1'000),
       "commits or changes");
   add("followers", options::value<int>()->default_value(9), "how many follow");
@@ -382,15 +393,15 @@
   }
   Bench bench(arguments);
   if (what == "commit") {
-    bench.Commit();
+    bench.MeasureCommits();
   } else if (what == "gap") {
-    bench.Gap();
+    bench.MeasureLongestGap();
   } else if (what == "followers") {
-    bench.Followers();
+    bench.MeasureFollowers();
   } else if (what == "catch-up") {
-    bench.CatchUp();
+    bench.MeasureCatchUp();
   } else if (what == "fill") {
-    bench.Fill();
+    bench.FillLog();
   } else {
     std::cerr << DescribeOptions();
     return 2;
--- a/benchmarks/replication_bench.cc
+++ b/benchmarks/replication_bench.cc
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Commit latency of the pure replicas over a link and a disk of given delays,
-// on a fake clock: what distance costs, apart from this machine. Prints JSON
-// lines.
+// Measures the commit latency of replicas without I/O, over links and disks
+// with given delays and on a fake clock: the cost of distance, independent of
+// this machine's speed. Prints JSON lines.
 
 #include <iostream>
 #include <map>
@@ -21,8 +21,8 @@
 using replication::NodeId;
 using replication::Replica;
 
-// Something that happens to one replica at a time: a message arrives, or a turn
-// ends.
+// A scheduled event of one replica: the arrival of a message, or without one,
+// an iteration of its loop.
 struct Event {
   Microseconds at;
   std::uint64_t order = 0;
@@ -34,8 +34,9 @@
   }
 };
 
-// A group on a fake clock. A turn with writes takes the disk's time; all that
-// comes in meanwhile shares the next one.
+// A group of replicas on a fake clock. An iteration of a replica's loop with
+// writes takes the disk's time; the next iteration handles all messages that
+// arrive meanwhile.
 class Group {
  public:
   Group(int voters, Microseconds one_way, Microseconds disk)
@@ -48,15 +49,15 @@
       replication::StartState start{.self = voter,
                                     .seed = this->replicas.size() + 1};
       start.snapshot.meta.membership = membership;
-      this->places[voter] = this->replicas.size();
+      this->node_indexes[voter] = this->replicas.size();
       this->replicas.emplace_back(replication::ReplicationSettings(), start,
                                   this->Steady());
       this->busy_until.emplace_back(0);
     }
   }
 
-  // Runs until one leads; its place.
-  std::size_t Elect() {
+  // Runs until a replica leads and returns its index.
+  std::size_t AwaitLeader() {
     while (true) {
       this->RunUntil(this->now + Microseconds(10'000));
       for (std::size_t node = 0; node < this->replicas.size(); ++node) {
@@ -67,8 +68,11 @@
     }
   }
 
-  // Proposes at `rate` a second for a while; each commit's latency.
-  std::vector<Microseconds> Load(std::size_t leader, double rate, int count) {
+  // Makes `count` proposals at `rate` per second and returns the latency of
+  // each commit.
+  std::vector<Microseconds> ProposeAtRate(std::size_t leader,
+                                          double rate,
+                                          int count) {
     this->committed_at.clear();
     std::vector<std::pair<LogIndex, Microseconds>> proposed;
     const Microseconds begin = this->now;
@@ -79,7 +83,7 @@
           this->replicas[leader].Propose("command", this->Steady());
       if (index.ok()) {
         proposed.emplace_back(*index, this->now);
-        this->Schedule(leader);
+        this->ScheduleIteration(leader);
       }
     }
     this->RunUntil(this->now + Microseconds(500'000));
@@ -105,8 +109,9 @@
     this->events.push(Event{at, ++this->order, node, std::move(message)});
   }
 
-  // The replica's next turn: now, or when its disk is done.
-  void Schedule(std::size_t node) {
+  // Schedules the next iteration of the replica's loop: now, or when its disk
+  // has finished.
+  void ScheduleIteration(std::size_t node) {
     this->Push(std::max(this->now, this->busy_until[node]), node, std::nullopt);
   }
 
@@ -120,7 +125,7 @@
         this->next_tick += kTick;
         for (std::size_t node = 0; node < this->replicas.size(); ++node) {
           this->replicas[node].Tick(this->Steady());
-          this->Schedule(node);
+          this->ScheduleIteration(node);
         }
         continue;
       }
@@ -139,11 +144,11 @@
     const std::size_t node = event.node;
     if (event.message) {
       this->replicas[node].Receive(*std::move(event.message), this->Steady());
-      this->Schedule(node);
+      this->ScheduleIteration(node);
       return;
     }
     if (this->busy_until[node] > this->now) {
-      this->Schedule(node);
+      this->ScheduleIteration(node);
       return;
     }
     if (!this->replicas[node].has_output()) {
@@ -153,20 +158,20 @@
     const Microseconds done =
         output.has_writes() ? this->now + this->disk : this->now;
     this->busy_until[node] = done;
-    // As the controller does it: a leader's entries go out before its own disk
-    // is done.
+    // As in the controller, a leader's entries are sent before its own disk has
+    // finished.
     const bool is_early =
         this->replicas[node].role() == replication::Role::kLeader &&
         !output.hard_state;
     for (Message& message : output.messages) {
-      const std::size_t to = this->places.at(message.to);
+      const std::size_t to = this->node_indexes.at(message.to);
       this->Push((is_early ? this->now : done) + this->one_way, to,
                  std::move(message));
     }
     for (const replication::Entry& entry : output.committed) {
       this->committed_at[{node, entry.index}] = done;
     }
-    this->Schedule(node);
+    this->ScheduleIteration(node);
   }
 
   Microseconds one_way;
@@ -176,14 +181,14 @@
   std::uint64_t order = 0;
   std::vector<Replica> replicas;
   std::vector<Microseconds> busy_until;
-  std::map<NodeId, std::size_t> places;
+  std::map<NodeId, std::size_t> node_indexes;
   std::map<std::pair<std::size_t, LogIndex>, Microseconds> committed_at;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events;
 };
 
 void Measure(int voters, Microseconds one_way, Microseconds disk, double rate) {
   Group group(voters, one_way, disk);
-  const std::size_t leader = group.Elect();
+  const std::size_t leader = group.AwaitLeader();
   constexpr int kCount = 2'000;
   nlohmann::json line = {
       {"bench", "commit_by_distance"},
@@ -191,7 +196,8 @@
       {"one_way_ms", static_cast<double>(one_way.count()) / 1'000},
       {"disk_ms", static_cast<double>(disk.count()) / 1'000},
       {"rate_per_second", rate}};
-  const std::vector<Microseconds> latencies = group.Load(leader, rate, kCount);
+  const std::vector<Microseconds> latencies =
+      group.ProposeAtRate(leader, rate, kCount);
   line["committed"] = latencies.size();
   AddPercentiles(line, "commit", latencies);
   std::cout << line.dump() << "\n";
@@ -202,7 +208,7 @@
 
 int main(int argument_count, char** argument_values) {
   using sumac::benchmarks::Microseconds;
-  // The disk's sync time on this machine, in microseconds.
+  // The sync time of this machine's disk, in microseconds.
   const Microseconds disk(argument_count > 1 ? std::stoll(argument_values[1])
                                              : 1'000);
   for (const int voters : {3, 5}) {
--- a/tests/stand_ins/caller_main.cc
+++ b/tests/stand_ins/caller_main.cc
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // A stand-in for callers: sends requests to entries at a fixed rate whether or
-// not answers come (open loop), checks each answer against its own request, and
-// prints what came back as one JSON line. With --keys every request is
-// non-repeatable, carries a key and may be resent.
+// not answers arrive (open loop), checks that each answer belongs to its
+// request, and prints the counts and latencies as one JSON line. With --keys
+// every request is non-repeatable, carries an idempotency key and may be
+// resent.
 
 #include <Poco/Exception.h>
 #include <Poco/Net/HTTPClientSession.h>
@@ -37,14 +38,14 @@
 using benchmarks::Microseconds;
 using CallClock = std::chrono::steady_clock;
 
-// What became of all requests.
+// The results and latencies of all requests.
 class Outcomes {
  public:
-  void Add(int code, Microseconds latency, bool is_own) {
+  void Add(int code, Microseconds latency, bool is_matching) {
     const std::lock_guard lock(this->mutex);
     ++this->by_code[code];
-    if (code == 0 && !is_own) {
-      ++this->foreign;
+    if (code == 0 && !is_matching) {
+      ++this->mismatched_count;
     }
     if (code == 0) {
       this->latencies.push_back(latency);
@@ -64,7 +65,7 @@
         {"goodput_per_second",
          static_cast<double>(this->latencies.size()) / seconds},
         {"codes", codes},
-        {"foreign_or_cut", this->foreign}};
+        {"foreign_or_cut", this->mismatched_count}};
     benchmarks::AddPercentiles(line, "answer", this->latencies);
     benchmarks::AddPercentiles(line, "refusal", this->refusals);
     return line;
@@ -73,15 +74,16 @@
  private:
   std::mutex mutex;
   std::map<int, std::uint64_t> by_code;
-  std::uint64_t foreign = 0;
+  std::uint64_t mismatched_count = 0;
   std::vector<Microseconds> latencies;
   std::vector<Microseconds> refusals;
 };
 
-// No connection, or one that broke; beside the numbered results.
+// The code for a connection that failed or broke; not one of the numbered
+// results.
 constexpr int kNoAnswer = -1;
 
-// What all callers share.
+// The options and results that all callers share.
 struct Load {
   std::vector<std::string> entries;
   std::string target;
@@ -98,12 +100,12 @@
   std::ofstream keys_file;
 };
 
-// One connection to each entry, used by one thread.
+// The caller of one thread, with one connection to each entry.
 class Caller {
  public:
   explicit Caller(Load& load) : load(load), sessions(load.entries.size()) {}
 
-  // Takes the next request when it is due, until all are sent.
+  // Sends the next request when it is due, until all are sent.
   void Run() {
     while (true) {
       const std::uint64_t number = this->load.next++;
@@ -125,40 +127,40 @@
     const std::string key =
         StrCat(SystemClock().Now().time_since_epoch().count(), "-",
                this->load.label, "_", number, "_key");
-    const std::size_t place = number % this->load.entries.size();
+    const std::size_t entry_index = number % this->load.entries.size();
     int code = kNoAnswer;
-    bool is_own = true;
-    // A caller whose entry does not answer asks another with the same key, as
-    // its balancer would.
+    bool is_matching = true;
+    // If an entry does not answer, the request goes to another one with the
+    // same key, as a load balancer would send it.
     for (std::size_t attempt = 0; attempt < 3 && code == kNoAnswer; ++attempt) {
-      code = this->TryOnce((place + attempt) % this->load.entries.size(), body,
-                           key, is_own);
+      code = this->TryOnce((entry_index + attempt) % this->load.entries.size(),
+                           body, key, is_matching);
     }
     this->load.outcomes.Add(
         code, std::chrono::duration_cast<Microseconds>(CallClock::now() - due),
-        is_own);
+        is_matching);
     if (this->load.has_keys) {
       const std::lock_guard lock(this->load.keys_mutex);
       this->load.keys_file << body << " " << code << "\n";
     }
   }
 
-  int TryOnce(std::size_t place,
+  int TryOnce(std::size_t entry_index,
               const std::string& body,
               const std::string& key,
-              bool& is_own) {
-    auto& session = this->sessions[place];
+              bool& is_matching) {
+    auto& session = this->sessions[entry_index];
     try {
       if (!session) {
         session = std::make_unique<Poco::Net::HTTPClientSession>(
-            Poco::Net::SocketAddress(this->load.entries[place]));
+            Poco::Net::SocketAddress(this->load.entries[entry_index]));
         session->setKeepAlive(true);
         session->setTimeout(Poco::Timespan(30, 0));
       }
       Poco::Net::HTTPRequest request("POST", this->load.target,
                                      Poco::Net::HTTPMessage::HTTP_1_1);
       request.setContentLength64(static_cast<Poco::Int64>(body.size()));
-      request.set(http::kCallerHeader, StrCat("caller-", place));
+      request.set(http::kCallerHeader, StrCat("caller-", entry_index));
       if (this->load.has_keys) {
         request.set(http::kIdempotencyKeyHeader, key);
       }
@@ -183,7 +185,7 @@
         return static_cast<int>(ResultCode::kOverloaded);
       }
       const auto json = nlohmann::json::parse(text, nullptr, false);
-      is_own =
+      is_matching =
           code != 0 || (json.is_object() && json.value("echo", "") == body);
       return code;
     } catch (const Poco::Exception&) {
--- a/tests/stand_ins/platform_main.cc
+++ b/tests/stand_ins/platform_main.cc
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// A stand-in for the platform: takes operations as docs/PROTOCOLS.md describes,
-// reboots the stand-in targets that registered, and says how far each operation
-// is. Ends on SIGTERM.
+// A stand-in for the platform: accepts operations as docs/PROTOCOLS.md
+// describes, reboots the stand-in targets that registered, and reports the
+// progress of each operation. Ends on SIGTERM.
 
 #include <signal.h>
 
@@ -24,7 +24,7 @@
 constexpr std::uint64_t kMostBodyBytes = 64U << 10;
 constexpr sumac::Milliseconds kCallTimeout{1'000};
 
-// What the platform knows.
+// The platform's records of instances and operations.
 class PlatformState {
  public:
   void Register(const nlohmann::json& body) {
@@ -37,13 +37,13 @@
     this->progress[body.value("operation", "")] = "done";
   }
 
-  // Begins an operation the first time and tells how far it is.
+  // Begins an operation at its first request, and returns its progress.
   nlohmann::json Operate(const nlohmann::json& body) {
     const std::string operation = body.value("operation", "");
     std::string address;
     {
       const std::lock_guard lock(this->mutex);
-      ++this->times_told[operation];
+      ++this->request_counts[operation];
       const auto known = this->progress.find(operation);
       if (known != this->progress.end()) {
         return {{"progress", known->second}};
@@ -56,23 +56,24 @@
       this->progress[operation] = "accepted";
       address = found->second;
     }
-    const auto told = sumac::stand_ins::CallHttp(
+    const auto reply = sumac::stand_ins::CallHttp(
         address, "POST",
         sumac::StrCat("/platform/reboot?operation=", operation), "",
         kCallTimeout);
-    return {{"progress", told.ok() ? "accepted" : "failed"}};
+    return {{"progress", reply.ok() ? "accepted" : "failed"}};
   }
 
   nlohmann::json Counts() {
     const std::lock_guard lock(this->mutex);
-    return {{"progress", this->progress}, {"times_told", this->times_told}};
+    return {{"progress", this->progress},
+            {"request_counts", this->request_counts}};
   }
 
  private:
   std::mutex mutex;
   std::map<std::string, std::string> addresses;
   std::map<std::string, std::string> progress;
-  std::map<std::string, std::uint64_t> times_told;
+  std::map<std::string, std::uint64_t> request_counts;
 };
 
 void Dispatch(PlatformState& state,
--- a/tests/stand_ins/soak_checker_main.cc
+++ b/tests/stand_ins/soak_checker_main.cc
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Checks what the stand-ins of a soak logged against the promises of the
-// system and prints each case that breaks one, then a line of counts. Ends with
-// 1 if any does.
+// Checks the logs of a soak test's stand-ins against the guarantees of the
+// system. Prints each violation, then a line of counts. Exits with 1 if there
+// is any violation.
 
 #include <fstream>
 #include <iostream>
@@ -17,14 +17,15 @@
 
 using sumac::Milliseconds;
 
-// Reads all lines of a file that were written whole and are old enough.
+// Reads the events of a file up to the time `until`, without a last line that
+// is still incomplete. Returns false if a line is not an event.
 bool ReadEvents(const std::string& path,
                 sumac::WallTime until,
                 std::vector<nlohmann::json>& events) {
   std::ifstream file(path);
   std::string line;
   while (std::getline(file, line)) {
-    // A line without its end is still being written.
+    // A line without a line feed is still being written.
     if (file.eof()) {
       return true;
     }
@@ -62,18 +63,19 @@
     }
   }
   const sumac::stand_ins::SoakHistory history(std::move(events));
-  std::vector<std::string> broken =
-      sumac::stand_ins::FindBrokenPromises(history);
+  std::vector<std::string> violations =
+      sumac::stand_ins::FindViolations(history);
   if (age == 0) {
     for (std::string& text : sumac::stand_ins::FindUnfinishedJobs(history)) {
-      broken.push_back(std::move(text));
+      violations.push_back(std::move(text));
     }
   }
-  for (const std::string& text : broken) {
+  for (const std::string& text : violations) {
     std::cout << "BROKEN " << text << "\n";
   }
   std::cout << history.jobs().size() << " jobs, " << history.runs().size()
-            << " runs, " << history.lives().size() << " lives of workers, "
-            << broken.size() << " broken\n";
-  return broken.empty() ? 0 : 1;
+            << " runs, " << history.incarnations().size()
+            << " incarnations of workers, " << violations.size()
+            << " violations\n";
+  return violations.empty() ? 0 : 1;
 }
--- a/tests/stand_ins/soak_checks.cc
+++ b/tests/stand_ins/soak_checks.cc
@@ -18,18 +18,19 @@
 constexpr int kTooMany = 429;
 constexpr int kUnavailable = 503;
 
-// The budget that the stand-in callers give each lasting step.
+// The disruption budget that the stand-in callers give each lasting step, in
+// tasks.
 constexpr std::int64_t kBudget = 1;
-// The platform's notice_ms, contact_ms and visible_ms in docs/PROTOCOLS.md's
-// sense: a task counts as away for any cause after the first; faults of a link
-// excuse orders over it for the second; an accepted job is known everywhere
-// after the third.
+// The platform's notice_ms, contact_ms and visible_ms as docs/PROTOCOLS.md
+// defines them: after kNotice a missing task counts as away for any cause; a
+// fault of a link excuses orders over it for kContact; an accepted job is known
+// everywhere after kVisible.
 constexpr Milliseconds kNotice{4'500};
 constexpr Milliseconds kContact{3'000};
 constexpr Milliseconds kVisible{3'000};
-// A start may be under way while another controller learns of the end.
+// A start order may be in flight while another controller learns of the end.
 constexpr Milliseconds kDoneSlack{1'000};
-// No order lives longer than a lease of 6 s, and faults last up to 4 s.
+// No order is valid for longer than a lease of 6 s, and faults last up to 4 s.
 constexpr Milliseconds kCancelSlack{10'000};
 
 std::string Describe(const SeenRun& run) {
@@ -47,7 +48,7 @@
 
 using RunsByTask = std::map<jobs::TaskId, std::vector<const SeenRun*>>;
 
-// The runs of each task by the time at which they began.
+// Groups the runs by task, in the order of their starts.
 RunsByTask GroupByTask(const SoakHistory& history) {
   RunsByTask groups;
   for (const SeenRun& run : history.runs()) {
@@ -81,7 +82,8 @@
   return found == job.shows.end() ? nullptr : &*found;
 }
 
-// How far a job is that is shown in `state`; nothing for no such state.
+// Returns the rank of a job's state in the order of progress, or nullopt for an
+// unknown state.
 std::optional<int> RankOf(const std::string& state) {
   if (state == "queued") {
     return 0;
@@ -95,9 +97,10 @@
   return std::nullopt;
 }
 
-// What is wrong with showing a job as in `later` once it was shown as in
-// `earlier`; empty for nothing.
-std::string_view FindStep(const SeenCall& earlier, const SeenCall& later) {
+// Returns the kind of violation if a job that was shown as in `earlier` must
+// not be shown as in `later` afterwards; empty if it may.
+std::string_view FindBadTransition(const SeenCall& earlier,
+                                   const SeenCall& later) {
   const auto earlier_rank = RankOf(earlier.state);
   const auto later_rank = RankOf(later.state);
   if (!earlier_rank || !later_rank || later.sent_at <= earlier.answered_at) {
@@ -109,14 +112,16 @@
   return *later_rank < *earlier_rank ? "queued again" : "";
 }
 
-// Tells the first case of each kind.
-void CheckShownOrder(const std::string& id, const SeenJob& job, Texts& broken) {
+// Reports the first violation of each kind.
+void CheckShownOrder(const std::string& id,
+                     const SeenJob& job,
+                     Texts& violations) {
   std::set<std::string_view> kinds;
   for (auto later = job.shows.begin(); later != job.shows.end(); ++later) {
     for (auto earlier = job.shows.begin(); earlier != later; ++earlier) {
-      const std::string_view kind = FindStep(*earlier, *later);
+      const std::string_view kind = FindBadTransition(*earlier, *later);
       if (!kind.empty() && kinds.insert(kind).second) {
-        broken.push_back(
+        violations.push_back(
             StrCat(kind, ": job ", id, " ", later->state, " at ",
                    later->answered_at.time_since_epoch().count(), " after ",
                    earlier->state, " at ",
@@ -126,35 +131,35 @@
   }
 }
 
-void CheckKnown(const std::string& id, const SeenJob& job, Texts& broken) {
+void CheckKnown(const std::string& id, const SeenJob& job, Texts& violations) {
   const SeenCall* accepted = FirstWithStatus(job.submits, kOk);
   for (const SeenCall& call : job.shows) {
     const bool is_unknown = call.status == kGone || call.status == kNotFound;
     if (accepted != nullptr && is_unknown &&
         call.sent_at > accepted->answered_at + kVisible) {
-      broken.push_back(StrCat("accepted job ", id, " unknown (", call.status,
-                              ") at ",
-                              call.answered_at.time_since_epoch().count()));
+      violations.push_back(StrCat("accepted job ", id, " unknown (",
+                                  call.status, ") at ",
+                                  call.answered_at.time_since_epoch().count()));
     }
     if (call.status == kOk && !RankOf(call.state)) {
-      broken.push_back(StrCat("job ", id, " shown without a state at ",
-                              call.answered_at.time_since_epoch().count()));
+      violations.push_back(StrCat("job ", id, " shown without a state at ",
+                                  call.answered_at.time_since_epoch().count()));
     }
   }
 }
 
-void CheckWhole(const std::string& id,
-                const std::vector<SeenCall>& calls,
-                Texts& broken) {
+void CheckComplete(const std::string& id,
+                   const std::vector<SeenCall>& calls,
+                   Texts& violations) {
   for (const SeenCall& call : calls) {
     if (call.error == "cut answer") {
-      broken.push_back(StrCat("answer about job ", id, " cut at ",
-                              call.answered_at.time_since_epoch().count()));
+      violations.push_back(StrCat("answer about job ", id, " cut at ",
+                                  call.answered_at.time_since_epoch().count()));
     }
   }
 }
 
-// The tasks of `job` that no run ended as done by `time`.
+// Counts the tasks of `job` of which no run ended as done by `time`.
 std::int64_t CountUnfinished(const std::string& id,
                              const SeenJob& job,
                              const RunsByTask& runs,
@@ -177,8 +182,8 @@
   return unfinished;
 }
 
-// Whether the task of `runs` was taken away by a stop or has been missing for
-// long. One that never began is not: nobody took it away.
+// Returns whether the last run of a task was stopped, or ended at least kNotice
+// before `time`. A task that never began is not away, since no order ended it.
 bool IsAway(const std::vector<const SeenRun*>& runs, WallTime time) {
   const SeenRun* last = nullptr;
   for (const SeenRun* run : runs) {
@@ -194,14 +199,16 @@
 }
 
 bool IsExcused(const SoakHistory& history, const SeenRun& stopped) {
-  const SeenLife& life = history.lives().at(stopped.worker);
-  if (life.leaves_at && *life.leaves_at <= stopped.ended_at) {
+  const SeenIncarnation& incarnation =
+      history.incarnations().at(stopped.worker);
+  if (incarnation.leaves_at && *incarnation.leaves_at <= stopped.ended_at) {
     return true;
   }
-  const auto [first, last] = history.harms().equal_range(life.address);
-  if (std::any_of(first, last, [&](const auto& harm) {
-        return harm.second <= stopped.ended_at &&
-               harm.second + kContact >= stopped.ended_at;
+  const auto [first, last] =
+      history.injected_faults().equal_range(incarnation.address);
+  if (std::any_of(first, last, [&](const auto& fault) {
+        return fault.second <= stopped.ended_at &&
+               fault.second + kContact >= stopped.ended_at;
       })) {
     return true;
   }
@@ -226,18 +233,18 @@
 }  // namespace
 
 Texts FindDoubleRuns(const SoakHistory& history) {
-  Texts broken;
+  Texts violations;
   for (const auto& [task, runs] : GroupByTask(history)) {
     const SeenRun* longest = nullptr;
     const SeenRun* done = nullptr;
     for (const SeenRun* run : runs) {
       if (longest != nullptr && longest->ended_at > run->began_at) {
-        broken.push_back(StrCat("twice at once: ", Describe(*longest), "; ",
-                                Describe(*run)));
+        violations.push_back(StrCat("twice at once: ", Describe(*longest), "; ",
+                                    Describe(*run)));
       }
       if (done != nullptr && done->ended_at < run->began_at) {
-        broken.push_back(StrCat("started after an acknowledged end: ",
-                                Describe(*done), "; ", Describe(*run)));
+        violations.push_back(StrCat("started after an acknowledged end: ",
+                                    Describe(*done), "; ", Describe(*run)));
       }
       if (longest == nullptr || run->ended_at > longest->ended_at) {
         longest = run;
@@ -247,55 +254,56 @@
       }
     }
   }
-  return broken;
+  return violations;
 }
 
-Texts FindUnaskedRuns(const SoakHistory& history) {
-  Texts broken;
+Texts FindUnrequestedRuns(const SoakHistory& history) {
+  Texts violations;
   for (const SeenRun& run : history.runs()) {
     const auto found = history.jobs().find(JobOf(run));
     if (found == history.jobs().end()) {
-      broken.push_back(StrCat("nobody sent the job of ", Describe(run)));
+      violations.push_back(StrCat("nobody sent the job of ", Describe(run)));
       continue;
     }
     const SeenJob& job = found->second;
     const SeenCall* done = FirstShown(job, "done");
     const SeenCall* cancelled = FirstWithStatus(job.cancels, kOk);
     if (WasRefused(job)) {
-      broken.push_back(StrCat("refused, but started: ", Describe(run)));
+      violations.push_back(StrCat("refused, but started: ", Describe(run)));
     }
     if (done != nullptr && run.began_at > done->answered_at + kDoneSlack) {
-      broken.push_back(StrCat("shown done, but started: ", Describe(run)));
+      violations.push_back(StrCat("shown done, but started: ", Describe(run)));
     }
     if (cancelled != nullptr &&
         run.began_at > cancelled->answered_at + kCancelSlack) {
-      broken.push_back(StrCat("cancelled, but started: ", Describe(run)));
+      violations.push_back(StrCat("cancelled, but started: ", Describe(run)));
     }
   }
-  return broken;
+  return violations;
 }
 
 Texts FindWrongAnswers(const SoakHistory& history) {
-  Texts broken;
+  Texts violations;
   const RunsByTask runs = GroupByTask(history);
   for (const auto& [id, job] : history.jobs()) {
-    CheckWhole(id, job.submits, broken);
-    CheckWhole(id, job.shows, broken);
-    CheckWhole(id, job.cancels, broken);
-    CheckKnown(id, job, broken);
-    CheckShownOrder(id, job, broken);
+    CheckComplete(id, job.submits, violations);
+    CheckComplete(id, job.shows, violations);
+    CheckComplete(id, job.cancels, violations);
+    CheckKnown(id, job, violations);
+    CheckShownOrder(id, job, violations);
     const SeenCall* done = FirstShown(job, "done");
     if (done != nullptr &&
         CountUnfinished(id, job, runs, done->answered_at) > 0) {
-      broken.push_back(StrCat("job ", id, " shown done too early at ",
-                              done->answered_at.time_since_epoch().count()));
+      violations.push_back(
+          StrCat("job ", id, " shown done too early at ",
+                 done->answered_at.time_since_epoch().count()));
     }
   }
-  return broken;
+  return violations;
 }
 
 Texts FindBudgetOverruns(const SoakHistory& history) {
-  Texts broken;
+  Texts violations;
   const RunsByTask groups = GroupByTask(history);
   for (const SeenRun& run : history.runs()) {
     if (!run.is_lasting || run.cause != "stopped" || IsExcused(history, run)) {
@@ -303,36 +311,37 @@
     }
     const std::int64_t away = CountOthersAway(groups, run);
     if (away >= kBudget) {
-      broken.push_back(StrCat("stopped while ", away,
-                              " others of its step are away: ", Describe(run)));
+      violations.push_back(
+          StrCat("stopped while ", away,
+                 " others of its step are away: ", Describe(run)));
     }
   }
-  return broken;
+  return violations;
 }
 
 Texts FindUnfinishedJobs(const SoakHistory& history) {
-  Texts broken;
+  Texts violations;
   for (const auto& [id, job] : history.jobs()) {
     const bool is_accepted = FirstWithStatus(job.submits, kOk) != nullptr;
     if (is_accepted && job.cancels.empty() &&
         FirstShown(job, "done") == nullptr) {
-      broken.push_back(StrCat("job ", id, " is accepted and never done"));
+      violations.push_back(StrCat("job ", id, " is accepted and never done"));
     }
   }
-  return broken;
+  return violations;
 }
 
-Texts FindBrokenPromises(const SoakHistory& history) {
-  Texts broken;
-  for (auto* const find : {FindDoubleRuns, FindUnaskedRuns, FindWrongAnswers,
-                           FindBudgetOverruns}) {
+Texts FindViolations(const SoakHistory& history) {
+  Texts violations;
+  for (auto* const find : {FindDoubleRuns, FindUnrequestedRuns,
+                           FindWrongAnswers, FindBudgetOverruns}) {
     Texts found = find(history);
-    std::move(found.begin(), found.end(), std::back_inserter(broken));
+    std::move(found.begin(), found.end(), std::back_inserter(violations));
   }
-  for (const std::string& process : history.own_ends()) {
-    broken.push_back(StrCat(process, " ended by itself"));
+  for (const std::string& process : history.unexpected_exits()) {
+    violations.push_back(StrCat(process, " ended by itself"));
   }
-  return broken;
+  return violations;
 }
 
 }  // namespace sumac::stand_ins
--- a/tests/stand_ins/soak_history.cc
+++ b/tests/stand_ins/soak_history.cc
@@ -26,10 +26,10 @@
 void SoakHistory::Add(const nlohmann::json& event) {
   const std::string kind = event.at("event");
   const WallTime at = TimeOf(event);
-  if (kind == "life") {
-    SeenLife& life = this->all_lives[event.at("worker")];
-    life.process = event.at("process");
-    life.address = event.at("address");
+  if (kind == "incarnation") {
+    SeenIncarnation& incarnation = this->all_incarnations[event.at("worker")];
+    incarnation.process = event.at("process");
+    incarnation.address = event.at("address");
   } else if (kind == "start") {
     this->AddStart(event, at);
   } else if (kind == "end") {
@@ -37,80 +37,83 @@
   } else if (kind == "acknowledged") {
     this->AddAcknowledgement(event, at);
   } else if (kind == "lapse") {
-    this->all_lives[event.at("worker")].lapsed_at = at;
+    this->all_incarnations[event.at("worker")].lease_expired_at = at;
   } else if (kind == "leaves") {
-    this->all_lives[event.at("worker")].leaves_at = at;
+    this->all_incarnations[event.at("worker")].leaves_at = at;
   } else if (kind == "gone") {
-    this->EndLife(this->all_lives[event.at("worker")], at);
+    this->EndIncarnation(this->all_incarnations[event.at("worker")], at);
   } else if (kind == "killed") {
     this->EndProcess(event.at("process"), at);
   } else if (kind == "harmed") {
-    this->all_harms.emplace(event.at("address"), at);
+    this->all_injected_faults.emplace(event.at("address"), at);
   } else if (kind == "own-end") {
-    this->all_own_ends.push_back(event.at("process"));
+    this->all_unexpected_exits.push_back(event.at("process"));
   } else {
     this->AddCall(event, at);
   }
 }
 
 void SoakHistory::AddStart(const nlohmann::json& event, WallTime at) {
-  SeenLife& life = this->all_lives[event.at("worker")];
+  SeenIncarnation& incarnation = this->all_incarnations[event.at("worker")];
   SeenRun run{.task = *jobs::TaskId::Parse(event.at("task").get<std::string>()),
               .number = event.at("run"),
               .worker = event.at("worker"),
               .is_lasting = event.at("lasting"),
               .began_at = at};
-  // The kill of a process is noted just before it takes place.
-  if (life.gone_at) {
+  // The kill of a process is logged just before it takes place, so a start may
+  // come between the two.
+  if (incarnation.gone_at) {
     run.ended_at = at;
     run.cause = "died";
   } else {
-    life.running[run.task] = this->all_runs.size();
+    incarnation.running[run.task] = this->all_runs.size();
   }
   this->all_runs.push_back(std::move(run));
 }
 
 void SoakHistory::AddEnd(const nlohmann::json& event, WallTime at) {
-  SeenLife& life = this->all_lives[event.at("worker")];
+  SeenIncarnation& incarnation = this->all_incarnations[event.at("worker")];
   const auto task = *jobs::TaskId::Parse(event.at("task").get<std::string>());
-  const auto found = life.running.find(task);
-  if (found == life.running.end()) {
+  const auto found = incarnation.running.find(task);
+  if (found == incarnation.running.end()) {
     return;
   }
   SeenRun& run = this->all_runs[found->second];
   run.ended_at = at;
   run.cause = event.at("cause");
-  life.ended[event.at("number")] = found->second;
-  life.running.erase(found);
+  incarnation.ended[event.at("number")] = found->second;
+  incarnation.running.erase(found);
 }
 
 void SoakHistory::AddAcknowledgement(const nlohmann::json& event, WallTime at) {
-  SeenLife& life = this->all_lives[event.at("worker")];
+  SeenIncarnation& incarnation = this->all_incarnations[event.at("worker")];
   const std::uint64_t last = event.at("number");
-  while (!life.ended.empty() && life.ended.begin()->first <= last) {
-    SeenRun& run = this->all_runs[life.ended.begin()->second];
-    // A lease that lapsed meanwhile lets the system take the run for lost.
-    if (!life.lapsed_at || *life.lapsed_at < run.ended_at) {
+  while (!incarnation.ended.empty() &&
+         incarnation.ended.begin()->first <= last) {
+    SeenRun& run = this->all_runs[incarnation.ended.begin()->second];
+    // If the lease expired meanwhile, the system may consider the run lost.
+    if (!incarnation.lease_expired_at ||
+        *incarnation.lease_expired_at < run.ended_at) {
       run.acknowledged_at = at;
     }
-    life.ended.erase(life.ended.begin());
+    incarnation.ended.erase(incarnation.ended.begin());
   }
 }
 
-void SoakHistory::EndLife(SeenLife& life, WallTime at) {
-  for (const auto& [task, index] : life.running) {
+void SoakHistory::EndIncarnation(SeenIncarnation& incarnation, WallTime at) {
+  for (const auto& [task, index] : incarnation.running) {
     this->all_runs[index].ended_at = at;
     this->all_runs[index].cause = "died";
   }
-  // Its runs stay known: one may yet end by itself between the note of a kill
-  // and the kill.
-  life.gone_at = at;
+  // The runs are not removed: one may still end by itself between the log entry
+  // of a kill and the kill.
+  incarnation.gone_at = at;
 }
 
 void SoakHistory::EndProcess(const std::string& process, WallTime at) {
-  for (auto& [worker, life] : this->all_lives) {
-    if (life.process == process && !life.gone_at) {
-      this->EndLife(life, at);
+  for (auto& [worker, incarnation] : this->all_incarnations) {
+    if (incarnation.process == process && !incarnation.gone_at) {
+      this->EndIncarnation(incarnation, at);
     }
   }
 }
--- a/tests/stand_ins/task_workers_main.cc
+++ b/tests/stand_ins/task_workers_main.cc
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// Workers that run tasks, in one process, for tests with real processes.
+// Runs a number of stand-in workers for tasks in one process, for tests with
+// real processes.
 #include <kj/async-io.h>
 #include <kj/async-unix.h>
 #include <signal.h>
@@ -34,16 +35,17 @@
 
 using Workers = std::vector<std::unique_ptr<sumac::stand_ins::TaskWorker>>;
 
-// Lets all workers stand still, or work again, at each `signal_number`.
-kj::Promise<void> FollowSignal(kj::UnixEventPort& port,
+// Stalls the tasks of all workers at each SIGWINCH and resumes them at any
+// other `signal_number`.
+kj::Promise<void> HandleSignal(kj::UnixEventPort& port,
                                int signal_number,
                                Workers& workers) {
   return port.onSignal(signal_number)
       .then([&port, signal_number, &workers](siginfo_t&&) {
         for (const auto& worker : workers) {
-          worker->set_stands_still(signal_number == SIGWINCH);
+          worker->set_stalled(signal_number == SIGWINCH);
         }
-        return FollowSignal(port, signal_number, workers);
+        return HandleSignal(port, signal_number, workers);
       });
 }
 
@@ -91,7 +93,8 @@
   const std::string prefix = process.empty() ? service : process;
   for (int number = 0; number < arguments["count"].as<int>(); ++number) {
     sumac::stand_ins::TaskWorker::Settings settings;
-    // A new life's clock need not go on from where the last one's stood.
+    // The clock of a new incarnation need not continue from the last one's, so
+    // the offset depends on the process.
     settings.clock_offset = kClockStep * (getpid() % kClockSteps);
     settings.description = {
         .id = sumac::WorkerId(sumac::StrCat(prefix, "-", number, "-",
@@ -111,7 +114,7 @@
       settings.description.id = sumac::WorkerId(
           sumac::StrCat(prefix, "-", number, "#",
                         settings.description.born.time_since_epoch().count()));
-      // The clock of each life starts anew.
+      // The clock of each incarnation starts at zero.
       settings.clock_offset =
           -sumac::SystemClock().SteadyNow().time_since_epoch();
     }
@@ -129,7 +132,7 @@
     running.push_back(workers.back()->Run().eagerlyEvaluate(nullptr));
   }
   for (const int signal_number : {SIGWINCH, SIGURG}) {
-    running.push_back(FollowSignal(io.unixEventPort, signal_number, workers)
+    running.push_back(HandleSignal(io.unixEventPort, signal_number, workers)
                           .eagerlyEvaluate(nullptr));
   }
   std::cout << "ready" << std::endl;
--- a/tests/stand_ins/worker.h
+++ b/tests/stand_ins/worker.h
@@ -10,8 +10,8 @@
 
 namespace sumac::stand_ins {
 
-// A stand-in for a worker: runs the tasks it is ordered to as timers, under
-// leases, and stops what it can't renew.
+// A stand-in for a worker: simulates the ordered tasks by timers, under a
+// lease, and stops them when the lease runs out.
 class Worker final : public Target {
  public:
   explicit Worker(TargetOptions options);
@@ -22,9 +22,9 @@
   void HandleControl(Poco::Net::HTTPServerRequest& request,
                      Poco::Net::HTTPServerResponse& response) override;
   void FillAnnouncement(fleet::Announcement& announcement) override;
-  void TakeOrders(const fleet::TargetOrders& orders,
-                  SteadyTime sent_at) override;
-  void Forget() override;
+  void ApplyOrders(const fleet::TargetOrders& orders,
+                   SteadyTime sent_at) override;
+  void DiscardState() override;
 
  private:
   struct Task {
@@ -33,13 +33,14 @@
     fleet::TaskState state = fleet::TaskState::kRunning;
   };
 
-  void StopWhatLeaseLost(SteadyTime now);
+  void StopTasksWithoutLease(SteadyTime now);
 
   std::mutex tasks_mutex;
   std::map<JobId, Task> tasks;
   SteadyTime lease_until{};
-  // How often each job was begun here, and the highest token seen for it.
+  // The number of starts here by job.
   std::map<std::string, std::uint64_t> begun;
+  // The highest token received for each job.
   std::map<JobId, FencingToken> highest_token;
   bool fails_everything = false;
 };
--- a/utilities/sumacctl/commands.cc
+++ b/utilities/sumacctl/commands.cc
@@ -19,8 +19,8 @@
 using fleet::Answer;
 using wire::Operator;
 
-// What a command's function gets: its arguments without the words that chose
-// it.
+// The input of a command's function; `arguments` exclude the words that
+// selected the command.
 struct Call {
   OperatorClient& client;
   const Invocation& invocation;
@@ -34,12 +34,13 @@
   }
 };
 
-using Function = std::function<Answer(const Call&)>;
+using CommandFunction = std::function<Answer(const Call&)>;
 
 struct Command {
   CommandInfo info;
-  Function run;
-  // The columns of its answer's table; empty where the answer has another form.
+  CommandFunction run;
+  // The columns of the table that shows the answer; empty if the answer is not
+  // shown as a table.
   std::vector<Column> columns;
 };
 
@@ -53,15 +54,15 @@
 Answer Get(OperatorClient& client,
            const std::string& kind,
            const std::string& name) {
-  return client.Call([&](Operator::Client door) {
-    auto request = door.getRequest();
+  return client.Call([&](Operator::Client operator_service) {
+    auto request = operator_service.getRequest();
     request.setKind(kind);
     request.setName(name);
     return request.send();
   });
 }
 
-// The text of an argument that names a file, or of standard input for "-".
+// Returns the contents of the file at `path`, or of standard input for "-".
 absl::StatusOr<std::string> ReadArgument(const std::string& path) {
   return ReadTextFile(path == "-" ? "/dev/stdin" : path);
 }
@@ -79,8 +80,8 @@
             "apply needs --revision, the revision the file was made from; see "
             "get declaration (0 for the first)"};
   }
-  return call.client.Call([&](Operator::Client door) {
-    auto request = door.applyRequest();
+  return call.client.Call([&](Operator::Client operator_service) {
+    auto request = operator_service.applyRequest();
     FillIdentity(request, call.invocation);
     request.setDeclaration(*text);
     request.setExpectedRevision(expected);
@@ -88,11 +89,11 @@
   });
 }
 
-// Waits until all entries that are alive act on a version of the view.
+// Waits until all live entries use this version of the view.
 Answer AwaitInForce(const Call& call, std::uint64_t version) {
   constexpr std::uint32_t kWaitMs = 5'000;
-  return call.client.Call([&](Operator::Client door) {
-    auto request = door.inForceRequest();
+  return call.client.Call([&](Operator::Client operator_service) {
+    auto request = operator_service.inForceRequest();
     request.setVersion(version);
     request.setWaitMs(kWaitMs);
     return request.send();
@@ -109,8 +110,8 @@
 }
 
 Answer ChangeController(const Call& call, const std::string& action) {
-  return call.client.Call([&](Operator::Client door) {
-    auto request = door.changeControllerRequest();
+  return call.client.Call([&](Operator::Client operator_service) {
+    auto request = operator_service.changeControllerRequest();
     FillIdentity(request, call.invocation);
     request.setAction(action);
     request.setNode(call.argument(0));
@@ -118,7 +119,8 @@
   });
 }
 
-// Checks a controller's data folder without any process; writes nothing.
+// Checks a controller's data folder directly on disk, without calling a
+// process. Writes nothing.
 Answer VerifyStorage(const Call& call) {
   storage::PosixDisk disk;
   const auto folder = storage::DataFolder<storage::PosixDisk>::Open(
@@ -136,18 +138,18 @@
   if (!text.ok()) {
     return Answer::FromStatus(text.status());
   }
-  return call.client.Call([&](Operator::Client door) {
-    auto request = door.diffRequest();
+  return call.client.Call([&](Operator::Client operator_service) {
+    auto request = operator_service.diffRequest();
     request.setDeclaration(*text);
     return request.send();
   });
 }
 
-// A command on one instance; `make` starts the request.
+// Sends a command for one instance; `make` creates the request.
 template <typename MakeRequest>
 Answer Operate(const Call& call, MakeRequest make) {
-  return call.client.Call([&](Operator::Client door) {
-    auto request = make(door);
+  return call.client.Call([&](Operator::Client operator_service) {
+    auto request = make(operator_service);
     FillIdentity(request, call.invocation);
     request.setInstance(call.argument(0));
     return request.send();
@@ -155,8 +157,8 @@
 }
 
 Answer Move(const Call& call) {
-  return call.client.Call([&](Operator::Client door) {
-    auto request = door.moveRequest();
+  return call.client.Call([&](Operator::Client operator_service) {
+    auto request = operator_service.moveRequest();
     FillIdentity(request, call.invocation);
     request.setInstance(call.argument(0));
     request.setPool(call.argument(1));
@@ -169,8 +171,8 @@
   if (!text.ok()) {
     return Answer::FromStatus(text.status());
   }
-  return call.client.Call([&](Operator::Client door) {
-    auto request = door.submitJobRequest();
+  return call.client.Call([&](Operator::Client operator_service) {
+    auto request = operator_service.submitJobRequest();
     FillIdentity(request, call.invocation);
     request.setJob(*text);
     return request.send();
@@ -178,8 +180,8 @@
 }
 
 Answer CancelJob(const Call& call) {
-  return call.client.Call([&](Operator::Client door) {
-    auto request = door.cancelJobRequest();
+  return call.client.Call([&](Operator::Client operator_service) {
+    auto request = operator_service.cancelJobRequest();
     FillIdentity(request, call.invocation);
     request.setJob(call.argument(0));
     return request.send();
@@ -187,16 +189,16 @@
 }
 
 Answer Explain(const Call& call) {
-  return call.client.Call([&](Operator::Client door) {
-    auto request = door.explainRequest();
+  return call.client.Call([&](Operator::Client operator_service) {
+    auto request = operator_service.explainRequest();
     request.setDecisionId(call.argument(0));
     return request.send();
   });
 }
 
 Answer Why(const Call& call) {
-  return call.client.Call([&](Operator::Client door) {
-    auto request = door.whyRequest();
+  return call.client.Call([&](Operator::Client operator_service) {
+    auto request = operator_service.whyRequest();
     request.setKind(call.argument(0));
     request.setName(call.argument(1));
     return request.send();
@@ -290,8 +292,8 @@
   return found == kColumns.end() ? kNone : found->second;
 }
 
-const std::vector<Command>& Table() {
-  static const std::vector<Command> kTable = {
+const std::vector<Command>& CommandTable() {
+  static const std::vector<Command> kCommands = {
       {{"apply",
         {"FILE"},
         "put a declaration in force; needs --revision; --wait until all act on "
@@ -315,14 +317,15 @@
         {"INSTANCE"},
         "take an instance's work away, within its pool's budget"},
        [](const Call& call) {
-         return Operate(
-             call, [](Operator::Client& door) { return door.drainRequest(); });
+         return Operate(call, [](Operator::Client& operator_service) {
+           return operator_service.drainRequest();
+         });
        },
        {}},
       {{"undrain", {"INSTANCE"}, "give a drained instance back to its pool"},
        [](const Call& call) {
-         return Operate(call, [](Operator::Client& door) {
-           return door.undrainRequest();
+         return Operate(call, [](Operator::Client& operator_service) {
+           return operator_service.undrainRequest();
          });
        },
        {}},
@@ -330,8 +333,9 @@
         {"INSTANCE"},
         "drain an instance and have the platform reboot it"},
        [](const Call& call) {
-         return Operate(
-             call, [](Operator::Client& door) { return door.rebootRequest(); });
+         return Operate(call, [](Operator::Client& operator_service) {
+           return operator_service.rebootRequest();
+         });
        },
        {}},
       {{"move",
@@ -394,8 +398,8 @@
        {}},
       {{"hand-over", {}, "hand leadership to another controller"},
        [](const Call& call) {
-         return call.client.Call([&](Operator::Client door) {
-           auto request = door.handOverRequest();
+         return call.client.Call([&](Operator::Client operator_service) {
+           auto request = operator_service.handOverRequest();
            FillIdentity(request, call.invocation);
            return request.send();
          });
@@ -403,18 +407,19 @@
        {}},
       {{"status", {}, "the process that answers, and how old what it knows is"},
        [](const Call& call) {
-         return call.client.Call(
-             [](Operator::Client door) { return door.statusRequest().send(); });
+         return call.client.Call([](Operator::Client operator_service) {
+           return operator_service.statusRequest().send();
+         });
        },
        {}},
   };
-  return kTable;
+  return kCommands;
 }
 
-// The command that the words choose, the longer name first, and how many words
-// that took.
+// Finds the command that the first words name, and sets `name_word_count` to
+// the number of words in its name. Names of two words are tried first.
 const Command* FindCommand(const std::vector<std::string>& words,
-                           std::size_t& words_taken) {
+                           std::size_t& name_word_count) {
   for (const std::size_t count : {std::size_t{2}, std::size_t{1}}) {
     if (words.size() < count) {
       continue;
@@ -422,17 +427,17 @@
     const std::string name =
         count == 1 ? words[0] : StrCat(words[0], " ", words[1]);
     const auto found = std::find_if(
-        Table().begin(), Table().end(),
+        CommandTable().begin(), CommandTable().end(),
         [&](const Command& command) { return command.info.name == name; });
-    if (found != Table().end()) {
-      words_taken = count;
+    if (found != CommandTable().end()) {
+      name_word_count = count;
       return &*found;
     }
   }
   return nullptr;
 }
 
-bool DoArgumentsFit(const CommandInfo& info, std::size_t count) {
+bool IsArgumentCountValid(const CommandInfo& info, std::size_t count) {
   const auto required = static_cast<std::size_t>(std::count_if(
       info.arguments.begin(), info.arguments.end(),
       [](const std::string& argument) { return argument.front() != '['; }));
@@ -471,7 +476,7 @@
 const std::vector<CommandInfo>& AllCommands() {
   static const std::vector<CommandInfo> kInfos = [] {
     std::vector<CommandInfo> infos;
-    for (const Command& command : Table()) {
+    for (const Command& command : CommandTable()) {
       infos.push_back(command.info);
     }
     return infos;
@@ -480,18 +485,18 @@
 }
 
 Answer RunCommand(OperatorClient& client, const Invocation& invocation) {
-  std::size_t words_taken = 0;
-  const Command* command = FindCommand(invocation.words, words_taken);
+  std::size_t name_word_count = 0;
+  const Command* command = FindCommand(invocation.words, name_word_count);
   if (command == nullptr) {
     return Answer{.code = ResultCode::kBadArgument,
                   .message = "there is no such command; see --help"};
   }
   Call call{
       client, invocation,
-      std::vector<std::string>(
-          invocation.words.begin() + static_cast<std::ptrdiff_t>(words_taken),
-          invocation.words.end())};
-  if (!DoArgumentsFit(command->info, call.arguments.size())) {
+      std::vector<std::string>(invocation.words.begin() +
+                                   static_cast<std::ptrdiff_t>(name_word_count),
+                               invocation.words.end())};
+  if (!IsArgumentCountValid(command->info, call.arguments.size())) {
     std::string usage = command->info.name;
     for (const std::string& argument : command->info.arguments) {
       StrAppend(&usage, " ", argument);
@@ -513,8 +518,8 @@
   if (!answer.decision.value().empty()) {
     StrAppend(&text, "decision ", answer.decision.value(), "\n");
   }
-  std::size_t words_taken = 0;
-  const Command* command = FindCommand(invocation.words, words_taken);
+  std::size_t name_word_count = 0;
+  const Command* command = FindCommand(invocation.words, name_word_count);
   if (command != nullptr && answer.is_ok() && !answer.document.is_null()) {
     text += FormatDocument(*command, invocation, answer.document);
   }
