--- a/benchmarks/control_bench.cc
+++ b/benchmarks/control_bench.cc
@@ -362,8 +362,7 @@
       "commit, gap, followers, catch-up, fill or disk");
   add("peers", options::value<std::string>(),
       "the controllers' peer addresses, by commas");
-  add("operators", options::value<std::string>(),
-      "one operators' operator_channel");
+  add("operators", options::value<std::string>(), "one operators' door");
   add("count", options::value<int>()->default_value(1'000),
       "commits or changes");
   add("followers", options::value<int>()->default_value(9), "how many follow");
--- a/tests/stand_ins/platform_main.cc
+++ b/tests/stand_ins/platform_main.cc
@@ -65,8 +65,7 @@
 
   nlohmann::json Counts() {
     const std::lock_guard lock(this->mutex);
-    return {{"progress", this->progress},
-            {"request_counts", this->request_counts}};
+    return {{"progress", this->progress}, {"times_told", this->request_counts}};
   }
 
  private:
--- a/tests/stand_ins/soak_checker_main.cc
+++ b/tests/stand_ins/soak_checker_main.cc
@@ -75,7 +75,6 @@
   }
   std::cout << history.jobs().size() << " jobs, " << history.runs().size()
             << " runs, " << history.incarnations().size()
-            << " incarnations of workers, " << violations.size()
-            << " violations\n";
+            << " lives of workers, " << violations.size() << " broken\n";
   return violations.empty() ? 0 : 1;
 }
--- a/tests/stand_ins/soak_history.cc
+++ b/tests/stand_ins/soak_history.cc
@@ -26,7 +26,7 @@
 void SoakHistory::Add(const nlohmann::json& event) {
   const std::string kind = event.at("event");
   const WallTime at = TimeOf(event);
-  if (kind == "incarnation") {
+  if (kind == "life") {
     SeenIncarnation& incarnation = this->all_incarnations[event.at("worker")];
     incarnation.process = event.at("process");
     incarnation.address = event.at("address");
--- a/tests/stand_ins/task_worker.cc
+++ b/tests/stand_ins/task_worker.cc
@@ -84,7 +84,7 @@
 }
 
 kj::Promise<void> TaskWorker::Run() {
-  this->log.Add({{"event", "incarnation"},
+  this->log.Add({{"event", "life"},
                  {"worker", this->settings.description.id.value()},
                  {"address", this->settings.description.address},
                  {"process", this->settings.process}});
@@ -216,14 +216,14 @@
 void TaskWorker::BeginNextIncarnation() {
   jobs::Worker& description = this->settings.description;
   description.id = WorkerId(
-      StrCat(description.instance.value(), "-incarnation-", this->incarnation));
+      StrCat(description.instance.value(), "-life-", this->incarnation));
   this->worker =
       scheduler::FakeWorker(description, this->settings.clock_offset, 0);
   this->sequence = 0;
   this->logged_end = 0;
   this->logged_acknowledgement = 0;
   this->logged_lease_end = {};
-  this->log.Add({{"event", "incarnation"},
+  this->log.Add({{"event", "life"},
                  {"worker", description.id.value()},
                  {"address", description.address},
                  {"process", this->settings.process}});
